--- a/lib/apportioner/allowance.go
+++ b/lib/apportioner/allowance.go
@@ -3,53 +3,54 @@
 import "math"
 
 const (
-	// longestDebt bounds, in seconds of the share, what a workspace pays back of what it
-	// took before its bound was known.
-	longestDebt = 4.0
-	// shortDebt bounds it where there was another bound before.
-	shortDebt = 0.5
+	// maxInitialDebt bounds, in seconds of the local share, the debt for tokens that a workspace
+	// spent before it had a bound.
+	maxInitialDebt = 4.0
+	// maxLaterDebt bounds, in seconds of the local share, the debt for tokens spent beyond a bound
+	// that has since become lower.
+	maxLaterDebt = 0.5
 )
 
-// allowance is what a workspace may use at one router of one of its shares.
+// allowance is a token bucket: what a workspace may spend at one router under one of its shares.
 type allowance struct {
-	share   float64 // tokens a second of the whole fleet; +Inf without a bound
-	tokens  float64 // that may be used here now; below 0 after a large request
-	taken   float64 // tokens a second that were used here of late
-	bounded bool    // there was a bound at the last request
-	settle  bool    // what was taken beyond the present bound is to be paid back
+	share     float64 // tokens per second of the whole fleet; +Inf without a bound
+	tokens    float64 // available now at this router; below 0 after a large request
+	spentRate float64 // recent spending at this router, tokens per second
+	bounded   bool    // a bound applied at the last refill
+	repay     bool    // the next refill charges what was spent beyond the present bound
 }
 
-// grow fills it with this router's part of the share for a time, in seconds.
+// refill adds this router's part of the share, local tokens per second, for elapsed seconds.
 //
-// What was taken beyond the share before there was a bound is owed from then on: routers
-// hear of one another's demand half a second late, and a flood that begins at all of them
-// takes several seconds' shares until then, while others wait.
+// What was spent beyond the share before a bound existed becomes a debt: routers learn the demand
+// at other routers half a second late, and until then a flood that begins at all of them spends
+// several seconds' worth of its share, while other workspaces wait.
 //
-// The same holds, for less, where another workspace begins to be held back by its router, or gets
-// far less there than before: until that is known others take what engines have to spare, or
-// what was due beside more, and after that a burst.
-func (l *allowance) grow(local, elapsed float64) {
-	l.taken *= fading(elapsed, halfLife)
+// A smaller debt applies when another workspace becomes starved, or its service rate falls sharply:
+// until this is known the others spend the spare capacity of engines, or what their bound allowed
+// at the earlier rate, and a burst after that.
+func (l *allowance) refill(local, elapsed float64) {
+	l.spentRate *= decayFactor(elapsed, halfLife)
 	switch {
 	case math.IsInf(local, 1):
 		l.bounded, l.tokens = false, 0
 	case !l.bounded:
-		l.bounded, l.tokens = true, local*firstBurst-min(l.debt(local), local*longestDebt)
-	case l.settle:
-		l.tokens = min(l.tokens, 0) - min(l.debt(local), local*shortDebt)
+		l.bounded, l.tokens = true, local*initialBurst-min(l.debt(local), local*maxInitialDebt)
+	case l.repay:
+		l.tokens = min(l.tokens, 0) - min(l.debt(local), local*maxLaterDebt)
 	default:
 		l.tokens = min(l.tokens+local*elapsed, local*Burst)
 	}
-	l.settle = false
+	l.repay = false
 }
 
-// debt is what was taken of late beyond a bound, in tokens.
+// debt returns the tokens that were recently spent beyond a bound.
 func (l *allowance) debt(local float64) float64 {
-	return max(l.taken-local, 0) * halfLife.Seconds() / math.Ln2
+	return max(l.spentRate-local, 0) * halfLife.Seconds() / math.Ln2
 }
 
-// take uses some of it.
-func (l *allowance) take(tokens float64) {
+// spend takes tokens from the bucket.
+func (l *allowance) spend(tokens float64) {
 	l.tokens -= tokens
-	l.taken += asRate(tokens, halfLife)
+	l.spentRate += asRate(tokens, halfLife)
 }
--- a/lib/apportioner/apportioner.go
+++ b/lib/apportioner/apportioner.go
@@ -1,20 +1,22 @@
-// Package apportioner admits the requests of workspaces by their max-min fair
-// shares of a fleet's capacity.
+// Package apportioner admits the requests of workspaces by their max-min fair shares of the fleet's
+// capacity.
 //
-// Every router measures what each workspace asks for in tokens a second and tells
-// the keepers, which return the sums over all routers. From the sums and the
-// capacity each router computes the same shares (D. Bertsekas and R. Gallager,
-// "Data Networks", 1992, section 6.5.2) and admits, of what is asked at itself,
-// the part that the workspace's share is of its whole demand. No router decides
-// for another, and no request waits for a message.
+// Every router measures the demand of each workspace in tokens per second and reports it to the
+// keepers, which return the sums over all routers. From the sums and the capacity each router
+// computes the same shares (D. Bertsekas and R. Gallager, "Data Networks", 1992, section 6.5.2). Of
+// the demand that it receives itself, it admits the part that the workspace's share is of the
+// workspace's demand in the whole fleet. No router decides for another, and no request waits for a
+// message.
 //
-// Shares are stretched beyond the stated capacity while engines bear it; see
-// stretch.
+// Shares are stretched beyond the stated capacity while engines have headroom; see stretch.
 //
-// Invariants: while all workspaces together ask for less than the capacity,
-// nothing is refused; a workspace that asks for less than its share is never
-// refused; what all routers admit in a second is, up to the age of the sums and a
-// burst of Burst seconds, at most the capacity.
+// A workspace is starved if it demands more than its guaranteed share and the routers that its
+// clients reach are too busy to read a large part of its requests. Others are then bounded by a
+// multiple of what it gets; see starvationBounds.
+//
+// Invariants: while the total demand of all workspaces is below the capacity, nothing is refused; a
+// workspace that demands less than its share is never refused; what all routers admit in a second
+// is, up to the age of the sums and a burst of Burst seconds, at most the capacity.
 package apportioner
 
 import (
@@ -24,192 +26,192 @@
 )
 
 const (
-	// Burst is how many seconds of its share a workspace may take at once. It
-	// covers the age of the sums and the clustering of requests.
+	// Burst is the depth of an allowance, in seconds of the share. It covers the age of the sums
+	// and the clustering of requests.
 	Burst = 1.0
-	// firstBurst is the allowance, in seconds of the share, of a workspace that asks for
-	// more than its share from now on. With an empty one a fleet that starts refuses its
-	// first requests while all engines are idle.
-	firstBurst = 0.25
-	// lateLevel is how full, as a part of a burst, a workspace's allowance has to be
-	// for requests that are late already.
-	lateLevel = 0.5
-	// staleAfter is how old the sums may be. A router that hears no keeper goes by the
-	// part of each workspace's demand that was its own when it last heard one.
+	// initialBurst is the initial allowance, in seconds of the share, of a workspace whose demand
+	// begins to exceed its share. With an empty allowance a starting fleet would refuse its first
+	// requests while all engines are idle.
+	initialBurst = 0.25
+	// lateThreshold is the level of the allowance, as a part of a burst, that late requests need to
+	// be admitted.
+	lateThreshold = 0.5
+	// staleAfter is the age from which the sums are stale. A router without keeper updates then
+	// uses the part of each workspace's demand that was its own in the last sums.
 	staleAfter = 3 * time.Second
-	// longestPause bounds what a refused client is told. By then the sums have been told
-	// several times, and a share that is next to nothing here may be another one.
-	longestPause = 2 * time.Second
-	// idleAfter is when a workspace that asks for nothing is forgotten.
+	// maxRetryAfter bounds the retry delay that a refused client gets. By then the sums have been
+	// updated several times, and a share that is close to zero here may have changed.
+	maxRetryAfter = 2 * time.Second
+	// idleAfter is the time without requests after which a workspace is removed.
 	idleAfter = 30 * time.Second
 )
 
-// Apportioner is one router's admission. Its zero value admits everything. It is
-// safe for concurrent use.
+// Apportioner is the admission control of one router. Its zero value admits everything. It is safe
+// for concurrent use.
 type Apportioner struct {
-	mutex      sync.Mutex
-	capacity   float64 // tokens a second of the whole fleet; 0 is unknown
-	routers    int
-	workspaces map[string]*workspace
-	told       time.Time
-	began      time.Time // of the first request
-	backlog    time.Duration
-	best       float64 // tokens a second of whoever got most at each moment, over seconds
-	bound      float64 // tokens a second beside one that is held back by its routers, 0 if none is
+	mutex           sync.Mutex
+	capacity        float64 // tokens per second of the whole fleet; 0 if unknown
+	routers         int
+	workspaces      map[string]*workspace
+	sumsAt          time.Time
+	firstRequestAt  time.Time // start of the demand measurement
+	backlog         time.Duration
+	bestServed      float64 // EWMA of the highest service rate of any workspace, tokens per second
+	starvationBound float64 // bound on other workspaces while one is starved, tokens per second; 0 if none is
 }
 
-// Capacity sets what the fleet yields, in tokens a second.
-func (a *Apportioner) Capacity(tokens float64) {
+// SetCapacity sets the stated capacity of the fleet, in tokens per second.
+func (a *Apportioner) SetCapacity(tokens float64) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.capacity = tokens
 	a.divide()
 }
 
-// Routers sets how many routers share the demand.
-func (a *Apportioner) Routers(count int) {
+// SetRouterCount sets the number of routers among which the demand is divided.
+func (a *Apportioner) SetRouterCount(count int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.routers = count
 }
 
-// Use is what became of what a workspace asks for, in tokens a second.
+// Use is the demand of a workspace and what became of it, in tokens per second.
 type Use struct {
-	// Asked is all of it, Got what has begun to be answered, and Unheard what routers had no
-	// room for.
-	Asked, Got, Unheard uint64
+	// Demand is the total, Served the part whose answers have begun, and Shed the part that routers
+	// refused because they were too busy to read it.
+	Demand, Served, Shed uint64
 }
 
-// Uses returns what became of what the workspaces ask for at this router.
+// Uses returns the use of each workspace at this router.
 func (a *Apportioner) Uses(now time.Time) map[string]Use {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	uses := make(map[string]Use, len(a.workspaces))
 	for name, w := range a.workspaces {
-		asked := a.rate(now, w)
-		if asked < 1 {
+		demand := a.demandRate(now, w)
+		if demand < 1 {
 			continue
 		}
-		uses[name] = Use{Asked: uint64(asked), Unheard: uint64(w.lost), Got: uint64(w.begun.rate(now))}
+		uses[name] = Use{Demand: uint64(demand), Shed: uint64(w.shedRate), Served: uint64(w.servedMeter.rate(now))}
 	}
 	return uses
 }
 
-// Unheard returns what routers have no room for, in tokens a second, of the workspaces that get less
-// than they are owed, now and over the last seconds: what of it is asked for here, and of the whole
-// fleet as told last.
-func (a *Apportioner) Unheard(now time.Time) (here, fleet float64) {
+// ShedRates returns the demand that routers shed, in tokens per second, summed over the workspaces
+// that get less than their guaranteed share, both at present and averaged over some seconds: the
+// part shed at this router, and that of the whole fleet from the latest sums.
+func (a *Apportioner) ShedRates(now time.Time) (here, fleet float64) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for _, w := range a.workspaces {
-		if max(w.served, float64(w.told.Got)) >= w.owed.share {
+		if max(w.servedAverage, float64(w.fleetUse.Served)) >= w.guaranteed.share {
 			continue
 		}
 		w.decay(now)
-		here += w.lost
-		fleet += float64(w.told.Unheard)
+		here += w.shedRate
+		fleet += float64(w.fleetUse.Shed)
 	}
 	return here, fleet
 }
 
-// Ask counts a request that was refused because the router had no room for it.
-func (a *Apportioner) Ask(now time.Time, name string, tokens float64) {
+// CountShed counts a request that was refused because the router was too busy for it.
+func (a *Apportioner) CountShed(now time.Time, name string, tokens float64) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if w := a.bounded(now, name); w != nil {
-		w.ask(now, tokens)
-		w.lost += asRate(tokens, halfLife)
+		w.addDemand(now, tokens)
+		w.shedRate += asRate(tokens, halfLife)
 	}
 }
 
-// Demand takes what all routers' workspaces ask for, this one's included, and how long
-// engines still read what they have been sent. Both are the whole fleet's: routers that
-// each followed what they see themselves would serve a workspace by the router that its
-// clients happen to reach.
-func (a *Apportioner) Demand(now time.Time, uses map[string]Use, backlog time.Duration) {
+// SetFleetUse takes the use of each workspace summed over all routers, including this one, and the
+// fleet's mean backlog: the time that engines need to read what they have been sent. Both cover the
+// whole fleet: if each router used its own observations, the service of a workspace would depend on
+// the routers that its clients happen to reach.
+func (a *Apportioner) SetFleetUse(now time.Time, uses map[string]Use, backlog time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	elapsed := 0.0
-	if !a.told.IsZero() {
-		elapsed = now.Sub(a.told).Seconds()
+	if !a.sumsAt.IsZero() {
+		elapsed = now.Sub(a.sumsAt).Seconds()
 	}
-	a.told, a.backlog = now, backlog
+	a.sumsAt, a.backlog = now, backlog
 	for name, w := range a.workspaces {
-		a.tell(now, w, uses[name])
-		if w.whole < 1 && now.Sub(w.asked) > idleAfter {
+		a.applyUse(now, w, uses[name])
+		if w.fleetDemand < 1 && now.Sub(w.lastRequest) > idleAfter {
 			delete(a.workspaces, name)
 		}
 	}
 	for name, use := range uses {
 		if w := a.get(now, name); w != nil {
-			a.tell(now, w, use)
+			a.applyUse(now, w, use)
 		}
 	}
-	a.remember(elapsed)
+	a.updateServed(elapsed)
 	a.divide()
 }
 
-// Stretch returns by how much shares go beyond the stated capacity.
+// Stretch returns the factor between the present shares and those of the stated capacity.
 func (a *Apportioner) Stretch() float64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return stretch(a.backlog)
 }
 
-// Age returns how old the sums over all routers are, 0 before the first ones.
-func (a *Apportioner) Age(now time.Time) time.Duration {
+// SumsAge returns the age of the sums over all routers, 0 before the first update.
+func (a *Apportioner) SumsAge(now time.Time) time.Duration {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.told.IsZero() {
+	if a.sumsAt.IsZero() {
 		return 0
 	}
-	return now.Sub(a.told)
+	return now.Sub(a.sumsAt)
 }
 
-// Standing is how a workspace stands in the whole fleet as told last, in tokens a second.
-type Standing struct {
-	// Got is what has begun to be answered. While its routers have no room for it, others are
-	// held to a multiple of that.
-	Got uint64
-	// Owed is its share whatever engines have to do, and Most its share while they bear it. A
-	// share without a bound is +Inf.
-	Owed, Most float64
+// WorkspaceShares are the service rate and the shares of a workspace in the whole fleet, from the
+// latest sums, in tokens per second.
+type WorkspaceShares struct {
+	// Served is the rate of requests whose answers have begun. While the workspace is starved, the
+	// others are bounded by a multiple of it.
+	Served uint64
+	// Guaranteed is its share independent of the load of engines, and Maximum its share at their
+	// present load. A share without a bound is +Inf.
+	Guaranteed, Maximum float64
 }
 
-// Standing returns how a workspace stands, as nobody if it is not known.
-func (a *Apportioner) Standing(name string) Standing {
+// Shares returns the shares of a workspace; those of an unknown workspace have no bound.
+func (a *Apportioner) Shares(name string) WorkspaceShares {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	w, found := a.workspaces[name]
 	if !found {
-		return Standing{Owed: math.Inf(1), Most: math.Inf(1)}
+		return WorkspaceShares{Guaranteed: math.Inf(1), Maximum: math.Inf(1)}
 	}
-	return Standing{Got: w.told.Got, Owed: w.owed.share, Most: w.most.share}
+	return WorkspaceShares{Served: w.fleetUse.Served, Guaranteed: w.guaranteed.share, Maximum: w.maximum.share}
 }
 
-// Decision is the answer to a request, with what it rests on.
+// Decision is the result of an admission check and the figures that it is based on.
 type Decision struct {
 	Admitted bool
-	// Spare tells that it was admitted beyond what the workspace has a right to: it
-	// should run only where it keeps nobody else waiting.
-	Spare bool
-	// Pause is when a refused request may come back.
-	Pause time.Duration
-	// Asked and Share are the workspace's in the whole fleet, and Local is what of
-	// the share is this router's, all in tokens a second. A share without a bound
-	// is +Inf.
-	Asked, Share, Local float64
-	// Stretch is what the shares were computed with, and Backlog how long engines still
-	// read what they had been sent.
+	// BestEffort is set if the request was admitted beyond the guaranteed share: it should run only
+	// where it delays no other request.
+	BestEffort bool
+	// RetryAfter is the delay after which a refused request may be retried.
+	RetryAfter time.Duration
+	// Demand and Share are those of the workspace in the whole fleet, and LocalShare is this
+	// router's part of the share, all in tokens per second. A share without a bound is +Inf.
+	Demand, Share, LocalShare float64
+	// Stretch is the factor that the shares were computed with, and Backlog the time that engines
+	// need to read what they have been sent.
 	Stretch float64
 	Backlog time.Duration
-	// Age is how old the sums over all routers are.
+	// Age is the age of the sums over all routers.
 	Age time.Duration
 }
 
-// Admit tells whether a request of so many tokens may run now. One that is late
-// already is admitted only while the workspace leaves half of a burst unused: where
-// not all can be served, those that can still be answered in time go first.
+// Admit returns whether a request of the given number of tokens may run now. A late request is
+// admitted only while the workspace leaves half of a burst unused: if not all requests can be
+// served, those that can still meet their target have precedence.
 func (a *Apportioner) Admit(now time.Time, name string, tokens float64, late bool) Decision {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -217,22 +219,22 @@
 	if w == nil {
 		return Decision{Admitted: true}
 	}
-	w.ask(now, tokens)
+	w.addDemand(now, tokens)
 	d := a.decide(now, w, late)
 	if !d.Admitted {
 		return d
 	}
-	w.most.take(tokens)
-	d.Spare = w.owed.bounded && w.owed.tokens < 0
-	if !d.Spare {
-		w.owed.take(tokens)
+	w.maximum.spend(tokens)
+	d.BestEffort = w.guaranteed.bounded && w.guaranteed.tokens < 0
+	if !d.BestEffort {
+		w.guaranteed.spend(tokens)
 	}
 	return d
 }
 
-// Refuses tells whether Admit would refuse a request now, and counts it as asked for in
-// that case. Otherwise nothing changes, and Admit is to be asked.
-func (a *Apportioner) Refuses(now time.Time, name string, tokens float64, late bool) (Decision, bool) {
+// WouldRefuse returns whether Admit would refuse a request now. If so, the request is counted as
+// demand; otherwise nothing is counted or spent, and the caller has to call Admit.
+func (a *Apportioner) WouldRefuse(now time.Time, name string, tokens float64, late bool) (Decision, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	w := a.bounded(now, name)
@@ -241,64 +243,65 @@
 	}
 	d := a.decide(now, w, late)
 	if !d.Admitted {
-		w.ask(now, tokens)
+		w.addDemand(now, tokens)
 	}
 	return d, !d.Admitted
 }
 
-// bounded returns the workspace whose share bounds a request, nil if none does.
+// bounded returns the workspace whose shares apply to a request, nil if none do: the request has no
+// workspace, the capacity is unknown, or too many workspaces are measured.
 func (a *Apportioner) bounded(now time.Time, name string) *workspace {
 	if name == "" || a.capacity <= 0 {
 		return nil
 	}
-	if a.began.IsZero() {
-		a.began = now
+	if a.firstRequestAt.IsZero() {
+		a.firstRequestAt = now
 	}
 	return a.get(now, name)
 }
 
-// decide fills a workspace's allowances up to now and looks at them.
+// decide refills a workspace's allowances up to now and checks them.
 func (a *Apportioner) decide(now time.Time, w *workspace, late bool) Decision {
-	elapsed := now.Sub(w.filled).Seconds()
-	w.filled = now
-	most := a.local(now, w, w.most.share)
-	d := Decision{Admitted: true, Asked: w.whole, Share: w.most.share, Local: most, Stretch: stretch(a.backlog), Backlog: a.backlog, Age: now.Sub(a.told)}
-	w.most.grow(most, elapsed)
-	w.owed.grow(a.local(now, w, w.owed.share), elapsed)
-	least := 0.0
+	elapsed := now.Sub(w.refilledAt).Seconds()
+	w.refilledAt = now
+	local := a.localShare(now, w, w.maximum.share)
+	d := Decision{Admitted: true, Demand: w.fleetDemand, Share: w.maximum.share, LocalShare: local, Stretch: stretch(a.backlog), Backlog: a.backlog, Age: now.Sub(a.sumsAt)}
+	w.maximum.refill(local, elapsed)
+	w.guaranteed.refill(a.localShare(now, w, w.guaranteed.share), elapsed)
+	threshold := 0.0
 	if late {
-		least = lateLevel * most * Burst
+		threshold = lateThreshold * local * Burst
 	}
-	if w.most.bounded && w.most.tokens < least {
+	if w.maximum.bounded && w.maximum.tokens < threshold {
 		d.Admitted = false
-		pause := (least - w.most.tokens) / max(most, 1)
-		d.Pause = time.Duration(min(pause, longestPause.Seconds()) * float64(time.Second))
+		pause := (threshold - w.maximum.tokens) / max(local, 1)
+		d.RetryAfter = time.Duration(min(pause, maxRetryAfter.Seconds()) * float64(time.Second))
 	}
 	return d
 }
 
-// Begin counts what a request was admitted with whose answer begins.
-func (a *Apportioner) Begin(now time.Time, name string, tokens float64) {
+// CountServed counts the tokens of an admitted request whose answer begins.
+func (a *Apportioner) CountServed(now time.Time, name string, tokens float64) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if w := a.bounded(now, name); w != nil {
-		w.begun.add(now, tokens)
+		w.servedMeter.add(now, tokens)
 	}
 }
 
-// Return gives back what a request was admitted with whose answer never began, because no
-// endpoint ran it or its client left before. Kept, it would leave a workspace whose clients
-// leave with a part of its share.
-func (a *Apportioner) Return(name string, tokens float64, spare bool) {
+// Refund returns the tokens of an admitted request whose answer never began, because no endpoint
+// ran it or its client left before. Without refunds a workspace whose clients often leave would get
+// only a part of its share.
+func (a *Apportioner) Refund(name string, tokens float64, bestEffort bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	w, found := a.workspaces[name]
-	if !found || !w.most.bounded {
+	if !found || !w.maximum.bounded {
 		return
 	}
-	w.most.take(-tokens)
-	w.most.taken = max(w.most.taken, 0)
-	if !spare {
-		w.owed.take(-tokens)
+	w.maximum.spend(-tokens)
+	w.maximum.spentRate = max(w.maximum.spentRate, 0)
+	if !bestEffort {
+		w.guaranteed.spend(-tokens)
 	}
 }
--- a/lib/apportioner/apportioner_test.go
+++ b/lib/apportioner/apportioner_test.go
@@ -10,12 +10,12 @@
 
 var start = time.Unix(1000, 0)
 
-// fleet is some routers whose keepers tell them the sums every half second.
+// fleet simulates routers whose keepers send them the sums every half second.
 type fleet struct {
 	routers []*Apportioner
 	now     time.Time
-	told    time.Time
-	backlog time.Duration // of the engines, as told
+	sumsAt  time.Time
+	backlog time.Duration // of the engines, as sent with the sums
 	served  map[string]float64
 	refused map[string]int
 }
@@ -24,21 +24,21 @@
 	f := &fleet{now: start, backlog: fullBacklog, served: make(map[string]float64), refused: make(map[string]int)}
 	for range routers {
 		a := &Apportioner{}
-		a.Capacity(capacity / stretchLeast)
-		a.Routers(routers)
+		a.SetCapacity(capacity / minStretch)
+		a.SetRouterCount(routers)
 		f.routers = append(f.routers, a)
 	}
 	return f
 }
 
-// ask sends a request that begins to be answered at once if it is let in.
-func (f *fleet) ask(router int, name string, tokens float64) {
+// request sends a request whose answer begins at once if it is admitted.
+func (f *fleet) request(router int, name string, tokens float64) {
 	if f.admit(router, name, tokens) {
-		f.routers[router].Begin(f.now, name, tokens)
+		f.routers[router].CountServed(f.now, name, tokens)
 	}
 }
 
-// admit sends a request, and tells whether it is let in.
+// admit sends a request and returns whether it is admitted.
 func (f *fleet) admit(router int, name string, tokens float64) bool {
 	admitted := f.routers[router].Admit(f.now, name, tokens, false).Admitted
 	if admitted {
@@ -49,15 +49,15 @@
 	return admitted
 }
 
-func (f *fleet) pass(length time.Duration) {
+func (f *fleet) advance(length time.Duration) {
 	f.now = f.now.Add(length)
-	if f.now.Sub(f.told) < 500*time.Millisecond {
+	if f.now.Sub(f.sumsAt) < 500*time.Millisecond {
 		return
 	}
-	f.tell()
+	f.sendSums()
 }
 
-// sums is what keepers add up.
+// sums returns the sums over all routers, as keepers compute them.
 func (f *fleet) sums() map[string]Use {
 	sums := make(map[string]Use)
 	for _, a := range f.routers {
@@ -70,35 +70,34 @@
 func add(sums, report map[string]Use) {
 	for name, use := range report {
 		sum := sums[name]
-		sum.Asked += use.Asked
-		sum.Got += use.Got
-		sum.Unheard += use.Unheard
+		sum.Demand += use.Demand
+		sum.Served += use.Served
+		sum.Shed += use.Shed
 		sums[name] = sum
 	}
 }
 
-// tell lets all routers hear the sums.
-func (f *fleet) tell() {
-	f.told = f.now
+// sendSums sends the sums to all routers.
+func (f *fleet) sendSums() {
+	f.sumsAt = f.now
 	sums := f.sums()
 	for _, a := range f.routers {
-		a.Demand(f.now, sums, f.backlog)
+		a.SetFleetUse(f.now, sums, f.backlog)
 	}
 }
 
 func TestNothingIsRefusedBelowTheCapacity(t *testing.T) {
 	f := newFleet(4, 100_000)
 	for i := range 4000 {
-		f.ask(i%4, fmt.Sprint("club-", i%5), 900) // 90,000 a second
-		f.pass(10 * time.Millisecond)
+		f.request(i%4, fmt.Sprint("club-", i%5), 900) // 90,000 tokens per second
+		f.advance(10 * time.Millisecond)
 	}
 	require.Empty(t, f.refused)
 }
 
-// Symptom: a workspace that floods gets far less than the others' even share.
-// Sequence: its rate is read for reports several times a second, each time
-// between two of its requests. Cause: reading the rate moved the time from which
-// its bucket is filled.
+// Guards against a flooding workspace that gets far less than its even share, because reading its
+// rate for the reports, several times a second and between its requests, changes the time from
+// which its allowance is refilled.
 func TestFloodGetsItsEvenShare(t *testing.T) {
 	f := newFleet(4, 100_000)
 	for i := range 6400 {
@@ -106,14 +105,14 @@
 			clear(f.served)
 			clear(f.refused)
 		}
-		f.ask(i%4, "flood", 2000) // 400,000 a second
+		f.request(i%4, "flood", 2000) // 400,000 tokens per second
 		if i%2 == 0 {
-			f.ask(i/2%4, "steady", 800) // 80,000 a second
+			f.request(i/2%4, "steady", 800) // 80,000 tokens per second
 		}
 		if i%10 == 0 {
-			f.ask(i/10%4, "small", 1000) // 20,000 a second
+			f.request(i/10%4, "small", 1000) // 20,000 tokens per second
 		}
-		f.pass(5 * time.Millisecond)
+		f.advance(5 * time.Millisecond)
 		for _, a := range f.routers {
 			a.Uses(f.now)
 		}
@@ -125,27 +124,27 @@
 	require.InDelta(t, 40_000, f.served["steady"]/seconds, 4_000)
 }
 
-// Symptom: most answers of a workspace that floods are late. Cause: requests that
-// came back after a refusal took the allowance of new ones.
+// Guards against a flooding workspace most of whose answers are late, because requests that are
+// retried after a refusal use the allowance of new ones.
 func TestLateRequestsGetWhatNewOnesLeave(t *testing.T) {
 	for name, test := range map[string]struct {
-		fresh float64 // tokens a second of new requests
+		fresh float64 // tokens per second of new requests
 		late  func(served float64) bool
 	}{
-		"new ones use the share up": {fresh: 80_000, late: func(served float64) bool { return served == 0 }},
-		"new ones leave room":       {fresh: 10_000, late: func(served float64) bool { return served > 20_000 }},
+		"new ones use up the share": {fresh: 80_000, late: func(served float64) bool { return served == 0 }},
+		"new ones leave a surplus":  {fresh: 10_000, late: func(served float64) bool { return served > 20_000 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := &Apportioner{}
-			a.Capacity(80_000 / stretchLeast)
-			a.Routers(1)
+			a.SetCapacity(80_000 / minStretch)
+			a.SetRouterCount(1)
 			now, served := start, map[bool]float64{}
 			for i := range 3000 {
 				now = now.Add(10 * time.Millisecond)
 				if i%50 == 0 {
-					a.Demand(now, map[string]Use{"flood": {Asked: 1}, "other": {Asked: 200_000}}, fullBacklog)
+					a.SetFleetUse(now, map[string]Use{"flood": {Demand: 1}, "other": {Demand: 200_000}}, fullBacklog)
 				}
-				// As long as the allowance is full from the start, late ones are let in too.
+				// While the initial allowance is full, late requests are admitted too.
 				counted := i >= 1000
 				for late, tokens := range map[bool]float64{false: test.fresh / 100, true: 1000} {
 					if a.Admit(now, "flood", tokens, late).Admitted && counted {
@@ -159,60 +158,60 @@
 	}
 }
 
-// Symptom: a workspace gets 313 thousand tokens a second, and one that floods 138.
-// Sequence: engines have room, so that shares are stretched far beyond what is owed; the
-// first asks for less than its stretched share. Cause: only what exceeded that share was
-// spare, and the first had nothing that did.
-func TestWhatExceedsTheRightIsSpareForEverybody(t *testing.T) {
+// Guards against one workspace that gets 313 thousand tokens a second where a flooding one gets 138
+// thousand. Engines have headroom, so that the shares are stretched far beyond the guaranteed
+// share, and the first one demands less than its stretched share. If only requests beyond the
+// stretched share were best-effort, all requests of the first one would have precedence.
+func TestDemandBeyondTheGuaranteeIsBestEffort(t *testing.T) {
 	const capacity = 100_000.0
 	a := &Apportioner{}
-	a.Capacity(capacity)
-	a.Routers(1)
-	asked := map[string]Use{"modest": {Asked: 90_000}, "flood": {Asked: 400_000}}
-	now, owed := start, make(map[string]float64)
+	a.SetCapacity(capacity)
+	a.SetRouterCount(1)
+	uses := map[string]Use{"modest": {Demand: 90_000}, "flood": {Demand: 400_000}}
+	now, guaranteed := start, make(map[string]float64)
 	for i := range 2000 {
 		now = now.Add(10 * time.Millisecond)
-		a.Demand(now, asked, 0)
+		a.SetFleetUse(now, uses, 0)
 		for name, tokens := range map[string]float64{"modest": 900, "flood": 4000} {
-			if d := a.Admit(now, name, tokens, false); d.Admitted && !d.Spare && i >= 500 {
-				owed[name] += tokens
+			if d := a.Admit(now, name, tokens, false); d.Admitted && !d.BestEffort && i >= 500 {
+				guaranteed[name] += tokens
 			}
 		}
 	}
-	even := capacity * stretchOwed / 2
-	require.InDelta(t, even, owed["modest"]/15, 0.1*even)
-	require.InDelta(t, even, owed["flood"]/15, 0.1*even)
+	even := capacity * guaranteedStretch / 2
+	require.InDelta(t, even, guaranteed["modest"]/15, 0.1*even)
+	require.InDelta(t, even, guaranteed["flood"]/15, 0.1*even)
 }
 
-// Symptom: a workspace whose spare requests find engines busy gets less than another.
-// Cause: what was refused counted as used.
-func TestWhatWasNotRunIsGivenBack(t *testing.T) {
+// Guards against a workspace that gets less than another because its best-effort requests find busy
+// engines, and the requests that did not run count as spent.
+func TestRequestsThatDidNotRunAreRefunded(t *testing.T) {
 	a := &Apportioner{}
-	a.Capacity(10_000)
-	a.Routers(1)
-	asked := map[string]Use{"flood": {Asked: 100_000}, "other": {Asked: 100_000}}
-	now, spare := start, 0
-	a.Demand(now, asked, 0)
+	a.SetCapacity(10_000)
+	a.SetRouterCount(1)
+	uses := map[string]Use{"flood": {Demand: 100_000}, "other": {Demand: 100_000}}
+	now, bestEffort := start, 0
+	a.SetFleetUse(now, uses, 0)
 	for range 400 {
 		now = now.Add(10 * time.Millisecond)
-		a.Demand(now, asked, 0)
-		if d := a.Admit(now, "flood", 1000, false); d.Admitted && d.Spare {
-			spare++
-			a.Return("flood", 1000, true)
+		a.SetFleetUse(now, uses, 0)
+		if d := a.Admit(now, "flood", 1000, false); d.Admitted && d.BestEffort {
+			bestEffort++
+			a.Refund("flood", 1000, true)
 		}
 	}
-	require.Greater(t, spare, 250, "what is given back may be asked for again")
-	require.False(t, a.Admit(now, "never heard of", 0, false).Spare)
-	a.Return("never heard of either", 5, true)
+	require.Greater(t, bestEffort, 250, "refunded tokens may be spent again")
+	require.False(t, a.Admit(now, "unknown workspace", 0, false).BestEffort)
+	a.Refund("another unknown one", 5, true)
 }
 
-// Symptom: a router that hears no keeper refuses nothing, or everything.
-func TestRouterThatIsCutOffTakesItselfForTheFleet(t *testing.T) {
+// Guards against a router without keeper updates that refuses nothing, or everything.
+func TestIsolatedRouterTakesItsPartByRouterCount(t *testing.T) {
 	a := &Apportioner{}
-	a.Capacity(80_000 / stretchLeast)
-	a.Routers(4)
+	a.SetCapacity(80_000 / minStretch)
+	a.SetRouterCount(4)
 	now, served := start.Add(time.Hour), 0.0
-	a.Demand(start, map[string]Use{"flood": {Asked: 5}}, fullBacklog)
+	a.SetFleetUse(start, map[string]Use{"flood": {Demand: 5}}, fullBacklog)
 	for range 2000 {
 		now = now.Add(10 * time.Millisecond)
 		if a.Admit(now, "flood", 1000, false).Admitted {
@@ -222,42 +221,41 @@
 	require.InDelta(t, 20_000, served/20, 2_500)
 }
 
-// Symptom: for a second after a start everything is admitted, and half of the answers
-// are late. Sequence: routers that have just started tell each other what they have
-// measured so far. Cause: a measure that fills over seconds was taken for full.
-func TestFloodIsKnownSoonAfterAStart(t *testing.T) {
+// Guards against a fleet that admits everything in the first second after its start, so that half
+// of the answers are late, because the routers report averages that have not converged yet.
+func TestFloodIsDetectedSoonAfterAStart(t *testing.T) {
 	f := newFleet(4, 100_000)
 	for i := range 200 {
-		f.ask(i%4, "flood", 500) // 100,000 a second
-		f.ask(i%4, "other", 500)
+		f.request(i%4, "flood", 500) // 100,000 tokens per second
+		f.request(i%4, "other", 500)
 		f.now = f.now.Add(5 * time.Millisecond)
 		if i%20 == 0 {
-			f.tell()
+			f.sendSums()
 		}
 	}
-	// With measures taken for full, all of the 100,000 of each were served.
+	// Without warmUpFactor, all of the 100,000 of each workspace would be served.
 	require.Less(t, f.served["flood"], 90_000.0)
 	require.InDelta(t, f.served["flood"], f.served["other"], 10_000)
 }
 
-// Symptom: a workspace whose requests are looked at before they are read gets less than
-// its share. Cause: a look took of its allowance, or counted what it asks for twice.
-func TestALookTakesNothing(t *testing.T) {
-	looked, plain := &Apportioner{}, &Apportioner{}
-	asked := map[string]Use{"flood": {Asked: 100_000}, "other": {Asked: 100_000}}
+// Guards against a workspace that gets less than its share because WouldRefuse, which checks its
+// requests before they are read, spends its allowance or counts its demand twice.
+func TestWouldRefuseSpendsNothing(t *testing.T) {
+	checked, plain := &Apportioner{}, &Apportioner{}
+	uses := map[string]Use{"flood": {Demand: 100_000}, "other": {Demand: 100_000}}
 	served := make(map[*Apportioner]float64)
 	now := start
 	for i := range 3000 {
 		now = now.Add(10 * time.Millisecond)
-		for _, a := range []*Apportioner{looked, plain} {
+		for _, a := range []*Apportioner{checked, plain} {
 			if i == 0 {
-				a.Capacity(100_000)
-				a.Routers(1)
+				a.SetCapacity(100_000)
+				a.SetRouterCount(1)
 			}
-			a.Demand(now, asked, fullBacklog)
-			if a == looked {
-				if d, refused := a.Refuses(now, "flood", 1000, false); refused {
-					require.Positive(t, d.Pause)
+			a.SetFleetUse(now, uses, fullBacklog)
+			if a == checked {
+				if d, refused := a.WouldRefuse(now, "flood", 1000, false); refused {
+					require.Positive(t, d.RetryAfter)
 					continue
 				}
 			}
@@ -265,29 +263,28 @@
 				served[a] += 1000
 			}
 		}
-		require.InDelta(t, float64(plain.Uses(now)["flood"].Asked), float64(looked.Uses(now)["flood"].Asked), 1)
+		require.InDelta(t, float64(plain.Uses(now)["flood"].Demand), float64(checked.Uses(now)["flood"].Demand), 1)
 	}
-	require.InDelta(t, served[plain], served[looked], 0.01*served[plain])
-	require.InDelta(t, 30*100_000*stretchLeast/2, served[looked], 100_000)
+	require.InDelta(t, served[plain], served[checked], 0.01*served[plain])
+	require.InDelta(t, 30*100_000*minStretch/2, served[checked], 100_000)
 	var unbounded Apportioner
-	_, refused := unbounded.Refuses(now, "flood", 1000, false)
+	_, refused := unbounded.WouldRefuse(now, "flood", 1000, false)
 	require.False(t, refused)
 }
 
-// Symptom: after thousands of workspaces have come and gone, those that come next know no
-// bound. Cause: each time that the sums were told counted as a request, so that nobody was
-// ever forgotten.
-func TestWorkspacesThatAskForNothingAreForgotten(t *testing.T) {
+// Guards against new workspaces that have no bound after thousands of others have come and gone,
+// because an update of the sums counts as a request and idle workspaces are never removed.
+func TestIdleWorkspacesAreRemoved(t *testing.T) {
 	a := &Apportioner{}
-	a.Capacity(100_000)
+	a.SetCapacity(100_000)
 	now := start
 	a.Admit(now, "gone", 10, false)
 	for range 100 {
 		now = now.Add(idleAfter / 50)
-		a.Demand(now, map[string]Use{"elsewhere": {Asked: 1000}}, 0)
+		a.SetFleetUse(now, map[string]Use{"elsewhere": {Demand: 1000}}, 0)
 		a.Admit(now, "here", 10, false)
 	}
 	require.NotContains(t, a.workspaces, "gone")
-	require.Contains(t, a.workspaces, "elsewhere", "others ask for it")
+	require.Contains(t, a.workspaces, "elsewhere", "it has demand at other routers")
 	require.Contains(t, a.workspaces, "here")
 }
--- a/lib/apportioner/divide.go
+++ b/lib/apportioner/divide.go
@@ -9,100 +9,102 @@
 )
 
 const (
-	// unheardPart is the part of what a workspace asks for from which on its routers hold
-	// it back if they have no room for it. Small parts are refused at any peak.
-	unheardPart = 0.25
-	// besides is how many times what a waiting workspace gets another one may get. Twice
-	// as much is what callers are promised at the most; the rest is for what requests
-	// begun at one moment differ from those let in.
-	besides = 1.6
-	// leastCorrection is how far the bound on others falls below that: to what the waiting
-	// workspace gets itself.
-	leastCorrection = 1 / besides
-	// fallen is the part of what others might have beside one that waits from which on they pay
-	// back what they took until its fall was known. Smaller falls are the noise of what it gets.
-	fallen = 0.8
-	// servedHalfLife is over which time workspaces are compared by what they got. Callers
-	// feel seconds; a shorter one follows single large requests.
+	// starvedThreshold is the part of a workspace's demand from which on the workspace counts as
+	// starved if its routers shed it. Smaller parts are shed at any load peak.
+	starvedThreshold = 0.25
+	// maxServiceRatio is the multiple of a starved workspace's service rate that others may get.
+	// Callers are promised that no other workspace gets more than twice as much; the margin covers
+	// the difference between the requests that begin and those that are admitted at one moment.
+	maxServiceRatio = 1.6
+	// minCorrection bounds the correction of that multiple: at its minimum, others are bounded by
+	// the service rate of the starved workspace itself.
+	minCorrection = 1 / maxServiceRatio
+	// fallThreshold is the ratio of a new bound on others to the earlier one below which they repay
+	// what they spent until the fall was known. Smaller falls are noise in the starved workspace's
+	// service rate.
+	fallThreshold = 0.8
+	// servedHalfLife is the half-life of the averages by which the service of workspaces is
+	// compared. Callers notice differences over seconds; a shorter half-life would follow single
+	// large requests.
 	servedHalfLife = 2 * time.Second
 )
 
-// divide computes the shares of what is owed and of what engines bear now.
+// divide computes the guaranteed and the maximum share of each workspace.
 //
-// Who asks for more than it is owed has a bound on the rest as well, also if it does not
-// reach it yet by what is told: in a flood that begins, what is told is a small part of what
-// is asked for, and all routers together would admit many times what they should.
+// A workspace whose demand exceeds its guaranteed share has a bound on the maximum share too, even
+// if its demand in the sums does not reach that bound: when a flood begins, the sums show only a
+// small part of it, and all routers together would admit many times the intended rate.
 func (a *Apportioner) divide() {
-	asking := slices.SortedFunc(maps.Values(a.workspaces), func(x, y *workspace) int { return cmp.Compare(x.whole, y.whole) })
-	owed := level(asking, a.capacity*stretchOwed)
-	most := level(asking, a.capacity*stretch(a.backlog))
-	beside := a.beside(asking, owed)
-	falls := a.falls(beside, owed)
-	for _, w := range asking {
-		w.owed.share, w.most.share = math.Inf(1), math.Inf(1)
-		if w.whole > owed {
-			w.owed.share, w.most.share = owed, min(most, max(owed, beside.bound(w)))
-			w.most.settle = w.most.settle || falls && w != beside.least
+	sorted := slices.SortedFunc(maps.Values(a.workspaces), func(x, y *workspace) int { return cmp.Compare(x.fleetDemand, y.fleetDemand) })
+	guaranteed := maxMinShare(sorted, a.capacity*guaranteedStretch)
+	maximum := maxMinShare(sorted, a.capacity*stretch(a.backlog))
+	bounds := a.starvationBounds(sorted, guaranteed)
+	falls := a.boundFalls(bounds, guaranteed)
+	for _, w := range sorted {
+		w.guaranteed.share, w.maximum.share = math.Inf(1), math.Inf(1)
+		if w.fleetDemand > guaranteed {
+			w.guaranteed.share, w.maximum.share = guaranteed, min(maximum, max(guaranteed, bounds.bound(w)))
+			w.maximum.repay = w.maximum.repay || falls && w != bounds.lowest
 		}
 	}
 }
 
-// falls tells whether others may from now on have less than before, because one that waits is
-// held back, or gets less.
-func (a *Apportioner) falls(b beside, owed float64) bool {
-	before := a.bound
-	a.bound = 0
-	if !b.held() {
+// boundFalls returns whether the bound on other workspaces falls with these sums, because a
+// workspace has become starved or gets less than before.
+func (a *Apportioner) boundFalls(b starvationBounds, guaranteed float64) bool {
+	before := a.starvationBound
+	a.starvationBound = 0
+	if !b.active() {
 		return false
 	}
-	a.bound = max(owed, b.most)
-	return before == 0 || a.bound < fallen*before
+	a.starvationBound = max(guaranteed, b.others)
+	return before == 0 || a.starvationBound < fallThreshold*before
 }
 
-// beside is what workspaces may get beside those that wait, in tokens a second.
-type beside struct {
-	least *workspace // the waiting one that gets least, nil if none waits
-	most  float64    // for all others
-	own   float64    // for that one, beside those that wait as well
+// starvationBounds are the bounds on workspaces beside starved ones, in tokens per second.
+type starvationBounds struct {
+	lowest *workspace // the starved workspace that gets least, nil if none is starved
+	others float64    // bound on all other workspaces
+	own    float64    // bound on lowest itself, by the other starved workspaces
 }
 
-func (b beside) held() bool {
-	return b.least != nil
+func (b starvationBounds) active() bool {
+	return b.lowest != nil
 }
 
-// bound is what a workspace may get. None is bound by what it gets itself: once its router has
-// room it would get no more than before.
-func (b beside) bound(w *workspace) float64 {
-	if w == b.least {
+// bound returns the bound on a workspace. A workspace is not bounded by its own service rate:
+// otherwise it would get no more than before once its router has time again.
+func (b starvationBounds) bound(w *workspace) float64 {
+	if w == b.lowest {
 		return b.own
 	}
-	return b.most
+	return b.others
 }
 
-// beside returns what workspaces may get beside those that ask for more than they are owed and
-// are held back by their routers.
+// starvationBounds returns the bounds on workspaces while others are starved: they demand more than
+// their guaranteed share, and their routers shed a large part of it.
 //
-// All clients of a workspace may reach one small router, and what that one can pass on
-// bounds what it gets, whatever its share. Others that reach all routers would get all that
-// engines have to spare. Those whom their share or busy engines hold back do not count:
-// shares alone keep them even.
+// If all clients of a workspace reach one small router, the rate at which that router can read
+// requests limits the workspace, whatever its share. Other workspaces that reach all routers would
+// get all the spare capacity of engines. Workspaces that are limited by their share or by busy
+// engines are not starved: the shares keep these even.
 //
-// The bound follows what it has led to: a router that gets later passes less on each second,
-// and what is known of that is late as well. The further the best served ones were beyond the
-// bound over the last seconds, the lower it is.
-func (a *Apportioner) beside(asking []*workspace, owed float64) beside {
-	b := beside{most: math.Inf(1), own: math.Inf(1)}
-	for _, w := range asking {
-		w.waits = w.whole > owed && float64(w.told.Unheard) > unheardPart*w.whole
-		if !w.waits {
+// The bound has a correction for its own delay: an overloaded router reads less with each second,
+// and the sums show this late. The further the best served workspace exceeded the bound over the
+// last seconds, the lower the bound is.
+func (a *Apportioner) starvationBounds(sorted []*workspace, guaranteed float64) starvationBounds {
+	b := starvationBounds{others: math.Inf(1), own: math.Inf(1)}
+	for _, w := range sorted {
+		w.starved = w.fleetDemand > guaranteed && float64(w.fleetUse.Shed) > starvedThreshold*w.fleetDemand
+		if !w.starved {
 			continue
 		}
 		correction := 1.0
-		if a.best > 0 {
-			correction = min(max(besides*w.served/a.best, leastCorrection), 1)
+		if a.bestServed > 0 {
+			correction = min(max(maxServiceRatio*w.servedAverage/a.bestServed, minCorrection), 1)
 		}
-		if bound := besides * correction * float64(w.told.Got); bound < b.most {
-			b = beside{least: w, most: bound, own: b.most}
+		if bound := maxServiceRatio * correction * float64(w.fleetUse.Served); bound < b.others {
+			b = starvationBounds{lowest: w, others: bound, own: b.others}
 		} else {
 			b.own = min(b.own, bound)
 		}
@@ -110,29 +112,29 @@
 	return b
 }
 
-// remember notes over seconds what each workspace got in the whole fleet, and what the one
-// got that got most at each moment.
-func (a *Apportioner) remember(elapsed float64) {
+// updateServed updates the averages of each workspace's service rate in the whole fleet, and of the
+// highest service rate at each moment, for elapsed seconds.
+func (a *Apportioner) updateServed(elapsed float64) {
 	part := 1 - math.Exp2(-elapsed/servedHalfLife.Seconds())
-	most := 0.0
+	highest := 0.0
 	for _, w := range a.workspaces {
-		got := float64(w.told.Got)
-		w.served += (got - w.served) * part
-		most = max(most, got)
+		served := float64(w.fleetUse.Served)
+		w.servedAverage += (served - w.servedAverage) * part
+		highest = max(highest, served)
 	}
-	a.best += (most - a.best) * part
+	a.bestServed += (highest - a.bestServed) * part
 }
 
-// level divides a capacity evenly until it is used, and returns what each gets that asks
-// for more. The workspaces are sorted by what they ask for.
-func level(asking []*workspace, capacity float64) float64 {
+// maxMinShare divides a capacity by max-min fairness and returns the share of each workspace whose
+// demand exceeds it. The workspaces are sorted by demand.
+func maxMinShare(sorted []*workspace, capacity float64) float64 {
 	even := capacity
-	for i, w := range asking {
-		even = capacity / float64(len(asking)-i)
-		if w.whole > even {
+	for i, w := range sorted {
+		even = capacity / float64(len(sorted)-i)
+		if w.fleetDemand > even {
 			break
 		}
-		capacity -= w.whole
+		capacity -= w.fleetDemand
 	}
 	return even
 }
--- a/lib/apportioner/local.go
+++ b/lib/apportioner/local.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// local is the part of one of a workspace's shares that is this router's, in tokens a
-// second.
-func (a *Apportioner) local(now time.Time, w *workspace, share float64) float64 {
-	if now.Sub(a.told) > staleAfter {
-		return a.alone(w)
+// localShare returns this router's part of one of a workspace's shares, in tokens per second.
+func (a *Apportioner) localShare(now time.Time, w *workspace, share float64) float64 {
+	if now.Sub(a.sumsAt) > staleAfter {
+		return a.isolatedShare(w)
 	}
-	if math.IsInf(share, 1) || w.whole <= 0 {
+	if math.IsInf(share, 1) || w.fleetDemand <= 0 {
 		return math.Inf(1)
 	}
-	return share * max(w.part, a.fresh(now, w))
+	return share * max(w.localPart, a.currentPart(now, w))
 }
 
-// fresh is the part of a workspace's demand that is asked for here now, 0 if the fleet brings out
-// what is due to it.
+// currentPart returns the part of a workspace's demand that arrives at this router now, 0 if the
+// workspace gets in the whole fleet what its bound allows.
 //
-// What is told of other routers falls over a second once clients have left them, and w.part grows
-// as slowly. Meanwhile what is owed would be kept where nobody asks for it.
-func (a *Apportioner) fresh(now time.Time, w *workspace) float64 {
-	due := w.owed.share
-	if w.waits {
-		due = w.most.share // its routers hold it back more than its share does
+// After clients leave other routers, the demand reported there decays over a second, and
+// w.localPart grows as slowly. Until then a part of the guaranteed share would be reserved at
+// routers that no longer receive the demand.
+func (a *Apportioner) currentPart(now time.Time, w *workspace) float64 {
+	bound := w.guaranteed.share
+	if w.starved {
+		bound = w.maximum.share // the routers limit it more than its guaranteed share does
 	}
-	if float64(w.told.Got) >= due {
+	if float64(w.fleetUse.Served) >= bound {
 		return 0
 	}
-	here := w.asks.latest(now)
-	return here / max(w.whole, here, 1)
+	here := w.demandMeter.fastRate(now)
+	return here / max(w.fleetDemand, here, 1)
 }
 
-// alone is what a workspace may use at a router that hears no keeper, in tokens a second:
-// of an even share, the part of its demand that was last known to be this router's.
+// isolatedShare returns what a workspace may use at a router without keeper updates, in tokens per
+// second: of an even share, the part of the workspace's demand that was this router's in the last
+// sums.
 //
-// A flood makes the one router late that all its clients reach, and a late router's
-// polls are given up. With the others believed to do as this one, it would let in one
-// router's part of what is due to the workspace, although all of it comes here.
-// Workspaces that no keeper has told of are still taken to be everywhere alike.
-func (a *Apportioner) alone(w *workspace) float64 {
+// A flood of all clients of a workspace to one router overloads that router, and its polls of the
+// keepers then time out. If it assumed equal demand at all routers, it would admit one router's
+// part of the workspace's share, although all of the demand arrives here. Demand of workspaces that
+// are in no sums is assumed to be equal at all routers.
+func (a *Apportioner) isolatedShare(w *workspace) float64 {
 	active := 0
 	for _, other := range a.workspaces {
-		if other.rate >= 1 {
+		if other.demandRate >= 1 {
 			active++
 		}
 	}
-	part := max(w.part, 1/float64(max(a.routers, 1)))
+	part := max(w.localPart, 1/float64(max(a.routers, 1)))
 	return a.capacity * stretch(a.backlog) / float64(max(active, 1)) * part
 }
--- a/lib/apportioner/meter.go
+++ b/lib/apportioner/meter.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// fastHalfLife is that of the shorter measure of what has begun: some ten requests of a
-// workspace that asks for much.
+// fastHalfLife is the half-life of the faster average: some ten requests of a workspace with a high
+// demand.
 const fastHalfLife = 300 * time.Millisecond
 
-// meter measures, in tokens a second, what of a workspace's requests is asked for, or has begun to
-// be answered. Its zero value has measured nothing.
+// meter measures the rate of a workspace's requests, demanded or served, in tokens per second. Its
+// zero value has measured nothing.
 //
-// What was let in is not what has begun: clients leave, endpoints fail, and a router that is late sends
-// on what nobody waits for any more. Others are held to a multiple of what a workspace gets
-// that waits; with what it was let in for that was a third too much.
+// Served requests are counted when their answers begin, not on admission: clients leave, endpoints
+// fail, and an overloaded router still forwards requests whose clients have left. Others are
+// bounded by a multiple of a starved workspace's service rate; the rate of admissions would be a
+// third too high for that.
 type meter struct {
 	slow, fast float64
 	at         time.Time
@@ -19,27 +20,27 @@
 
 // add counts tokens.
 func (m *meter) add(now time.Time, tokens float64) {
-	m.fade(now)
+	m.decay(now)
 	m.slow += asRate(tokens, halfLife)
 	m.fast += asRate(tokens, fastHalfLife)
 }
 
-// rate returns what is measured. Where it falls it is what the shorter measure tells: others
-// would go on with what the workspace got before.
+// rate returns the lower of both averages. A falling rate thus follows the faster one: others would
+// otherwise keep the bound from the workspace's earlier rate.
 func (m *meter) rate(now time.Time) float64 {
-	m.fade(now)
+	m.decay(now)
 	return min(m.slow, m.fast)
 }
 
-// latest returns what the shorter measure tells.
-func (m *meter) latest(now time.Time) float64 {
-	m.fade(now)
+// fastRate returns the faster average.
+func (m *meter) fastRate(now time.Time) float64 {
+	m.decay(now)
 	return m.fast
 }
 
-func (m *meter) fade(now time.Time) {
+func (m *meter) decay(now time.Time) {
 	elapsed := max(now.Sub(m.at), 0).Seconds()
-	m.slow *= fading(elapsed, halfLife)
-	m.fast *= fading(elapsed, fastHalfLife)
+	m.slow *= decayFactor(elapsed, halfLife)
+	m.fast *= decayFactor(elapsed, fastHalfLife)
 	m.at = now
 }
--- a/lib/apportioner/stretch_test.go
+++ b/lib/apportioner/stretch_test.go
@@ -12,11 +12,11 @@
 		backlog time.Duration
 		want    float64
 	}{
-		"nothing to do":     {0, stretchMost},
-		"next to nothing":   {IdleBacklog, stretchMost},
-		"between":           {(IdleBacklog + fullBacklog) / 2, (stretchMost + stretchLeast) / 2},
-		"all they can bear": {fullBacklog, stretchLeast},
-		"far more":          {time.Minute, stretchLeast},
+		"no backlog":         {0, maxStretch},
+		"upper end of idle":  {IdleBacklog, maxStretch},
+		"between":            {(IdleBacklog + fullBacklog) / 2, (maxStretch + minStretch) / 2},
+		"fully loaded":       {fullBacklog, minStretch},
+		"far more than that": {time.Minute, minStretch},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -25,25 +25,25 @@
 	}
 }
 
-// Symptom: requests are refused while engines are idle, and seconds later all wait,
-// by turns. Sequence: two workspaces ask for three times what the engines yield, which
-// is more than what is stated; routers hear of loads a tenth of a second late. Cause:
-// shares followed the waits of answers, which show a queue when it has grown.
+// Guards against shares that oscillate: requests are refused while engines are idle, and seconds
+// later all requests wait. Two workspaces demand three times what the engines yield, which is more
+// than the stated capacity, and routers learn loads a tenth of a second late. Shares that follow
+// the latency of answers would react only after a queue has grown.
 func TestEnginesStayBusyWithoutAQueue(t *testing.T) {
 	const (
-		stated = 100_000.0 // tokens a second
+		stated = 100_000.0 // tokens per second
 		yield  = 170_000.0
 		tick   = 5 * time.Millisecond
 		length = 20 * time.Second
 	)
-	f := newFleet(4, stated*stretchLeast)
+	f := newFleet(4, stated*minStretch)
 	unread, read, longest := 0.0, 0.0, time.Duration(0)
-	var late []float64 // what was unread in the last tenth of a second
+	var late []float64 // unread tokens in the last tenth of a second
 	for at := time.Duration(0); at < length; at += tick {
 		before := f.served["a"] + f.served["b"]
 		router := int(at/tick) % 4
-		f.ask(router, "a", 1250) // 250,000 a second
-		f.ask(3-router, "b", 1250)
+		f.request(router, "a", 1250) // 250,000 tokens per second
+		f.request(3-router, "b", 1250)
 		unread += f.served["a"] + f.served["b"] - before
 		done := min(unread, yield*tick.Seconds())
 		unread -= done
@@ -53,7 +53,7 @@
 			f.backlog = time.Duration(late[len(late)-20] / yield * float64(time.Second))
 		}
 		if at%(100*time.Millisecond) == 0 {
-			f.tell()
+			f.sendSums()
 		}
 		if at > 2*time.Second {
 			read += done
--- a/lib/apportioner/workspace.go
+++ b/lib/apportioner/workspace.go
@@ -6,66 +6,64 @@
 )
 
 const (
-	// halfLife is how fast a measured rate follows: quotas are counted over a few
-	// seconds, and a rate that follows faster would take a cluster of requests
-	// for a flood.
+	// halfLife is the half-life of a measured rate: quotas are counted over a few seconds, and a
+	// faster average would take a cluster of requests for a flood.
 	halfLife = time.Second
-	// sumsAge is how old the demand in the sums is when they are told: reports are up to
-	// half a second old. A router's own demand is compared with them as it was then.
+	// sumsAge is the age of the demand in the sums on arrival: reports are up to half a second old.
+	// A router compares the sums with its own demand at that age.
 	sumsAge = 300 * time.Millisecond
-	// leastSeen is the shortest time after which a rate is worked out; in a shorter one
-	// a single request of a small workspace would look like a flood, and a fleet that
-	// starts would refuse requests beside idle engines.
-	leastSeen = 900 * time.Millisecond
-	// maxWorkspaces bounds the workspaces that are measured; requests of others
-	// are admitted.
+	// minMeasured is the shortest measurement time assumed for a rate; with less, a single request
+	// of a small workspace would count as a flood, and a starting fleet would refuse requests while
+	// engines are idle.
+	minMeasured = 900 * time.Millisecond
+	// maxWorkspaces bounds the number of measured workspaces; requests of others are admitted.
 	maxWorkspaces = 4096
 )
 
-// workspace is what a router knows of one workspace.
+// workspace is the state of one workspace at a router.
 type workspace struct {
-	rate   float64   // tokens a second asked for here
-	lagged float64   // the same, as old as what the sums tell of other routers
-	at     time.Time // of these measures
-	asked  time.Time // the last request
-	whole  float64   // tokens a second asked for in the whole fleet, as told
-	part   float64   // of whole that was asked for here when it was told
-	lost   float64   // tokens a second asked for here for which this router had no room
-	told   Use       // the whole fleet's, as told last
-	served float64   // tokens a second begun by the whole fleet, over seconds
-	asks   meter     // what of it is asked for here
-	begun  meter     // what of it has begun to be answered here
-	waits  bool      // it is held back by its routers, as told last
-	filled time.Time
-	owed   allowance // what it has a right to
-	most   allowance // what it may have while engines bear it
+	demandRate    float64   // EWMA of the demand at this router, tokens per second
+	laggedRate    float64   // demandRate delayed by the age of the sums
+	measuredAt    time.Time // time of the last decay of these rates
+	lastRequest   time.Time // time of the last request
+	fleetDemand   float64   // demand in the whole fleet from the latest sums, tokens per second
+	localPart     float64   // this router's part of fleetDemand at that time
+	shedRate      float64   // EWMA of the demand that this router shed, tokens per second
+	fleetUse      Use       // of the whole fleet, from the latest sums
+	servedAverage float64   // average service rate of the whole fleet over seconds, tokens per second
+	demandMeter   meter     // demand at this router
+	servedMeter   meter     // requests whose answers began at this router
+	starved       bool      // its routers shed a large part of its demand, by the latest sums
+	refilledAt    time.Time
+	guaranteed    allowance // allowance of the guaranteed share
+	maximum       allowance // allowance of the share at the present load of engines
 }
 
-// tell notes what all routers' requests of a workspace ask for.
-func (a *Apportioner) tell(now time.Time, w *workspace, use Use) {
-	w.told = use
+// applyUse takes a workspace's use from the sums over all routers.
+func (a *Apportioner) applyUse(now time.Time, w *workspace, use Use) {
+	w.fleetUse = use
 	w.decay(now)
-	lagged := w.lagged * a.early(now)
-	w.whole = max(float64(use.Asked), lagged)
-	w.part = 0
-	if w.whole > 0 {
-		w.part = lagged / w.whole
+	lagged := w.laggedRate * a.warmUpFactor(now)
+	w.fleetDemand = max(float64(use.Demand), lagged)
+	w.localPart = 0
+	if w.fleetDemand > 0 {
+		w.localPart = lagged / w.fleetDemand
 	}
 }
 
-// rate returns what a workspace asks for here, in tokens a second. The measure takes
-// seconds to fill; before that it is as many times too low as what it has seen is too
-// short. Else a router that has just started finds that nobody asks for its share, and
-// admits everything for as long: half of the first two seconds' answers were late.
-func (a *Apportioner) rate(now time.Time, w *workspace) float64 {
+// demandRate returns the demand of a workspace at this router, in tokens per second. The average
+// takes seconds to converge; until then it is scaled up for the time measured so far. Without this
+// scaling, a router that has just started would find no demand beyond any share and admit
+// everything for some seconds: half of the answers of the first two seconds would be late.
+func (a *Apportioner) demandRate(now time.Time, w *workspace) float64 {
 	w.decay(now)
-	return w.rate * a.early(now)
+	return w.demandRate * a.warmUpFactor(now)
 }
 
-// early is by how much a measure is too low that has not filled yet.
-func (a *Apportioner) early(now time.Time) float64 {
-	seen := max(now.Sub(a.began), leastSeen)
-	return 1 / (1 - fading(seen.Seconds(), halfLife))
+// warmUpFactor returns the factor by which an average that has not converged is too low.
+func (a *Apportioner) warmUpFactor(now time.Time) float64 {
+	seen := max(now.Sub(a.firstRequestAt), minMeasured)
+	return 1 / (1 - decayFactor(seen.Seconds(), halfLife))
 }
 
 func (a *Apportioner) get(now time.Time, name string) *workspace {
@@ -79,39 +77,40 @@
 	if a.workspaces == nil {
 		a.workspaces = make(map[string]*workspace)
 	}
-	w = &workspace{at: now, asked: now, filled: now, owed: allowance{share: math.Inf(1)}, most: allowance{share: math.Inf(1)}}
+	w = &workspace{measuredAt: now, lastRequest: now, refilledAt: now, guaranteed: allowance{share: math.Inf(1)}, maximum: allowance{share: math.Inf(1)}}
 	a.workspaces[name] = w
 	return w
 }
 
-// ask counts what a request asks for.
-func (w *workspace) ask(now time.Time, tokens float64) {
+// addDemand counts the tokens of a request as demand.
+func (w *workspace) addDemand(now time.Time, tokens float64) {
 	w.decay(now)
-	w.asked = now
-	w.rate += asRate(tokens, halfLife)
-	w.asks.add(now, tokens)
+	w.lastRequest = now
+	w.demandRate += asRate(tokens, halfLife)
+	w.demandMeter.add(now, tokens)
 }
 
-// decay lets a measured rate fall with time.
+// decay updates the measured rates for the time that has passed.
 func (w *workspace) decay(now time.Time) {
-	elapsed := now.Sub(w.at)
+	elapsed := now.Sub(w.measuredAt)
 	if elapsed <= 0 {
 		return
 	}
-	w.lagged += (w.rate - w.lagged) * (1 - math.Exp(-elapsed.Seconds()/sumsAge.Seconds()))
-	left := fading(elapsed.Seconds(), halfLife)
-	w.rate *= left
-	w.lost *= left
-	w.at = now
+	w.laggedRate += (w.demandRate - w.laggedRate) * (1 - math.Exp(-elapsed.Seconds()/sumsAge.Seconds()))
+	left := decayFactor(elapsed.Seconds(), halfLife)
+	w.demandRate *= left
+	w.shedRate *= left
+	w.measuredAt = now
 }
 
-// asRate is what tokens at one moment add to a measured rate of a half-life, in tokens a
-// second.
+// asRate returns the amount that tokens at one moment add to an EWMA rate with the given half-life,
+// in tokens per second.
 func asRate(tokens float64, half time.Duration) float64 {
 	return tokens * math.Ln2 / half.Seconds()
 }
 
-// fading is what is left of a measured rate of a half-life after a time in seconds.
-func fading(elapsed float64, half time.Duration) float64 {
+// decayFactor returns the factor by which an EWMA rate with the given half-life decays in elapsed
+// seconds.
+func decayFactor(elapsed float64, half time.Duration) float64 {
 	return math.Exp2(-elapsed / half.Seconds())
 }
--- a/lib/balancer/backoff.go
+++ b/lib/balancer/backoff.go
@@ -6,67 +6,68 @@
 	"shallotkeel.example/lib/lister"
 )
 
-// BackOff keeps new requests of this router away from the endpoint for a time, as the endpoint
-// asked. It tells whether that is news.
+// BackOff stops new requests of this router to the endpoint for the given length, as the endpoint
+// asked. It returns whether the endpoint was not in backoff before.
 //
-// Unlike a pause, which is this router's own guess, a backoff is the endpoint's word: nothing
-// that happens meanwhile ends it, and the endpoint is no last choice either.
+// Unlike a pause, which this router derives from failures, a backoff is an instruction of the
+// endpoint: no other event shortens it, and the endpoint is not a last resort either.
 func (s *Slot) BackOff(now time.Time, length time.Duration) bool {
 	s.balancer.mutex.Lock()
 	defer s.balancer.mutex.Unlock()
 	e := s.endpoint
-	begins := !e.backsOff(now)
-	if backoff := now.Add(length); backoff.After(e.backoff) {
-		e.backoff = backoff
+	starts := !e.inBackoff(now)
+	if backoff := now.Add(length); backoff.After(e.backoffUntil) {
+		e.backoffUntil = backoff
 	}
-	if e.until.Before(e.backoff) {
-		e.until = e.backoff // one request finds out then whether it takes work again
+	if e.pausedUntil.Before(e.backoffUntil) {
+		e.pausedUntil = e.backoffUntil // the first request after the backoff is a probe
 	}
-	return begins
+	return starts
 }
 
-// Leave keeps new requests away from the endpoint for the rest of its life, as it says that
-// it leaves. It tells whether that is news. Its heartbeat may be late, or reach nobody that
-// this router hears.
-func (s *Slot) Leave() bool {
+// MarkLeaving stops new requests to the endpoint for the rest of its lifetime, because the endpoint
+// announced in an answer that it leaves. It returns whether this was not known before. The
+// heartbeat with the same state may be late, or may not reach any keeper that this router follows.
+func (s *Slot) MarkLeaving() bool {
 	s.balancer.mutex.Lock()
 	defer s.balancer.mutex.Unlock()
-	begins := s.endpoint.State < lister.Leaving
+	starts := s.endpoint.State < lister.Leaving
 	s.endpoint.State = max(s.endpoint.State, lister.Leaving)
-	return begins
+	return starts
 }
 
-// Open tells whether the endpoint still takes the request: since it was chosen it may have
-// asked for backoff, or said that it leaves.
-func (s *Slot) Open(now time.Time) bool {
+// StillAccepts returns whether the endpoint still accepts the request: after it was picked it may
+// have asked for backoff or announced that it leaves.
+func (s *Slot) StillAccepts(now time.Time) bool {
 	s.balancer.mutex.Lock()
 	defer s.balancer.mutex.Unlock()
-	return s.balancer.willing(now, s.endpoint)
+	return s.balancer.isWilling(now, s.endpoint)
 }
 
-func (e *endpoint) backsOff(now time.Time) bool {
-	return now.Before(e.backoff)
+func (e *endpoint) inBackoff(now time.Time) bool {
+	return now.Before(e.backoffUntil)
 }
 
-// BackedOff returns at how many endpoints this router backs off.
-func (b *Balancer) BackedOff(now time.Time) int {
-	return b.count(func(e *endpoint) bool { return e.backsOff(now) })
+// CountBackedOff returns the number of endpoints that are in backoff for this router.
+func (b *Balancer) CountBackedOff(now time.Time) int {
+	return b.count(func(e *endpoint) bool { return e.inBackoff(now) })
 }
 
-// BackoffLeft returns for how long this router backs off at all endpoints of a service that
-// could take a request, 0 if one does take it.
-func (b *Balancer) BackoffLeft(now time.Time, service string, work *Work) time.Duration {
+// BackoffRemaining returns the time until the first backoff ends among the endpoints of a service
+// that could run the request. It is 0 if one of them is available now, or if none of them is in
+// backoff.
+func (b *Balancer) BackoffRemaining(now time.Time, service string, work *Work) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	first := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, e := range b.all(service) {
 		switch {
-		case !work.suits(e):
-		case b.takes(now, e):
+		case !work.matchesVersion(e):
+		case b.isAvailable(now, e):
 			return 0
-		case b.open(e) && e.backsOff(now) && (first == 0 || e.backoff.Sub(now) < first):
-			first = e.backoff.Sub(now)
+		case b.isEligible(e) && e.inBackoff(now) && (shortest == 0 || e.backoffUntil.Sub(now) < shortest):
+			shortest = e.backoffUntil.Sub(now)
 		}
 	}
-	return first
+	return shortest
 }
--- a/lib/balancer/backpressure.go
+++ b/lib/balancer/backpressure.go
@@ -7,174 +7,182 @@
 )
 
 const (
-	// slowPart is the part of its target from which a call counts as slow.
-	slowPart = 0.6
-	// slowFactor is how many times the least that its endpoint takes a slow call takes besides. One
-	// that takes long for everybody has no queue for that, and keeping calls away would not help.
-	slowFactor = 3
-	// leastGrowth is by how much that least grows with each call, so that it follows an endpoint that
-	// has become slower within some tens of them.
-	leastGrowth = 1.02
-	// decrease is which part of what is sent stays after a slow call or a refusal for want of room, and
-	// increase which part of all calls is sent again after a quick one. Between them they let one call
-	// in ten be slow.
+	// slowTargetShare is the share of its target latency above which a call counts as slow.
+	slowTargetShare = 0.6
+	// slowMinimumFactor is the multiple of the endpoint's minimum latency that a slow call exceeds
+	// as well. An endpoint that is slow for every call has no queue that causes it, and sending it
+	// fewer calls would not help.
+	slowMinimumFactor = 3
+	// minimumGrowth is the factor by which the minimum latency grows with each call, so that it
+	// follows an endpoint that has become slower within some tens of calls.
+	minimumGrowth = 1.02
+	// decrease is the factor applied to the admitted share after a slow call or a refusal for lack
+	// of room, and increase is the share of all calls that is admitted again after a quick call.
+	// Together they settle where one call in ten is slow.
 	decrease = 0.8
 	increase = 0.02
-	// leastSent is the part that is sent however slow calls are: else nobody would find out that the
-	// endpoint has room again.
-	leastSent = 0.05
-	// fullMemory is the weight of the latest call in the share that found an endpoint full, and fullLately
-	// the share from which it counts as full of late: one call in the last fifteen.
-	fullMemory = 0.1
-	fullLately = 0.02
-	// lateTimes is for how many calls one that is late counts when room is drawn for: beside those that
-	// can still be in time next to none is let in, and most are where little is kept away.
-	lateTimes = 4
-	// triedForRoom is at how many endpoints room is looked for. With more of them a service of many
-	// endpoints would hardly ever refuse, however much is asked of it.
-	triedForRoom = 3
-	// pressedMemory is the weight of the latest call in the part of a service's calls that find no room.
-	pressedMemory = 0.05
+	// minAdmitted is the share of calls that is admitted however slow they are: without it the
+	// router would not notice that the endpoint has room again.
+	minAdmitted = 0.05
+	// fullWeight is the EWMA weight of the latest call in the share of calls that found the
+	// endpoint full. From fullThreshold on the endpoint counts as recently full: one refusal in the
+	// last fifteen calls.
+	fullWeight    = 0.1
+	fullThreshold = 0.02
+	// lateWeight is the number of calls that a late call counts as when its admission is drawn.
+	// If most calls are rejected, almost no late call is admitted beside calls that can still meet
+	// their target; if few are, most late calls are admitted.
+	lateWeight = 4
+	// maxRoomAttempts is the number of endpoints that are tried for room. With more attempts a
+	// service of many endpoints would hardly ever reject a call, however high its load.
+	maxRoomAttempts = 3
+	// rejectionWeight is the EWMA weight of the latest call in the share of a service's calls that
+	// find no room.
+	rejectionWeight = 0.05
 )
 
-// backpressure is which part of the calls that are meant for one endpoint of a plain service this
-// router keeps away from it, because they would wait for those that wait there already.
+// backpressure computes the share of the calls meant for one endpoint of a plain service that this
+// router rejects, because they would wait behind the endpoint's queue.
 //
-// An endpoint works on a few calls at a time and queues some more. Of a service that is asked for more
-// than it brings out all queues are full, and each call waits for a whole queue: all of them are late,
-// where as many could be in time with short queues. Each of many routers has less than one call at
-// a time there, so no bound on those holds it. What all of them see is how long answers take and who
-// is refused for want of room; each one's part follows that as a congestion window does
-// (D.-M. Chiu and R. Jain, "Analysis of the Increase and Decrease Algorithms for Congestion
-// Avoidance", Computer Networks and ISDN Systems 17, 1989).
+// An endpoint runs a few calls at a time and queues some more. If the demand for a service exceeds
+// its capacity, all queues are full and each call waits for a whole queue: all calls are late,
+// whereas with short queues as many could be in time. Each of many routers has less than one call
+// at a time at an endpoint, so a limit on concurrent calls per router has no effect. What each
+// router observes is the latency of answers and the refusals for lack of room; the admitted share
+// follows these as a congestion window does (D.-M. Chiu and R. Jain, "Analysis of the Increase and
+// Decrease Algorithms for Congestion Avoidance", Computer Networks and ISDN Systems 17, 1989).
 //
-// Its zero value keeps nothing away.
+// The zero value rejects nothing.
 type backpressure struct {
-	kept   float64       // part of the calls that is kept away
-	least  time.Duration // that a call took of late, 0 before the first
-	latest time.Duration // that a call took
-	full   float64       // share of the calls that found no room, weighted to the latest
+	rejected    float64       // share of the calls that is rejected, 0 to 1
+	minLatency  time.Duration // recent minimum latency of a call, 0 before the first
+	lastLatency time.Duration // latency of the latest call
+	fullShare   float64       // EWMA of the share of calls that found the endpoint full
 }
 
-// answered notes how long an answer took that should have come within a target.
-func (b *backpressure) answered(took, target time.Duration) {
-	b.full *= 1 - fullMemory
-	b.latest = took
-	if b.least == 0 || took < b.least {
-		b.least = took
+// observeAnswer records the latency of an answer with a target latency.
+func (b *backpressure) observeAnswer(took, target time.Duration) {
+	b.fullShare *= 1 - fullWeight
+	b.lastLatency = took
+	if b.minLatency == 0 || took < b.minLatency {
+		b.minLatency = took
 	} else {
-		b.least = time.Duration(leastGrowth * float64(b.least))
+		b.minLatency = time.Duration(minimumGrowth * float64(b.minLatency))
 	}
-	switch slow := time.Duration(slowPart * float64(target)); {
-	case took > max(slow, slowFactor*b.least):
-		b.lower()
-	case took <= slow || b.full < fullLately:
-		b.kept = max(b.kept-increase, 0)
+	switch slow := time.Duration(slowTargetShare * float64(target)); {
+	case took > max(slow, slowMinimumFactor*b.minLatency):
+		b.reduce()
+	case took <= slow || b.fullShare < fullThreshold:
+		b.rejected = max(b.rejected-increase, 0)
 	}
 }
 
-// lets returns how likely a call is to be let in.
-func (b *backpressure) lets(late bool) float64 {
+// admitProbability returns the probability with which a call is admitted.
+func (b *backpressure) admitProbability(late bool) float64 {
 	if late {
-		return math.Pow(1-b.kept, lateTimes)
+		return math.Pow(1-b.rejected, lateWeight)
 	}
-	return 1 - b.kept
+	return 1 - b.rejected
 }
 
-// turnedAway notes that the endpoint had no room for a call. One that answers others quickly does
-// not queue: it turns calls away for a reason of its own.
-func (b *backpressure) turnedAway(target time.Duration) {
-	b.full += fullMemory * (1 - b.full)
-	if b.latest == 0 || b.latest > time.Duration(slowPart*float64(target)) {
-		b.lower()
+// observeFull records that the endpoint refused a call for lack of room. An endpoint that answers
+// other calls quickly has no queue: it refuses calls for another reason, and the share stays.
+func (b *backpressure) observeFull(target time.Duration) {
+	b.fullShare += fullWeight * (1 - b.fullShare)
+	if b.lastLatency == 0 || b.lastLatency > time.Duration(slowTargetShare*float64(target)) {
+		b.reduce()
 	}
 }
 
-func (b *backpressure) lower() {
-	b.kept = min(1-decrease*(1-b.kept), 1-leastSent)
+func (b *backpressure) reduce() {
+	b.rejected = min(1-decrease*(1-b.rejected), 1-minAdmitted)
 }
 
-// plain tells whether an endpoint of a service answers a request as a call, and not as an engine does.
-func (b *Balancer) plain(service string, work *Work) bool {
-	return len(work.Parts) == 0 && b.caps[service] == 0
+// isPlainCall returns whether a request to a service is a plain call rather than a prompt for an
+// engine.
+func (b *Balancer) isPlainCall(service string, work *Work) bool {
+	return len(work.Parts) == 0 && b.cacheCapacities[service] == 0
 }
 
-// pickPlain takes a slot at an endpoint of a plain service that has room, nil if none has.
+// pickPlain takes a slot at an endpoint of a plain service that has room. It returns nil if none of
+// the endpoints that were tried has room.
 func (b *Balancer) pickPlain(now time.Time, service string, work *Work, excluded func(id string) bool) *Slot {
-	var without []*endpoint
-	for len(without) < triedForRoom {
+	var full []*endpoint
+	for len(full) < maxRoomAttempts {
 		best := b.choose(now, service, work, func(id string) bool {
 			return excluded != nil && excluded(id) ||
-				slices.ContainsFunc(without, func(e *endpoint) bool { return e.ID == id })
+				slices.ContainsFunc(full, func(e *endpoint) bool { return e.ID == id })
 		})
 		if best.endpoint == nil {
 			break
 		}
-		if b.draw() < best.endpoint.pressure.lets(work.Late) {
-			b.services[service].press(false)
-			slot := b.enter(now, best, work)
+		if b.randomUnit() < best.endpoint.pressure.admitProbability(work.Late) {
+			b.services[service].noteRejection(false)
+			slot := b.takeSlot(now, best, work)
 			slot.objective = work.Objective
 			return slot
 		}
-		without = append(without, best.endpoint)
+		full = append(full, best.endpoint)
 	}
-	if len(without) > 0 {
-		b.services[service].press(true)
+	if len(full) > 0 {
+		b.services[service].noteRejection(true)
 	}
 	return nil
 }
 
-// draw returns the next of a series of even numbers from 0 up to 1.
-func (b *Balancer) draw() float64 {
+// randomUnit returns the next value of a uniform pseudo-random sequence in [0, 1).
+func (b *Balancer) randomUnit() float64 {
 	b.draws++
 	return float64(mix(b.Seed, b.draws)>>11) / (1 << 53)
 }
 
-// press notes whether a call of a service found no endpoint with room.
-func (p *pool) press(turnedAway bool) {
-	p.pressed *= 1 - pressedMemory
-	if turnedAway {
-		p.pressed += pressedMemory
+// noteRejection records whether a call of the service found no endpoint with room.
+func (p *pool) noteRejection(rejected bool) {
+	p.rejectionShare *= 1 - rejectionWeight
+	if rejected {
+		p.rejectionShare += rejectionWeight
 	}
 }
 
-// Pressed returns which part of a service's calls finds no endpoint with room, 0 to 1.
-func (b *Balancer) Pressed(service string) float64 {
+// RejectionShare returns the share of a service's calls that recently found no endpoint with room,
+// 0 to 1.
+func (b *Balancer) RejectionShare(service string) float64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if listed := b.services[service]; listed != nil {
-		return listed.pressed
+		return listed.rejectionShare
 	}
 	return 0
 }
 
-// Offers tells whether a service has an endpoint that does not leave and suits a request, whether or
-// not it takes any now.
-func (b *Balancer) Offers(service string, work *Work) bool {
+// HasEligible returns whether a service has an endpoint that is ready, outside evacuated zones and
+// of the request's version, whether or not it accepts requests now.
+func (b *Balancer) HasEligible(service string, work *Work) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for _, e := range b.all(service) {
-		if work.suits(e) && b.open(e) {
+		if work.matchesVersion(e) && b.isEligible(e) {
 			return true
 		}
 	}
 	return false
 }
 
-// Takes tells whether a service has an endpoint that is not excluded and takes a request, whether
-// or not there is room at it.
-func (b *Balancer) Takes(now time.Time, service string, work *Work, excluded func(id string) bool) bool {
+// HasAvailable returns whether a service has an endpoint that is not excluded and may get the
+// request now, whether or not it has room.
+func (b *Balancer) HasAvailable(now time.Time, service string, work *Work, excluded func(id string) bool) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for _, e := range b.all(service) {
-		if work.suits(e) && b.takes(now, e) && !excluded(e.ID) {
+		if work.matchesVersion(e) && b.isAvailable(now, e) && !excluded(e.ID) {
 			return true
 		}
 	}
 	return false
 }
 
-// Pressing returns how many endpoints of plain services get less than what is meant for them.
-func (b *Balancer) Pressing() int {
-	return b.count(func(e *endpoint) bool { return e.pressure.kept > 0 })
+// CountThrottled returns the number of endpoints of plain services for which this router rejects a
+// share of the calls.
+func (b *Balancer) CountThrottled() int {
+	return b.count(func(e *endpoint) bool { return e.pressure.rejected > 0 })
 }
--- a/lib/balancer/balancer.go
+++ b/lib/balancer/balancer.go
@@ -1,19 +1,21 @@
-// Package balancer chooses the endpoint of each request from what this router
-// has sent and seen.
+// Package balancer chooses the endpoint of each request from what this router has sent and
+// observed.
 //
-// A Balancer knows the endpoints of all services, what this router has running
-// on each, which parts of prompts each engine probably still holds, and which
-// endpoints have failed of late. It is driven by calls with the time and reads
-// no clock. Routers choose by themselves; they agree where it matters, because
-// the parts of prompts that requests share are ranked over the engines by
-// rendezvous hashing (D. Thaler and C. Ravishankar, "Using Name-Based Mappings to
-// Increase Hit Rates", IEEE/ACM Transactions on Networking 6(1), 1998).
+// A Balancer tracks the endpoints of all services, the requests that this router runs on each, the
+// prompt parts that each engine probably caches, and the recent failures of each endpoint. Its
+// callers pass the time; it reads no clock. Routers choose independently. Their choices agree where
+// it matters, because the engines are ranked for each shared prompt part by rendezvous hashing (D.
+// Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", IEEE/ACM
+// Transactions on Networking 6(1), 1998).
 //
-// Invariants: an endpoint that leaves or is gone, or whose zone is evacuated, is never
-// chosen; a cold one only under a lease of a part of what it bears; one that has
-// failed is chosen only after its pause, or where no other is left; one that has asked
-// for backoff is not chosen before that is over; every slot that was taken is given back
-// once, to the life of the endpoint that it was taken from.
+// Requests with a prompt go to engines, which run language models and cache prompt prefixes.
+// Requests to services without engines are plain calls, and these services plain services.
+//
+// Invariants: an endpoint that is leaving or gone, or whose zone is evacuated, is never chosen; a
+// cold endpoint is chosen only under a lease for a part of its rate; a failed endpoint is chosen
+// only after its pause, or as a last resort; an endpoint in backoff is not chosen before the
+// backoff ends; every slot is released exactly once, to the lifetime of the endpoint that it was
+// taken from.
 package balancer
 
 import (
@@ -27,36 +29,37 @@
 	"shallotkeel.example/lib/resolver"
 )
 
-// Part is a piece of a prompt. Engines keep parts that requests share.
+// Part is a piece of a prompt. Engines cache the parts that requests share.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Work is what is known of a request before it runs. Plain calls have no parts.
+// Work describes a request before it runs. Plain calls have no parts.
 type Work struct {
 	Model  string
 	Parts  []Part
-	Prompt int // tokens in
-	Output int // tokens out, at most
-	// Version is the only one of the endpoints' software that may take it, empty if any may.
+	Prompt int // prompt tokens
+	Output int // maximum number of generated tokens
+	// Version is the software version that the endpoint must have, empty if any version may run the
+	// request.
 	Version string
-	// Target is within which time the first token should come, 0 if none is set.
+	// Target is the time within which the first token should arrive, 0 if none is set.
 	Target time.Duration
-	// Objective is what was to be kept from the request's first attempt on: the whole of the time of
-	// which Target is what is left. It is 0 if none is set.
+	// Objective is the target latency counted from the request's first attempt; Target is the time
+	// that remains of it. It is 0 if none is set.
 	Objective time.Duration
-	// Late tells that it came so long ago for the first time that it can hardly be answered within that.
+	// Late is set if the request first arrived so long ago that it can hardly meet its objective.
 	Late bool
 }
 
-// suits tells whether an endpoint has the software that may take the request.
-func (w *Work) suits(e *endpoint) bool {
+// matchesVersion returns whether the endpoint has the software version that the request needs.
+func (w *Work) matchesVersion(e *endpoint) bool {
 	return w.Version == "" || w.Version == e.Version
 }
 
-// shared returns the parts that other requests have too: all but the last.
-func (w *Work) shared() []Part {
+// sharedParts returns the parts that other requests may have in common: all but the last.
+func (w *Work) sharedParts() []Part {
 	if len(w.Parts) == 0 {
 		return nil
 	}
@@ -64,71 +67,72 @@
 }
 
 const (
-	// firstPause is how long an endpoint that failed once gets no new work; it
-	// doubles with each further failure up to longestPause. An endpoint restarts
-	// in some seconds, and one request in longestPause finds out.
-	firstPause   = 150 * time.Millisecond
-	longestPause = 4 * time.Second
-	// failShare is by how much the share of failures among an endpoint's latest answers
-	// exceeds that of its service when it pauses. Some services fail a tenth of their
-	// requests when well.
-	failShare = 0.3
-	// memory is the weight of the latest answer in an endpoint's share of failures.
-	memory = 0.12
+	// initialPause is how long an endpoint gets no new requests after its first failure. It doubles
+	// with each further failure, up to maxPause. An endpoint restarts within some seconds, and one
+	// probe per maxPause detects it.
+	initialPause = 150 * time.Millisecond
+	maxPause     = 4 * time.Second
+	// excessFailureShare is the margin by which an endpoint's share of failed answers must exceed
+	// the share that is usual in its service before it is paused. Some services fail a tenth of
+	// their requests in normal operation.
+	excessFailureShare = 0.3
+	// failureWeight is the EWMA weight of the latest answer in an endpoint's failure share.
+	failureWeight = 0.12
 )
 
-// Balancer chooses endpoints. Its zero value with Weights unset uses
-// DefaultWeights. It is safe for concurrent use.
+// Balancer chooses endpoints. With Weights unset it uses DefaultWeights. It is safe for concurrent
+// use.
 type Balancer struct {
 	Weights Weights
 
-	// Zone is the router's own, and Seed differs between routers: without it endpoints that cost
-	// the same come in the order of their ids. Both are set before the first use.
+	// Zone is the router's own availability zone. Seed differs between routers: without it they
+	// would all choose endpoints of equal price in the order of their ids. Both are set before the
+	// first use.
 	Zone string
 	Seed uint64
 
-	mutex    sync.Mutex
-	byID     map[string]*endpoint
-	services map[string]*pool
-	caps     map[string]int // tokens of an engine's memory, by service
-	zones    map[string]zone
-	fits     map[string]*predictor.Fit // of the engines, by service
-	told     time.Time                 // when others' loads were told last
-	routers  int
-	turns    uint64 // choices so far
-	draws    uint64 // numbers drawn so far
-	recent   recent
+	mutex           sync.Mutex
+	byID            map[string]*endpoint
+	services        map[string]*pool
+	cacheCapacities map[string]int // cache size of an engine in tokens, by service
+	zones           map[string]zoneState
+	fits            map[string]*predictor.Fit // prefill model of the engines, by service
+	otherLoadsAt    time.Time                 // time of the last update of the other routers' loads
+	routers         int
+	choices         uint64 // number of choices made
+	draws           uint64 // number of random values drawn
+	recent          recentUses
 
-	evacuated map[string]bool          // zones
-	colds     map[string]resolver.Cold // by service
+	evacuated  map[string]bool          // evacuated zones
+	coldLimits map[string]resolver.Cold // by service
 }
 
 type endpoint struct {
 	lister.Listing
-	seed    uint64
-	order   uint64  // among those that were never chosen, different at each router
-	turn    uint64  // when it was chosen last, counted over all choices
-	key     uint64  // its name in loads
-	own     load    // what this router has there
-	others  int     // unread tokens that the other routers have there, as told
-	unread  []*Slot // whose first token is awaited, the oldest first
-	factor  predictor.Factor
-	held    parts
-	failed  float64         // share of failures, weighted to the latest
-	pauses  int             // failures in a row
-	until   time.Time       // when its pause ends
-	backoff time.Time       // when the backoff ends that it has asked this router for
-	probing bool            // one request tries it after its pause
-	closed  bool            // no connection could be made when it was tried last
-	leases  rationer.Holder // for the time that it is cold
-	// pressure is of the calls of a plain service.
-	pressure backpressure
-	heard    time.Time       // when it last sent anything, or had nothing to do before
-	life     context.Context // done once the endpoint has started again
-	end      context.CancelFunc
+	seed                uint64
+	tieBreak            uint64  // order among endpoints that were never chosen; it differs between routers
+	lastChosen          uint64  // value of Balancer.choices when it was last chosen
+	key                 uint64  // identifies it in load reports
+	own                 load    // load from this router
+	otherUnread         int     // unread tokens from the other routers, as last reported
+	awaiting            []*Slot // slots that await their first token, oldest first
+	factor              predictor.Factor
+	cache               prefixCache
+	failureShare        float64         // EWMA of the share of failures
+	consecutiveFailures int             // doubles the pause
+	pausedUntil         time.Time       // end of its pause
+	backoffUntil        time.Time       // end of the backoff that it asked this router for
+	probing             bool            // a probe runs after its pause
+	connectFailed       bool            // the last connection attempt failed
+	leases              rationer.Holder // used while it is cold
+	// pressure applies to the calls of a plain service.
+	pressure     backpressure
+	lastActivity time.Time       // when it last sent data, or when its first running request was sent
+	lifetime     context.Context // done once the endpoint has restarted
+	endLifetime  context.CancelFunc
 }
 
-// Update takes news of an endpoint, and tells whether it has started again.
+// Update applies a listing of an endpoint. It returns whether the endpoint has restarted.
 func (b *Balancer) Update(listing lister.Listing) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -139,14 +143,14 @@
 	known, found := b.byID[listing.ID]
 	restarted := found && !known.Started.Equal(listing.Started)
 	if found && !restarted {
-		listing.State = max(listing.State, known.State) // it may have said itself that it leaves
+		listing.State = max(listing.State, known.State) // its answers may have announced that it leaves
 	}
 	if restarted {
-		// It holds and runs nothing of before, so that what is believed of its former
-		// life goes with that life's entry. Memory of prompts that is not there would
-		// be paid for by whoever is sent to it, and a count of requests that nobody
-		// ends would keep work away for good.
-		known.end()
+		// The restarted endpoint has an empty cache and runs nothing, so the entry of the previous
+		// lifetime is dropped with its state. A stale cache would attract requests that then wait
+		// for a prefill, and a count of requests that never decreases would keep requests away
+		// permanently.
+		known.endLifetime()
 	}
 	if found && (restarted || listing.State == lister.Gone) {
 		b.unlist(known)
@@ -173,9 +177,9 @@
 func (b *Balancer) add(listing lister.Listing) {
 	added := &endpoint{Listing: listing, seed: hashText(listing.ID), key: Key(listing)}
 	if b.Seed != 0 {
-		added.order = mix(b.Seed, added.seed)
+		added.tieBreak = mix(b.Seed, added.seed)
 	}
-	added.life, added.end = context.WithCancel(context.Background())
+	added.lifetime, added.endLifetime = context.WithCancel(context.Background())
 	b.byID[listing.ID] = added
 	b.list(added)
 }
@@ -193,7 +197,7 @@
 	}
 }
 
-// all returns the endpoints of a service.
+// all returns the endpoints of a service, sorted by id.
 func (b *Balancer) all(service string) []*endpoint {
 	if listed := b.services[service]; listed != nil {
 		return listed.all
@@ -201,117 +205,118 @@
 	return nil
 }
 
-// Remember sets how many tokens an engine of a service keeps.
-func (b *Balancer) Remember(service string, tokens int) {
+// SetCacheCapacity sets how many tokens an engine of a service caches.
+func (b *Balancer) SetCacheCapacity(service string, tokens int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.caps == nil {
-		b.caps = make(map[string]int)
+	if b.cacheCapacities == nil {
+		b.cacheCapacities = make(map[string]int)
 	}
-	b.caps[service] = tokens
+	b.cacheCapacities[service] = tokens
 }
 
-// Pick takes a slot at the cheapest endpoint that is not excluded; of several, at
-// the one that was chosen longest ago. It returns nil if there is none, or none of a plain
-// service that has room.
+// Pick takes a slot at the cheapest endpoint that is not excluded; among equal prices, at the
+// endpoint that was least recently chosen. It returns nil if there is none, or if no endpoint of a
+// plain service has room.
 func (b *Balancer) Pick(now time.Time, service string, work *Work, excluded func(id string) bool) *Slot {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.plain(service, work) {
+	if b.isPlainCall(service, work) {
 		return b.pickPlain(now, service, work, excluded)
 	}
 	best := b.choose(now, service, work, excluded)
 	if best.endpoint == nil {
 		return nil
 	}
-	return b.enter(now, best, work)
+	return b.takeSlot(now, best, work)
 }
 
-// Expect returns what Pick would find: for how long that endpoint still reads what it
-// has been sent, and when the first token would come. Nothing is noted of it. Both are
-// 0 if there is no endpoint.
-func (b *Balancer) Expect(now time.Time, service string, work *Work) (queue, wait time.Duration) {
+// Estimate returns the expected queueing time and the expected time to the first token at the
+// endpoint that Pick would choose, without changing any state. Both are 0 if there is no endpoint.
+func (b *Balancer) Estimate(now time.Time, service string, work *Work) (queue, wait time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	best := b.choose(now, service, work, nil)
 	return best.queue, best.wait
 }
 
-// choose returns the cheapest candidate, one without an endpoint if there is none.
+// choose returns the cheapest candidate; its endpoint is nil if there is none.
 //
-// Of many endpoints a few are priced: those that may hold parts of the prompt, and some by
-// chance. Where nothing is to be said for any of them, all are. So are those of the only version
-// that may take the request: they may be a few among many.
-func (b *Balancer) choose(now time.Time, service string, work *Work, excluded func(id string) bool) offer {
+// For a service of many endpoints only a shortlist is priced: the engines that may cache parts of
+// the prompt, and some at random. If no endpoint of the shortlist is free of penalties, all
+// endpoints are priced. All are priced as well for a request that needs one version, because few of
+// many endpoints may have it.
+func (b *Balancer) choose(now time.Time, service string, work *Work, excluded func(id string) bool) candidate {
 	listed := b.services[service]
 	if listed == nil {
-		return offer{}
+		return candidate{}
 	}
 	home := b.home(listed, work)
-	if len(listed.all) > mostWalked && work.Version == "" {
+	if len(listed.all) > maxFullScan && work.Version == "" {
 		best := b.cheapest(now, service, b.shortlist(listed, home, work), home, work, excluded)
-		if best.endpoint != nil && best.doubt == none {
+		if best.endpoint != nil && best.penalty == penaltyNone {
 			return best
 		}
 	}
 	return b.cheapest(now, service, listed.all, home, work, excluded)
 }
 
-// cheapest returns the cheapest of some endpoints.
+// cheapest returns the cheapest of the given endpoints.
 func (b *Balancer) cheapest(
 	now time.Time, service string, candidates []*endpoint, home homes, work *Work, excluded func(id string) bool,
-) offer {
+) candidate {
 	fit := b.fit(service)
-	var best offer
+	var best candidate
 	for _, e := range candidates {
-		if !work.suits(e) || !b.takes(now, e) || excluded != nil && excluded(e.ID) {
+		if !work.matchesVersion(e) || !b.isAvailable(now, e) || excluded != nil && excluded(e.ID) {
 			continue
 		}
-		o := b.price(now, e, fit, work, home.guess(e))
-		if best.endpoint == nil || o.price < best.price || o.price == best.price && e.before(best.endpoint) {
+		o := b.price(now, e, fit, work, home.cachedShare(e))
+		if best.endpoint == nil || o.price < best.price || o.price == best.price && e.precedes(best.endpoint) {
 			best = o
 		}
 	}
 	return best
 }
 
-func (b *Balancer) enter(now time.Time, o offer, work *Work) *Slot {
+func (b *Balancer) takeSlot(now time.Time, o candidate, work *Work) *Slot {
 	e := o.endpoint
 	slot := &Slot{
-		ID: e.ID, Address: e.Address, Version: e.Version, Reading: o.reading, Wait: o.wait, Queue: o.queue,
-		Doubt: o.doubt.String(), Pause: max(e.until.Sub(now), 0),
-		balancer: b, endpoint: e, sent: now, ahead: o.ahead, reading: true,
+		ID: e.ID, Address: e.Address, Version: e.Version, PrefillTokens: o.prefillTokens, ExpectedWait: o.wait, ExpectedQueue: o.queue,
+		HealthPenalty: o.penalty.String(), Pause: max(e.pausedUntil.Sub(now), 0),
+		balancer: b, endpoint: e, sentAt: now, queuedTokens: o.queuedTokens, awaitsFirstToken: true,
 	}
-	if !e.until.IsZero() && !now.Before(e.until) && !e.probing {
+	if !e.pausedUntil.IsZero() && !now.Before(e.pausedUntil) && !e.probing {
 		slot.probe, e.probing = true, true
 	}
 	if e.own.running == 0 {
-		e.heard = now
+		e.lastActivity = now
 	}
-	b.turns++
-	e.turn = b.turns
-	if b.rationed(now, e) {
+	b.choices++
+	e.lastChosen = b.choices
+	if b.isRationed(now, e) {
 		e.leases.Use(now)
 	}
 	e.own.running++
-	e.own.unread += o.reading
+	e.own.unread += o.prefillTokens
 	if len(work.Parts) > 0 {
-		e.unread = append(e.unread, slot)
-		e.held.note(work, b.caps[e.Service])
-		if len(b.all(e.Service)) > mostWalked {
-			b.recent.note(work, e)
+		e.awaiting = append(e.awaiting, slot)
+		e.cache.add(work, b.cacheCapacities[e.Service])
+		if len(b.all(e.Service)) > maxFullScan {
+			b.recent.add(work, e)
 		}
 	}
 	return slot
 }
 
-// before tells whether an endpoint comes before another one that is as cheap: it was chosen
-// longer ago. If neither ever was, routers differ, or all of them would begin with the same one.
-func (e *endpoint) before(other *endpoint) bool {
-	return e.turn < other.turn || e.turn == other.turn && e.order < other.order
+// precedes returns whether an endpoint is preferred to another one of the same price: it was chosen
+// less recently. If neither was ever chosen, the order differs between routers, so that they do not
+// all start with the same endpoint.
+func (e *endpoint) precedes(other *endpoint) bool {
+	return e.lastChosen < other.lastChosen || e.lastChosen == other.lastChosen && e.tieBreak < other.tieBreak
 }
 
-// fit returns what is known of a service's engines.
+// fit returns the prefill model of a service's engines.
 func (b *Balancer) fit(service string) *predictor.Fit {
 	known, found := b.fits[service]
 	if !found {
@@ -324,12 +329,12 @@
 	return known
 }
 
-// overdue returns by how much the oldest awaited first token is later than expected.
-// An engine that has stopped sends no answers to learn from.
+// overdue returns how much later than expected the oldest awaited first token is. An engine that
+// has stopped sends no answers to learn from.
 func (e *endpoint) overdue(now time.Time) time.Duration {
-	if len(e.unread) == 0 {
+	if len(e.awaiting) == 0 {
 		return 0
 	}
-	oldest := e.unread[0]
-	return max(now.Sub(oldest.sent)-oldest.Wait, 0)
+	oldest := e.awaiting[0]
+	return max(now.Sub(oldest.sentAt)-oldest.ExpectedWait, 0)
 }
--- a/lib/balancer/balancer_test.go
+++ b/lib/balancer/balancer_test.go
@@ -22,7 +22,7 @@
 
 func fleet(count int) *Balancer {
 	b := &Balancer{}
-	b.Remember("engines", 500_000)
+	b.SetCacheCapacity("engines", 500_000)
 	for i := range count {
 		b.Update(engine(i + 1))
 	}
@@ -33,8 +33,8 @@
 	return &Work{Model: "m", Prompt: 6000, Parts: []Part{{ID: shared, Tokens: 5000}, {ID: own, Tokens: 1000}}}
 }
 
-// Symptom: a fifth of the engines' time goes into reading what they had read
-// before. Cause: requests with one prefix were spread over all engines.
+// Guards against engines that spend a fifth of their time on prefill of prefixes that another
+// engine has cached, because requests with one prefix are spread over all engines.
 func TestRequestsFollowTheirPrefix(t *testing.T) {
 	routers := []*Balancer{fleet(18), fleet(18), fleet(18)}
 	for shared := range uint64(20) {
@@ -46,7 +46,7 @@
 				slot.End(start, Served)
 			}
 		}
-		require.Len(t, homes, 1, "routers agree without a word")
+		require.Len(t, homes, 1, "all routers choose the same engine")
 	}
 }
 
@@ -70,11 +70,10 @@
 	}
 }
 
-// Symptom: one endpoint of a plain service gets two thirds of its requests and
-// answers after three times as long as the others. Sequence: many routers have one
-// request now and then, each finds all endpoints idle. Cause: all of them broke the
-// tie by the same order.
-func TestIdleEndpointsTakeTurns(t *testing.T) {
+// Guards against one endpoint of a plain service that gets two thirds of its requests and answers
+// after three times as long as the others. Many routers have a request now and then and find all
+// endpoints idle; a tie-break in the same order at all routers leads them to one endpoint.
+func TestIdleEndpointsAreChosenInRotation(t *testing.T) {
 	b := fleet(3)
 	counts := make(map[string]int)
 	for range 30 {
@@ -103,42 +102,42 @@
 	require.Nil(t, fleet(1).Pick(start, "engines", &Work{}, func(string) bool { return true }))
 }
 
-// Symptom: every request waits for a dead endpoint's timeout. Sequence: an
-// endpoint dies, each request is offered to it because nothing runs there.
+// Guards against requests that each wait for the timeout of a dead endpoint, which attracts them
+// because no request runs there.
 func TestFailedEndpointPauses(t *testing.T) {
 	b := fleet(2)
 	first := b.Pick(start, "engines", &Work{}, nil)
-	first.End(start, Broken)
+	first.End(start, ConnectionBroken)
 	for range 5 {
 		require.NotEqual(t, first.ID, b.Pick(start, "engines", &Work{}, nil).ID)
 	}
-	later := start.Add(firstPause)
+	later := start.Add(initialPause)
 	probe := b.Pick(later, "engines", &Work{}, nil)
-	require.Equal(t, first.ID, probe.ID, "one request finds out")
-	require.NotEqual(t, first.ID, b.Pick(later, "engines", &Work{}, nil).ID, "and only one")
-	probe.End(later, Broken)
-	require.NotEqual(t, first.ID, b.Pick(later.Add(firstPause), "engines", &Work{}, nil).ID, "the pause doubles")
-	again := b.Pick(later.Add(2*firstPause), "engines", &Work{}, nil)
+	require.Equal(t, first.ID, probe.ID, "one request probes the endpoint")
+	require.NotEqual(t, first.ID, b.Pick(later, "engines", &Work{}, nil).ID, "only one probe at a time")
+	probe.End(later, ConnectionBroken)
+	require.NotEqual(t, first.ID, b.Pick(later.Add(initialPause), "engines", &Work{}, nil).ID, "the pause doubles")
+	again := b.Pick(later.Add(2*initialPause), "engines", &Work{}, nil)
 	require.Equal(t, first.ID, again.ID)
 	again.End(later, Served)
-	require.Equal(t, first.ID, b.Pick(later, "engines", &Work{}, nil).ID, "it is back")
+	require.Equal(t, first.ID, b.Pick(later, "engines", &Work{}, nil).ID, "it serves again")
 }
 
 func TestEndpointThatFailsOftenPauses(t *testing.T) {
 	b := fleet(2)
 	now := start
-	grey := 0
+	faulty := 0
 	for range 400 {
 		now = now.Add(10 * time.Millisecond)
 		slot := b.Pick(now, "engines", &Work{}, nil)
 		outcome := Served
 		if slot.ID == "i-1" {
 			outcome = Faulty
-			grey++
+			faulty++
 		}
 		slot.End(now, outcome)
 	}
-	require.Less(t, grey, 40)
+	require.Less(t, faulty, 40)
 }
 
 func TestSilentEndpointIsTheLastChoice(t *testing.T) {
@@ -156,73 +155,73 @@
 	b := fleet(1)
 	slot := b.Pick(start, "engines", prompt(1, 2), nil)
 	require.Equal(t, 1, b.byID["i-1"].own.running)
-	slot.Heard(start)
+	slot.NoteResponse(start)
 	slot.End(start, Served)
 	slot.End(start, Served)
 	require.Zero(t, b.byID["i-1"].own.running)
 	require.Zero(t, b.byID["i-1"].own.unread)
 }
 
-// Symptom: the streams of an engine that is only slow are ended and read again
-// elsewhere. Cause: one stream's silence was taken for the engine's.
-func TestOnlyAnEndpointThatIsSilentToAllIsDark(t *testing.T) {
+// Guards against streams of a slow engine that are ended and restarted elsewhere, because the
+// silence of one stream is taken for silence of the engine.
+func TestEndpointIsSilentOnlyIfAllItsConnectionsAre(t *testing.T) {
 	b := fleet(1)
 	slow := b.Pick(start, "engines", prompt(1, 2), nil)
 	other := b.Pick(start, "engines", prompt(1, 3), nil)
-	other.Heard(start.Add(time.Second))
-	require.False(t, slow.Dark(start.Add(1500*time.Millisecond), time.Second))
-	require.True(t, slow.Dark(start.Add(2*time.Second), time.Second))
+	other.NoteResponse(start.Add(time.Second))
+	require.False(t, slow.EndpointSilent(start.Add(1500*time.Millisecond), time.Second))
+	require.True(t, slow.EndpointSilent(start.Add(2*time.Second), time.Second))
 }
 
-func TestMemoryIsBounded(t *testing.T) {
-	var p parts
-	for own := range uint64(3 * maxParts) {
-		p.note(prompt(own, own+1<<32), 0)
+func TestPrefixCacheIsBounded(t *testing.T) {
+	var p prefixCache
+	for own := range uint64(3 * maxCachedParts) {
+		p.add(prompt(own, own+1<<32), 0)
 	}
-	require.LessOrEqual(t, len(p.byKey), maxParts)
+	require.LessOrEqual(t, len(p.byKey), maxCachedParts)
 	require.Equal(t, len(p.byKey), p.order.Len())
-	p.note(prompt(9, 10), 6000)
+	p.add(prompt(9, 10), 6000)
 	require.LessOrEqual(t, p.tokens, 6000)
-	require.Equal(t, 6000, p.kept(prompt(9, 10)))
-	require.Equal(t, 5000, p.kept(prompt(9, 11)))
-	require.Zero(t, p.kept(&Work{Model: "other", Parts: prompt(9, 10).Parts}))
+	require.Equal(t, 6000, p.cachedTokens(prompt(9, 10)))
+	require.Equal(t, 5000, p.cachedTokens(prompt(9, 11)))
+	require.Zero(t, p.cachedTokens(&Work{Model: "other", Parts: prompt(9, 10).Parts}))
 }
 
-// Symptom: an engine that has started again is idle beside refusals, or gets
-// requests for memory that it has lost. Sequence: it crashes while requests run and
-// comes back under its id; their slots are given back late. Cause: what was believed
-// of the former life was believed of the new one.
-func TestRestartedEndpointIsANewOne(t *testing.T) {
+// Guards against a restarted engine that stays idle while requests are refused, or that gets
+// requests for a cache that it has lost. The engine crashes while requests run and comes back under
+// the same id; their slots are released after the restart and must not affect the state of the new
+// lifetime.
+func TestRestartResetsTheStateOfAnEndpoint(t *testing.T) {
 	b := fleet(1)
 	var slots []*Slot
 	for own := range uint64(3) {
 		slots = append(slots, b.Pick(start, "engines", prompt(1, 10+own), nil))
 	}
-	slots[0].End(start, Broken)
+	slots[0].End(start, ConnectionBroken)
 	again := engine(1)
 	again.Started = start.Add(time.Second)
-	require.NoError(t, slots[1].Life().Err())
+	require.NoError(t, slots[1].EndpointLifetime().Err())
 	require.True(t, b.Update(again))
-	require.Error(t, slots[1].Life().Err(), "what ran there has ended")
+	require.Error(t, slots[1].EndpointLifetime().Err(), "the previous lifetime has ended")
 	fresh := b.byID["i-1"]
 	require.Zero(t, fresh.own.running)
 	require.Zero(t, fresh.own.unread)
-	require.Zero(t, fresh.held.kept(prompt(1, 10)))
-	require.True(t, fresh.until.IsZero(), "the former life's failures are not its own")
+	require.Zero(t, fresh.cache.cachedTokens(prompt(1, 10)))
+	require.True(t, fresh.pausedUntil.IsZero(), "failures of the previous lifetime do not count")
 	slot := b.Pick(start.Add(time.Second), "engines", prompt(1, 10), nil)
-	require.Equal(t, 6000-int(guessed*5000), slot.Reading)
-	slots[1].End(start.Add(time.Second), Broken)
-	slots[2].Heard(start.Add(time.Second))
-	slots[2].End(start.Add(time.Second), Unreached)
+	require.Equal(t, 6000-int(homeCachedShare*5000), slot.PrefillTokens)
+	slots[1].End(start.Add(time.Second), ConnectionBroken)
+	slots[2].NoteResponse(start.Add(time.Second))
+	slots[2].End(start.Add(time.Second), ConnectFailed)
 	require.Equal(t, 1, fresh.own.running)
-	require.Equal(t, slot.Reading, fresh.own.unread)
-	require.True(t, fresh.until.IsZero())
+	require.Equal(t, slot.PrefillTokens, fresh.own.unread)
+	require.True(t, fresh.pausedUntil.IsZero())
 	require.False(t, b.Update(again))
-	require.Same(t, fresh, b.byID["i-1"], "the same news again changes nothing")
+	require.Same(t, fresh, b.byID["i-1"], "a repeated listing changes nothing")
 }
 
-// Symptom: while a zone is cut off, requests wait for four timeouts in a row and
-// are refused. Sequence: every endpoint of that zone has to fail by itself.
+// Guards against requests that wait for four timeouts in a row and are then refused while a zone is
+// cut off, because each endpoint of the zone has to fail separately.
 func TestZoneThatCannotBeReachedIsTheLastChoice(t *testing.T) {
 	b := &Balancer{}
 	for i := range 6 {
@@ -233,11 +232,11 @@
 	now := start
 	fail := func() string {
 		slot := b.Pick(now, "engines", &Work{}, func(id string) bool { return b.byID[id].Zone != "far" })
-		slot.End(now, Unreached)
+		slot.End(now, ConnectFailed)
 		return slot.ID
 	}
 	first := fail()
-	require.False(t, b.zones["far"].cut(now), "one may be its own fault")
+	require.False(t, b.zones["far"].suspect(now), "one failure may be the endpoint's own")
 	require.NotEqual(t, first, fail())
 	for range 12 {
 		require.Equal(t, "near", b.Pick(now, "engines", &Work{}, nil).endpoint.Zone)
@@ -245,10 +244,10 @@
 	now = now.Add(zonePause)
 	probe := b.Pick(now, "engines", &Work{}, nil)
 	require.Equal(t, "far", probe.endpoint.Zone)
-	probe.End(now, Unreached)
-	require.True(t, b.zones["far"].cut(now), "one more is enough now")
+	probe.End(now, ConnectFailed)
+	require.True(t, b.zones["far"].suspect(now), "one more failure is enough")
 	now = now.Add(zonePause)
 	probe = b.Pick(now, "engines", &Work{}, nil)
-	probe.Heard(now)
-	require.False(t, b.zones["far"].cut(now), "it is back")
+	probe.NoteResponse(now)
+	require.False(t, b.zones["far"].suspect(now), "it serves again")
 }
--- a/lib/balancer/bench_test.go
+++ b/lib/balancer/bench_test.go
@@ -8,14 +8,14 @@
 	"shallotkeel.example/lib/lister"
 )
 
-// BenchmarkPick chooses an engine and gives the slot back, as a router does for each
-// request of a prompt. Without the expected wait of each candidate it took 2.7
-// microseconds at 18 engines and 15 at 140, with it 5.7 and 26.
+// BenchmarkPick chooses an engine and releases the slot, as a router does for each request with a
+// prompt. Computing the expected wait of each candidate raises the time per choice from 2.7 to 5.7
+// microseconds with 18 engines, and from 15 to 26 with 140.
 func BenchmarkPick(b *testing.B) {
 	for _, engines := range []int{18, 140} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
 			balancer := &Balancer{}
-			balancer.Remember("engines", 300_000)
+			balancer.SetCacheCapacity("engines", 300_000)
 			for i := range engines {
 				e := engine(i % 250)
 				e.ID = fmt.Sprint("i-", i)
@@ -30,7 +30,7 @@
 				work := prompt(own%400, own)
 				work.Target = 500 * time.Millisecond
 				slot := balancer.Pick(now, "engines", work, nil)
-				slot.Heard(now.Add(80 * time.Millisecond))
+				slot.NoteResponse(now.Add(80 * time.Millisecond))
 				slot.End(now.Add(100*time.Millisecond), Served)
 			}
 		})
--- a/lib/balancer/cold.go
+++ b/lib/balancer/cold.go
@@ -8,11 +8,12 @@
 	"shallotkeel.example/lib/resolver"
 )
 
-// Evacuate sets the zones whose endpoints get no new work.
+// SetEvacuatedZones sets the zones whose endpoints get no new requests.
 //
-// Endpoints of a zone that is taken back may be cold, and say so a heartbeat later only:
-// all routers that send to them at once crash them.
-func (b *Balancer) Evacuate(now time.Time, zones []string) {
+// Endpoints of a zone that returns to service may be cold, and announce it only with their next
+// heartbeat: if all routers sent to them at once, the endpoints would crash. They count as cold for
+// the length set for their service.
+func (b *Balancer) SetEvacuatedZones(now time.Time, zones []string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	before := b.evacuated
@@ -24,25 +25,25 @@
 		if !before[e.Zone] || b.evacuated[e.Zone] {
 			continue
 		}
-		if until := now.Add(b.colds[e.Service].Length); until.After(e.ColdUntil) {
+		if until := now.Add(b.coldLimits[e.Service].Length); until.After(e.ColdUntil) {
 			e.ColdUntil = until
 		}
 	}
 }
 
-// Evacuated returns how many zones get no new work.
-func (b *Balancer) Evacuated() int {
+// CountEvacuatedZones returns the number of zones that get no new requests.
+func (b *Balancer) CountEvacuatedZones() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return len(b.evacuated)
 }
 
-// Rationed returns how many endpoints are cold and bear few requests.
-func (b *Balancer) Rationed(now time.Time) int {
-	return b.count(func(e *endpoint) bool { return b.rationed(now, e) })
+// CountRationed returns the number of cold endpoints with a limited request rate.
+func (b *Balancer) CountRationed(now time.Time) int {
+	return b.count(func(e *endpoint) bool { return b.isRationed(now, e) })
 }
 
-// count returns how many endpoints are of a kind.
+// count returns the number of endpoints that match the predicate.
 func (b *Balancer) count(kind func(e *endpoint) bool) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -55,25 +56,26 @@
 	return count
 }
 
-// Cold sets what the endpoints of a service bear that are cold.
-func (b *Balancer) Cold(service string, cold resolver.Cold) {
+// SetColdLimit sets the request rate that a cold endpoint of a service sustains.
+func (b *Balancer) SetColdLimit(service string, cold resolver.Cold) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.colds == nil {
-		b.colds = make(map[string]resolver.Cold)
+	if b.coldLimits == nil {
+		b.coldLimits = make(map[string]resolver.Cold)
 	}
-	b.colds[service] = cold
+	b.coldLimits[service] = cold
 }
 
-// Ration is a lease of a part of what one cold endpoint bears.
+// Ration is a lease for a part of the request rate of one cold endpoint.
 type Ration struct {
-	Endpoint uint64        // its key
-	Pause    time.Duration // between two requests
-	Term     time.Duration // from when the lease was asked for
+	Endpoint uint64        // the endpoint's Key
+	Pause    time.Duration // minimum interval between two requests
+	Term     time.Duration // duration of the lease, from when it was requested
 }
 
-// Take takes the leases that a keeper gives or renews that was asked at a time.
-func (b *Balancer) Take(now, asked time.Time, keeper netip.AddrPort, rations []Ration) {
+// TakeLeases applies the leases that a keeper grants or renews in its answer to a request sent at
+// requestedAt.
+func (b *Balancer) TakeLeases(now, requestedAt time.Time, keeper netip.AddrPort, rations []Ration) {
 	if len(rations) == 0 {
 		return
 	}
@@ -85,27 +87,27 @@
 	defer b.mutex.Unlock()
 	for _, e := range b.byID {
 		if ration, found := byKey[e.key]; found {
-			e.leases.Take(now, asked, keeper, ration.Pause, ration.Term)
+			e.leases.Take(now, requestedAt, keeper, ration.Pause, ration.Term)
 		}
 	}
 }
 
-// open tells whether an endpoint is one that gets new work.
-func (b *Balancer) open(e *endpoint) bool {
+// isEligible returns whether an endpoint is ready and its zone is not evacuated.
+func (b *Balancer) isEligible(e *endpoint) bool {
 	return e.State == lister.Ready && !b.evacuated[e.Zone]
 }
 
-// willing tells whether an open endpoint wants requests of this router now.
-func (b *Balancer) willing(now time.Time, e *endpoint) bool {
-	return b.open(e) && !e.backsOff(now)
+// isWilling returns whether an endpoint is eligible and not in backoff for this router.
+func (b *Balancer) isWilling(now time.Time, e *endpoint) bool {
+	return b.isEligible(e) && !e.inBackoff(now)
 }
 
-// takes tells whether an endpoint may get a request now.
-func (b *Balancer) takes(now time.Time, e *endpoint) bool {
-	return b.willing(now, e) && (!b.rationed(now, e) || e.leases.Ready(now))
+// isAvailable returns whether an endpoint may get a request now.
+func (b *Balancer) isAvailable(now time.Time, e *endpoint) bool {
+	return b.isWilling(now, e) && (!b.isRationed(now, e) || e.leases.Ready(now))
 }
 
-// rationed tells whether an endpoint is cold and bears few requests.
-func (b *Balancer) rationed(now time.Time, e *endpoint) bool {
-	return e.Cold(now) && b.colds[e.Service].Rate > 0
+// isRationed returns whether an endpoint is cold and its request rate limited.
+func (b *Balancer) isRationed(now time.Time, e *endpoint) bool {
+	return e.Cold(now) && b.coldLimits[e.Service].Rate > 0
 }
--- a/lib/balancer/load.go
+++ b/lib/balancer/load.go
@@ -6,26 +6,27 @@
 	"shallotkeel.example/lib/lister"
 )
 
-// load is what this router has at one endpoint.
+// load is what this router has sent to one endpoint.
 type load struct {
-	unread  int // tokens of prompts that were sent there and are not yet read
-	running int // requests that run there, those that wait included
+	unread  int // prompt tokens that were sent and not yet read
+	running int // requests that run or wait there
 }
 
-// Key names one life of an endpoint in what routers tell each other of their loads.
-// It is 8 bytes where the id and the start are some 25.
+// Key identifies one lifetime of an endpoint in the load reports of routers. It has 8 bytes, where
+// the id and the start time need some 25.
 func Key(listing lister.Listing) uint64 {
 	return mix(hashText(listing.ID), lister.ToMillis(listing.Started))
 }
 
-// loadMemory is for how long others' loads are believed, twice the longest pause between
-// two reports. Later ones would keep work away from endpoints that have long been idle.
-const loadMemory = time.Second
+// maxLoadAge is how long the reported loads of other routers are used: twice the longest interval
+// between two reports. Older loads would keep requests away from endpoints that have since become
+// idle.
+const maxLoadAge = time.Second
 
-// Unread returns how many tokens of prompts this router has sent to each engine that are
-// not yet read there. Nothing else of what it has is told: what merely runs at an engine
-// changes nobody's choice, and calls of plain services are over before others hear of them.
-func (b *Balancer) Unread() map[uint64]int {
+// UnreadTokens returns the number of prompt tokens, by endpoint key, that this router has sent to
+// each engine and that the engine has not read yet. No other load is reported: running requests do
+// not change the choice of other routers, and plain calls end before a report arrives.
+func (b *Balancer) UnreadTokens() map[uint64]int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	unread := make(map[uint64]int)
@@ -37,46 +38,46 @@
 	return unread
 }
 
-// Others takes how many unread tokens all other routers have at the engines. Each router has
-// a part of the requests only: with the own load alone a few engines fill up unseen, and most
-// of the late answers come from them.
-func (b *Balancer) Others(now time.Time, unread map[uint64]int) {
+// SetOtherLoads sets the unread tokens of all other routers at the engines. Each router sees only a
+// part of the requests: with only its own load a few engines would fill up unnoticed, and cause
+// most of the late answers.
+func (b *Balancer) SetOtherLoads(now time.Time, unread map[uint64]int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.told = now
+	b.otherLoadsAt = now
 	for _, e := range b.byID {
-		e.others = unread[e.key]
+		e.otherUnread = unread[e.key]
 	}
 }
 
-// Routers sets how many routers share the endpoints.
-func (b *Balancer) Routers(count int) {
+// SetRouterCount sets the number of routers that share the endpoints.
+func (b *Balancer) SetRouterCount(count int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.routers = count
 }
 
-// unread returns how many tokens an engine has to read. A router that has not been told for
-// long takes the others to have there what it has itself.
-func (b *Balancer) unread(now time.Time, e *endpoint) int {
-	if now.Sub(b.told) <= loadMemory {
-		return e.own.unread + e.others
+// unreadTokens returns the number of tokens that an engine has yet to read. If the loads of other
+// routers are stale, each of them is assumed to have as many tokens there as this router.
+func (b *Balancer) unreadTokens(now time.Time, e *endpoint) int {
+	if now.Sub(b.otherLoadsAt) <= maxLoadAge {
+		return e.own.unread + e.otherUnread
 	}
 	return max(b.routers, 1) * e.own.unread
 }
 
-// Backlog returns how long a service's engines still read what they have been sent,
-// as the mean over those that take work. It is 0 for a service without any.
+// Backlog returns the mean time that the engines of a service need to read what they have been
+// sent, over the engines that accept requests and have no penalty. It is 0 if there are none.
 func (b *Balancer) Backlog(now time.Time, service string) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	fit := b.fit(service)
 	total, count := time.Duration(0), 0
 	for _, e := range b.all(service) {
-		if !b.willing(now, e) || b.doubt(now, e) != none {
+		if !b.isWilling(now, e) || b.healthPenalty(now, e) != penaltyNone {
 			continue
 		}
-		total += time.Duration(float64(fit.Reading(b.unread(now, e))) * e.factor.Get(now))
+		total += time.Duration(float64(fit.Reading(b.unreadTokens(now, e))) * e.factor.Get(now))
 		count++
 	}
 	if count == 0 {
--- a/lib/balancer/pool.go
+++ b/lib/balancer/pool.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// mostWalked is how many endpoints of a service are all priced for each request.
-	mostWalked = 256
-	// drawn is how many endpoints of a larger service are priced by chance. Of so many one has
-	// little to do, unless nearly all have much.
-	drawn = 8
-	// leastNear is how many endpoints of the router's own zone are enough to draw from.
-	leastNear = 64
-	// buckets is into how many groups the engines are divided for ranking.
+	// maxFullScan is the number of endpoints up to which all of a service are priced for each
+	// request.
+	maxFullScan = 256
+	// randomCandidates is the number of endpoints of a larger service that are priced at random.
+	// Among that many, one has little load unless nearly all are loaded.
+	randomCandidates = 8
+	// minSameZone is the number of endpoints in the router's own zone from which on random
+	// candidates are drawn from that zone only.
+	minSameZone = 64
+	// buckets is the number of groups into which the engines are divided for ranking.
 	buckets = 64
 )
 
-// pool is the endpoints of one service, without those that are gone.
+// pool holds the endpoints of one service, except those that are gone.
 type pool struct {
-	all   []*endpoint // sorted by id
-	near  []*endpoint // those of the router's own zone, likewise
-	zone  ranking     // of these
-	homes ranking     // of those that all routers know, if they do not know all
-	// shift tells which those are: one in 1<<shift. It is 0 for a service of which routers
-	// know all, and as long as nobody has told.
-	shift   int
-	partial bool    // routers do not know all
-	pressed float64 // part of the calls that found no endpoint with room, weighted to the latest
-}
-
-// ranking is engines in buckets, by the hash of their ids.
+	all         []*endpoint // sorted by id
+	sameZone    []*endpoint // endpoints of the router's own zone, sorted by id
+	zoneRanking ranking     // of sameZone
+	homeRanking ranking     // of the endpoints that all routers know, if partial
+	// shift selects the endpoints that all routers know: one in 1<<shift. It is 0 for a service of
+	// which routers know all endpoints, and until the first SetSampling.
+	shift          int
+	partial        bool    // routers know only a subset of the endpoints
+	rejectionShare float64 // EWMA of the share of calls that found no endpoint with room
+}
+
+// ranking holds engines in buckets by the hash of their ids.
 type ranking [buckets][]*endpoint
 
 func (r *ranking) add(e *endpoint) {
@@ -43,52 +45,52 @@
 	r[e.seed%buckets] = slices.DeleteFunc(r[e.seed%buckets], func(x *endpoint) bool { return x == e })
 }
 
-// Sampled tells whether a hash is one of those of one endpoint in 1<<shift.
+// Sampled returns whether a hash belongs to the sample of one endpoint in 1<<shift.
 func Sampled(hash uint64, shift int) bool {
 	return hash>>(64-shift) == 0
 }
 
-// add takes an endpoint into the pool.
+// add adds an endpoint to the pool.
 func (p *pool) add(e *endpoint, near bool) {
 	p.all = insert(p.all, e)
 	if near {
-		p.near = insert(p.near, e)
-		p.zone.add(e)
+		p.sameZone = insert(p.sameZone, e)
+		p.zoneRanking.add(e)
 	}
 	if p.partial && Sampled(e.seed, p.shift) {
-		p.homes.add(e)
+		p.homeRanking.add(e)
 	}
 }
 
-// remove takes an endpoint out of the pool.
+// remove removes an endpoint from the pool.
 func (p *pool) remove(e *endpoint) {
 	p.all = drop(p.all, e)
-	p.near = drop(p.near, e)
-	p.zone.remove(e)
-	p.homes.remove(e)
+	p.sameZone = drop(p.sameZone, e)
+	p.zoneRanking.remove(e)
+	p.homeRanking.remove(e)
 }
 
-// know sets which part of the endpoints all routers know.
-func (p *pool) know(partial bool, shift int) {
+// setSampling sets which sample of the endpoints all routers know.
+func (p *pool) setSampling(partial bool, shift int) {
 	if p.partial == partial && p.shift == shift {
 		return
 	}
-	p.partial, p.shift, p.homes = partial, shift, ranking{}
+	p.partial, p.shift, p.homeRanking = partial, shift, ranking{}
 	for _, e := range p.all {
 		if partial && Sampled(e.seed, shift) {
-			p.homes.add(e)
+			p.homeRanking.add(e)
 		}
 	}
 }
 
-// Homes sets, by service, which part of the endpoints all routers know: one in 1<<shift. Of
-// services that are left out they know all.
-func (b *Balancer) Homes(shifts map[string]int) {
+// SetSampling sets, by service, the sample of the endpoints that all routers know: one in 1<<shift.
+// Of services that are missing from shifts, all routers know all endpoints.
+func (b *Balancer) SetSampling(shifts map[string]int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for service, listed := range b.services {
 		shift, partial := shifts[service]
-		listed.know(partial, shift)
+		listed.setSampling(partial, shift)
 	}
 }
 
@@ -104,61 +106,63 @@
 	return listed
 }
 
-// place returns where an endpoint is in a list, or belongs.
+// place returns the position of an endpoint in a sorted list, or its insertion point, and whether
+// it was found.
 func place(listed []*endpoint, e *endpoint) (int, bool) {
 	return slices.BinarySearchFunc(listed, e.ID, func(x *endpoint, id string) int { return cmp.Compare(x.ID, id) })
 }
 
-// some returns the endpoints of a service, or as many as are walked at most.
-func (b *Balancer) some(service string) []*endpoint {
+// sample returns the endpoints of a service, or a window of maxFullScan of them that moves with
+// each choice.
+func (b *Balancer) sample(service string) []*endpoint {
 	all := b.all(service)
-	if len(all) <= mostWalked {
+	if len(all) <= maxFullScan {
 		return all
 	}
-	from := int(b.turns) % (len(all) - mostWalked)
-	return all[from : from+mostWalked]
+	from := int(b.choices) % (len(all) - maxFullScan)
+	return all[from : from+maxFullScan]
 }
 
-// homes are the engines that probably hold the parts of a prompt that other requests share.
+// homes are the engines that probably cache the parts of a prompt that other requests share.
 type homes struct {
-	// fleet is the one that all routers send to first, zone the one to which those of the
-	// router's own zone go where that one would be late. Either may be nil.
+	// fleet is the first choice of all routers. zone is the second choice of the routers in the
+	// same zone, where a request would be late at the first. Either may be nil.
 	fleet, zone *endpoint
 }
 
-// home returns the engines that rank first for the last part that requests share. All routers
-// agree on them as long as they know the same endpoints. Where a service has so many that routers
-// know a part only, the first is one of those that all of them know.
+// home returns the engines that rank first for the last shared part of a prompt. All routers agree
+// on them as long as they know the same endpoints. For a service of which routers know only a
+// subset, the fleet's home is one of the sampled endpoints, which all routers know.
 func (b *Balancer) home(listed *pool, work *Work) homes {
-	shared := work.shared()
+	shared := work.sharedParts()
 	if len(shared) == 0 {
 		return homes{}
 	}
 	last := shared[len(shared)-1].ID
 	if !listed.partial {
-		return homes{fleet: b.first(listed.all, last)}
+		return homes{fleet: b.highestRanked(listed.all, last)}
 	}
-	return homes{fleet: b.ranked(&listed.homes, last), zone: b.ranked(&listed.zone, last)}
+	return homes{fleet: b.rankedHome(&listed.homeRanking, last), zone: b.rankedHome(&listed.zoneRanking, last)}
 }
 
-// guess is which part of what requests share an engine probably holds that nobody here has
-// sent it to.
-func (h homes) guess(e *endpoint) float64 {
+// cachedShare returns the share of the shared prompt parts that an engine probably caches although
+// this router has not sent them there.
+func (h homes) cachedShare(e *endpoint) float64 {
 	switch e {
 	case h.fleet:
-		return guessed
+		return homeCachedShare
 	case h.zone:
-		return zoneGuessed
+		return zoneHomeCachedShare
 	}
 	return 0
 }
 
-// first returns the open endpoint that ranks first for a part.
-func (b *Balancer) first(candidates []*endpoint, part uint64) *endpoint {
+// highestRanked returns the eligible endpoint that ranks first for a part, nil if none is eligible.
+func (b *Balancer) highestRanked(candidates []*endpoint, part uint64) *endpoint {
 	var best *endpoint
 	var bestRank uint64
 	for _, e := range candidates {
-		if !b.open(e) {
+		if !b.isEligible(e) {
 			continue
 		}
 		if rank := mix(e.seed, part); best == nil || rank > bestRank {
@@ -168,10 +172,10 @@
 	return best
 }
 
-// ranked returns the open endpoint that ranks first for a part, nil if none of its bucket is open.
-// Buckets are ranked by their sizes, so that each endpoint is as likely as any other; then those in
-// the bucket are.
-func (b *Balancer) ranked(of *ranking, part uint64) *endpoint {
+// rankedHome returns the eligible endpoint that ranks first for a part, nil if none in the first
+// bucket is eligible. Buckets are ranked with their sizes as weights, so that each endpoint is
+// equally likely; then the endpoints of the first bucket are ranked.
+func (b *Balancer) rankedHome(of *ranking, part uint64) *endpoint {
 	best, bestScore := 0, -1.0
 	for i, members := range of {
 		if len(members) == 0 {
@@ -181,12 +185,13 @@
 			best, bestScore = i, score
 		}
 	}
-	return b.first(of[best], part)
+	return b.highestRanked(of[best], part)
 }
 
-// shortlist returns the endpoints of a large service that are priced for a request.
+// shortlist returns the endpoints of a large service that are priced for a request: its homes, the
+// engines that recently got the same prefix, and some at random.
 func (b *Balancer) shortlist(listed *pool, home homes, work *Work) []*endpoint {
-	chosen := make([]*endpoint, 0, drawn+recentEach+2)
+	chosen := make([]*endpoint, 0, randomCandidates+recentEngines+2)
 	for _, e := range []*endpoint{home.fleet, home.zone} {
 		if e != nil {
 			chosen = append(chosen, e)
@@ -197,12 +202,12 @@
 			chosen = append(chosen, e)
 		}
 	}
-	from := listed.near
-	if len(from) < leastNear {
+	from := listed.sameZone
+	if len(from) < minSameZone {
 		from = listed.all
 	}
-	for i := range uint64(drawn) {
-		chosen = append(chosen, from[mix(b.Seed+i, b.turns)%uint64(len(from))])
+	for i := range uint64(randomCandidates) {
+		chosen = append(chosen, from[mix(b.Seed+i, b.choices)%uint64(len(from))])
 	}
 	return chosen
 }
--- a/lib/balancer/pool_test.go
+++ b/lib/balancer/pool_test.go
@@ -12,10 +12,11 @@
 	"shallotkeel.example/lib/lister"
 )
 
-// wide returns a router's balancer of a large service, a part of it in the router's own zone.
-func wide(router uint64, near, far int) *Balancer {
+// largeFleet returns a router's balancer of a large service, with some of the endpoints in the
+// router's own zone.
+func largeFleet(router uint64, near, far int) *Balancer {
 	b := &Balancer{Zone: "here", Seed: router}
-	b.Remember("engines", 500_000)
+	b.SetCacheCapacity("engines", 500_000)
 	for i := range near + far {
 		e := engine(0)
 		e.ID, e.Zone = fmt.Sprint("i-", i), "here"
@@ -25,34 +26,34 @@
 		e.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 		b.Update(e)
 	}
-	b.Homes(map[string]int{"engines": 2})
+	b.SetSampling(map[string]int{"engines": 2})
 	return b
 }
 
-// Guards against a choice that takes time by the size of the fleet.
-func TestChoiceOfManyPricesFew(t *testing.T) {
-	for _, engines := range []int{mostWalked + 1, 1000, 2000, 10_000} {
+// Guards against a choice whose cost grows with the size of the fleet.
+func TestLargeServicePricesFewCandidates(t *testing.T) {
+	for _, engines := range []int{maxFullScan + 1, 1000, 2000, 10_000} {
 		t.Run(fmt.Sprint(engines), func(t *testing.T) {
-			b := wide(7, engines, 100)
+			b := largeFleet(7, engines, 100)
 			for own := range uint64(500) {
 				work := prompt(own%50, own)
-				require.LessOrEqual(t, len(b.shortlist(b.services["engines"], b.home(b.services["engines"], work), work)), drawn+recentEach+2)
+				require.LessOrEqual(t, len(b.shortlist(b.services["engines"], b.home(b.services["engines"], work), work)), randomCandidates+recentEngines+2)
 				require.NotNil(t, b.Pick(start, "engines", work, nil))
 			}
 			largest := 0
-			for _, members := range b.services["engines"].zone {
+			for _, members := range b.services["engines"].zoneRanking {
 				largest = max(largest, len(members))
 			}
-			require.LessOrEqual(t, largest, 2*engines/buckets+10, "and few are ranked")
+			require.LessOrEqual(t, largest, 2*engines/buckets+10, "few engines are ranked")
 		})
 	}
 }
 
-// Guards against requests that miss the engines that are cheapest for them, where only a few of
-// many are priced: the walk over all of them is the measure.
-func TestChoiceOfManyIsAsGoodAsOfAll(t *testing.T) {
+// Guards against a shortlist that misses the engines that are cheapest for a request. The reference
+// is a scan of all engines.
+func TestShortlistIsAsGoodAsAFullScan(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	b := wide(7, 600, 100)
+	b := largeFleet(7, 600, 100)
 	worse, choices := 0, 3000
 	now := start
 	var slots []*Slot
@@ -67,7 +68,7 @@
 		}
 		slots = append(slots, b.Pick(now, "engines", work, nil))
 		if len(slots) > 40 {
-			slots[0].Heard(now)
+			slots[0].NoteResponse(now)
 			slots[0].End(now, Served)
 			slots = slots[1:]
 		}
@@ -75,15 +76,15 @@
 	require.LessOrEqual(t, worse, choices/100)
 }
 
-// Guards against routers that read the same part of a prompt at different engines, and against an
-// engine that is home to many more parts than another.
+// Guards against routers that send the same prompt part to different engines, and against an engine
+// that is home to many more parts than another.
 func TestRoutersOfALargeFleetAgreeOnHomes(t *testing.T) {
-	first, second := wide(1, 640, 640), wide(2, 640, 640)
+	first, second := largeFleet(1, 640, 640), largeFleet(2, 640, 640)
 	for i := range 640 {
 		gone := engine(0)
 		gone.ID, gone.State = fmt.Sprint("i-", 640+i), lister.Gone
 		if !Sampled(hashText(gone.ID), 2) {
-			second.Update(gone) // a router does not know all that are elsewhere
+			second.Update(gone) // a router knows only a sample of the endpoints in other zones
 		}
 	}
 	counts := make(map[string]int)
@@ -98,34 +99,34 @@
 	for id, count := range counts {
 		require.LessOrEqual(t, count, 80, id)
 	}
-	first.Evacuate(start, []string{"here"})
+	first.SetEvacuatedZones(start, []string{"here"})
 	home := first.home(first.services["engines"], prompt(1, 1))
 	require.Nil(t, home.zone)
-	require.Equal(t, "there", first.Pick(start, "engines", prompt(1, 1), nil).endpoint.Zone, "another zone's where the own is evacuated")
+	require.Equal(t, "there", first.Pick(start, "engines", prompt(1, 1), nil).endpoint.Zone, "an endpoint of another zone if the own zone is evacuated")
 }
 
-// Guards against a service that is taken for large when its routers know all of it, or the other
-// way round.
-func TestHomesFollowWhatRoutersKnow(t *testing.T) {
-	b := wide(1, 100, 100)
+// Guards against a service that is treated as sampled when its routers know all endpoints, and vice
+// versa.
+func TestHomesFollowTheSampling(t *testing.T) {
+	b := largeFleet(1, 100, 100)
 	listed := b.services["engines"]
 	require.NotNil(t, b.home(listed, prompt(1, 1)).zone)
-	b.Homes(nil)
+	b.SetSampling(nil)
 	home := b.home(listed, prompt(1, 1))
 	require.Nil(t, home.zone)
-	require.Equal(t, b.first(listed.all, 1), home.fleet)
-	b.Homes(map[string]int{"engines": 0})
+	require.Equal(t, b.highestRanked(listed.all, 1), home.fleet)
+	b.SetSampling(map[string]int{"engines": 0})
 	require.NotNil(t, b.home(listed, prompt(1, 1)).fleet)
 	count := 0
-	for _, members := range listed.homes {
+	for _, members := range listed.homeRanking {
 		count += len(members)
 	}
 	require.Equal(t, 200, count)
 }
 
-// Guards against a request that finds no endpoint because none of a few is willing.
-func TestAllAreWalkedWhereFewWillNotDo(t *testing.T) {
-	b := wide(7, 500, 0)
+// Guards against a request that finds no endpoint because none of the shortlist is available.
+func TestFullScanIfTheShortlistIsUnavailable(t *testing.T) {
+	b := largeFleet(7, 500, 0)
 	for i := range 499 {
 		e := engine(0)
 		e.ID, e.Zone, e.State = fmt.Sprint("i-", i), "here", lister.Leaving
@@ -134,28 +135,28 @@
 	require.Equal(t, "i-499", b.Pick(start, "engines", prompt(1, 1), nil).ID)
 }
 
-// Guards against a router that needs a second to take the list of a large fleet.
+// Guards against a router that needs a second to load the endpoint list of a large fleet.
 func BenchmarkFill(b *testing.B) {
 	for _, engines := range []int{100, 1000, 9640} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			for b.Loop() {
-				wide(7, engines, 0)
+				largeFleet(7, engines, 0)
 			}
 		})
 	}
 }
 
-// BenchmarkPickOfMany chooses an engine of a large service and gives the slot back.
-func BenchmarkPickOfMany(b *testing.B) {
+// BenchmarkPickLargeService chooses an engine of a large service and releases the slot.
+func BenchmarkPickLargeService(b *testing.B) {
 	for _, engines := range []int{250, 1000, 9640} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			balancer := wide(7, engines, 0)
+			balancer := largeFleet(7, engines, 0)
 			now, own := start, uint64(0)
 			for b.Loop() {
 				own++
 				now = now.Add(3 * time.Millisecond)
 				slot := balancer.Pick(now, "engines", prompt(own%400, own), nil)
-				slot.Heard(now.Add(80 * time.Millisecond))
+				slot.NoteResponse(now.Add(80 * time.Millisecond))
 				slot.End(now.Add(100*time.Millisecond), Served)
 			}
 		})
--- a/lib/balancer/parts.go
+++ b/lib/balancer/prefixcache.go
@@ -7,24 +7,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxParts bounds the parts that are remembered of one engine, 150 bytes each.
-const maxParts = 4096
+// maxCachedParts bounds the entries per engine, at 150 bytes each.
+const maxCachedParts = 4096
 
-// parts is what an engine probably holds of prompts: what this router has sent
-// there, the least recently used forgotten first. Its zero value is empty.
-type parts struct {
-	order  list.List // of *held, the one used last in front
+// prefixCache estimates which prompt parts an engine caches, from what this router has sent there.
+// It evicts the least recently used parts. Its zero value is empty.
+type prefixCache struct {
+	order  list.List // of *cachedPart, most recently used first
 	byKey  map[uint64]*list.Element
 	tokens int
 }
 
-type held struct {
+type cachedPart struct {
 	key    uint64
 	tokens int
 }
 
-// chain names each part by all parts up to it: an engine can use a part only
-// behind the same ones.
+// chain calls visit with each part and a key that covers all parts up to it, until visit returns
+// false: an engine can reuse a part only behind the same preceding parts.
 func chain(work *Work, visit func(key uint64, part Part) bool) {
 	key := hashText(work.Model)
 	for _, part := range work.Parts {
@@ -35,8 +35,8 @@
 	}
 }
 
-// kept returns how many tokens of a prompt are held.
-func (p *parts) kept(work *Work) int {
+// cachedTokens returns the number of tokens in the cached prefix of a prompt.
+func (p *prefixCache) cachedTokens(work *Work) int {
 	tokens := 0
 	chain(work, func(key uint64, part Part) bool {
 		if _, found := p.byKey[key]; !found {
@@ -48,8 +48,9 @@
 	return tokens
 }
 
-// note remembers that a prompt was sent, within a number of tokens.
-func (p *parts) note(work *Work, limit int) {
+// add records the parts of a prompt that was sent, and evicts old parts beyond limit tokens (0: no
+// limit).
+func (p *prefixCache) add(work *Work, limit int) {
 	if p.byKey == nil {
 		p.byKey = make(map[uint64]*list.Element)
 	}
@@ -58,12 +59,12 @@
 			p.order.MoveToFront(at)
 			return true
 		}
-		p.byKey[key] = p.order.PushFront(&held{key: key, tokens: part.Tokens})
+		p.byKey[key] = p.order.PushFront(&cachedPart{key: key, tokens: part.Tokens})
 		p.tokens += part.Tokens
 		return true
 	})
-	for p.order.Len() > maxParts || limit > 0 && p.tokens > limit && p.order.Len() > 1 {
-		oldest := p.order.Remove(p.order.Back()).(*held)
+	for p.order.Len() > maxCachedParts || limit > 0 && p.tokens > limit && p.order.Len() > 1 {
+		oldest := p.order.Remove(p.order.Back()).(*cachedPart)
 		delete(p.byKey, oldest.key)
 		p.tokens -= oldest.tokens
 	}
--- a/lib/balancer/price.go
+++ b/lib/balancer/price.go
@@ -7,85 +7,87 @@
 	"shallotkeel.example/lib/predictor"
 )
 
-// Weights price a candidate, in tokens of prompt that an engine could read
-// instead.
+// Weights are the weights of a candidate's price. The unit of a price is the prefill of one prompt
+// token.
 type Weights struct {
-	// Waiting is the price of a prompt token that this router sent there and that is
-	// not yet read; Reading of one that this request adds; Running of each of this
-	// router's requests there, whose steps get longer by this one.
+	// Waiting is the price of a prompt token that this router sent there and that is not read yet,
+	// Reading of a token that this request adds, and Running of each running request of this
+	// router, whose steps take longer with one more request.
 	Waiting float64
 	Reading float64
 	Running float64
-	// Late is the price of each token that the engine could read in the time by which
-	// the first token is too late in the mean. That counts all routers' loads.
+	// Late is the price of each token that the engine could read in the expected lateness of the
+	// first token. The expectation includes the loads of all routers.
 	Late float64
-	// Plain is the price of a request of this router that runs at a plain service. Any
-	// value above 0 spreads evenly. What other routers have there is not counted: a call
-	// is over before it is told, and all of them would turn to whoever was idle then.
+	// Plain is the price of each running request of this router at an endpoint of a plain service.
+	// Any value above 0 spreads requests evenly. The loads of other routers are not counted: a call
+	// ends before it is reported, and all routers would turn to the endpoint that was idle in the
+	// last report.
 	Plain float64
 }
 
-// DefaultWeights hold for all deployments. The own load counts in the first three, and not
-// that of all routers: with it requests leave the engines that hold their parts too often,
-// and the parts are read again. Where they would be late there, they go.
+// DefaultWeights suit all deployments. The first three weights apply to this router's own load
+// only: with the loads of all routers, requests would leave the engines that cache their parts too
+// often, and the parts would be read again. Late moves requests that would be late there.
 var DefaultWeights = Weights{Waiting: 0.2, Reading: 2, Running: 200, Late: 0.3, Plain: 1}
 
 const (
-	// lastChoice is added to the price of an endpoint for each degree of doubt. It is more
-	// than any load costs.
-	lastChoice = 1e6
-	// guessed is the part of the saving that counts where only the ranking says
-	// that an engine holds a part: other routers send there too, but this one
-	// has not seen it.
-	guessed = 0.6
-	// zoneGuessed is the same of an engine that only routers of one zone choose by its
-	// ranking, and after another one.
-	zoneGuessed = 0.3
-	// usualTarget stands for the target of a request that has none.
-	usualTarget = 500 * time.Millisecond
+	// penaltyPrice is added to the price of an endpoint for each level of its health penalty. It
+	// exceeds the price of any load.
+	penaltyPrice = 1e6
+	// homeCachedShare is the share of the cached tokens that counts at the fleet's home engine,
+	// where only the ranking says that it caches a part: other routers send the part there, but
+	// this router has not observed it.
+	homeCachedShare = 0.6
+	// zoneHomeCachedShare is the share at the zone's home engine, to which only routers of one zone
+	// send the part, and only as a second choice.
+	zoneHomeCachedShare = 0.3
+	// defaultTarget is the target of a request that has none.
+	defaultTarget = 500 * time.Millisecond
 )
 
-// offer is what a candidate would mean for a request.
-type offer struct {
-	endpoint *endpoint
-	price    float64
-	doubt    doubt
-	reading  int           // tokens that the engine probably has to read
-	ahead    int           // tokens that others have there unread
-	wait     time.Duration // until the first token, as expected
-	queue    time.Duration // the part of it for what was sent before
+// candidate is an endpoint with its price and expected latency for a request.
+type candidate struct {
+	endpoint      *endpoint
+	price         float64
+	penalty       healthPenalty
+	prefillTokens int           // tokens that the engine probably has to read for it
+	queuedTokens  int           // unread tokens of other requests there
+	wait          time.Duration // expected time to the first token
+	queue         time.Duration // share of wait spent on requests sent earlier
 }
 
-// price returns what a candidate would mean for a request.
-func (b *Balancer) price(now time.Time, e *endpoint, fit *predictor.Fit, work *Work, guess float64) offer {
+// price returns the candidate for a request at an endpoint. cachedShare is the share of the shared
+// prompt parts that the endpoint probably caches although this router has not sent them there.
+func (b *Balancer) price(now time.Time, e *endpoint, fit *predictor.Fit, work *Work, cachedShare float64) candidate {
 	weights := b.Weights
 	if weights == (Weights{}) {
 		weights = DefaultWeights
 	}
-	o := offer{endpoint: e, doubt: b.doubt(now, e)}
-	o.price = lastChoice * float64(o.doubt)
+	o := candidate{endpoint: e, penalty: b.healthPenalty(now, e)}
+	o.price = penaltyPrice * float64(o.penalty)
 	if len(work.Parts) == 0 {
 		o.price += weights.Plain * float64(e.own.running)
 		return o
 	}
-	kept := e.held.kept(work)
-	if shared := sum(work.shared()); kept < shared {
-		kept += int(guess * float64(shared-kept))
+	cached := e.cache.cachedTokens(work)
+	if shared := sum(work.sharedParts()); cached < shared {
+		cached += int(cachedShare * float64(shared-cached))
 	}
-	o.reading = max(work.Prompt-kept, 0)
-	o.ahead = b.unread(now, e)
+	o.prefillTokens = max(work.Prompt-cached, 0)
+	o.queuedTokens = b.unreadTokens(now, e)
 	factor, overdue := e.factor.Get(now), e.overdue(now)
-	o.wait = scale(fit.Wait(o.ahead+o.reading), factor) + overdue
-	o.queue = scale(fit.Reading(o.ahead), factor) + overdue
-	o.price += weights.Waiting*float64(e.own.unread) + weights.Reading*float64(o.reading) +
+	o.wait = scale(fit.Wait(o.queuedTokens+o.prefillTokens), factor) + overdue
+	o.queue = scale(fit.Reading(o.queuedTokens), factor) + overdue
+	o.price += weights.Waiting*float64(e.own.unread) + weights.Reading*float64(o.prefillTokens) +
 		weights.Running*float64(e.own.running) + weights.Late*fit.Tokens(fit.Late(o.wait, work.target()))
 	return o
 }
 
-// target is the time within which the first token should come.
+// target returns the time within which the first token should arrive.
 func (w *Work) target() time.Duration {
 	if w.Target <= 0 {
-		return usualTarget
+		return defaultTarget
 	}
 	return w.Target
 }
--- a/lib/balancer/recent.go
+++ b/lib/balancer/recent.go
@@ -3,27 +3,27 @@
 import "container/list"
 
 const (
-	// recentEach is how many engines are remembered of a part that requests share, and
-	// recentMost of how many parts, 150 bytes each.
-	recentEach = 4
-	recentMost = 4096
+	// recentEngines is the number of engines remembered for each prefix, and maxRecentPrefixes the
+	// number of prefixes, at 150 bytes each.
+	recentEngines     = 4
+	maxRecentPrefixes = 4096
 )
 
-// recent remembers to which engines requests were sent that share a part, the parts used least
-// recently forgotten first. Its zero value is empty.
-type recent struct {
-	order list.List // of *sharing, the one used last in front
+// recentUses records the engines to which requests with the same prefix were sent. It evicts the
+// least recently used prefixes. Its zero value is empty.
+type recentUses struct {
+	order list.List // of *prefixUse, most recently used first
 	byKey map[uint64]*list.Element
 }
 
-type sharing struct {
-	key uint64
-	at  []*endpoint // the latest first
+type prefixUse struct {
+	key     uint64
+	engines []*endpoint // latest first
 }
 
-// note remembers that a prompt was sent to an engine.
-func (r *recent) note(work *Work, e *endpoint) {
-	key, shares := work.sharing()
+// add records that a prompt was sent to an engine.
+func (r *recentUses) add(work *Work, e *endpoint) {
+	key, shares := work.prefixKey()
 	if !shares {
 		return
 	}
@@ -32,27 +32,27 @@
 	}
 	known, found := r.byKey[key]
 	if !found {
-		known = r.order.PushFront(&sharing{key: key})
+		known = r.order.PushFront(&prefixUse{key: key})
 		r.byKey[key] = known
 	}
 	r.order.MoveToFront(known)
-	s := known.Value.(*sharing)
-	at := []*endpoint{e}
-	for _, other := range s.at {
-		if other != e && len(at) < recentEach {
-			at = append(at, other)
+	s := known.Value.(*prefixUse)
+	engines := []*endpoint{e}
+	for _, other := range s.engines {
+		if other != e && len(engines) < recentEngines {
+			engines = append(engines, other)
 		}
 	}
-	s.at = at
-	if r.order.Len() > recentMost {
-		oldest := r.order.Remove(r.order.Back()).(*sharing)
+	s.engines = engines
+	if r.order.Len() > maxRecentPrefixes {
+		oldest := r.order.Remove(r.order.Back()).(*prefixUse)
 		delete(r.byKey, oldest.key)
 	}
 }
 
-// get returns the engines that prompts with the same part were sent to.
-func (r *recent) get(work *Work) []*endpoint {
-	key, shares := work.sharing()
+// get returns the engines to which prompts with the same prefix were sent, latest first.
+func (r *recentUses) get(work *Work) []*endpoint {
+	key, shares := work.prefixKey()
 	if !shares {
 		return nil
 	}
@@ -60,12 +60,13 @@
 	if !found {
 		return nil
 	}
-	return known.Value.(*sharing).at
+	return known.Value.(*prefixUse).engines
 }
 
-// sharing names what a prompt shares with others, by all parts but the last.
-func (w *Work) sharing() (key uint64, shares bool) {
-	shared := Work{Model: w.Model, Parts: w.shared()}
+// prefixKey returns a key of the prefix that a prompt shares with others, all parts but the last,
+// and whether it has such a prefix.
+func (w *Work) prefixKey() (key uint64, shares bool) {
+	shared := Work{Model: w.Model, Parts: w.sharedParts()}
 	chain(&shared, func(at uint64, _ Part) bool {
 		key, shares = at, true
 		return true
--- a/lib/balancer/slot.go
+++ b/lib/balancer/slot.go
@@ -7,119 +7,121 @@
 	"time"
 )
 
-// Slot is one request at an endpoint.
+// Slot is a request's place at an endpoint.
 type Slot struct {
 	ID      string
 	Address netip.AddrPort
-	// Version is that of the endpoint's software, empty if it is not known.
+	// Version is the software version of the endpoint, empty if it is not known.
 	Version string
-	// Reading is how many tokens the engine probably has to read.
-	Reading int
-	// Wait is how long the first token probably takes, and Queue the part of it for
-	// which the engine reads what was sent before.
-	Wait, Queue time.Duration
-	// Doubt is what spoke against the endpoint when it was chosen, "none" if nothing did, and
-	// Pause how much of its pause was left.
-	Doubt string
-	Pause time.Duration
+	// PrefillTokens is the number of tokens that the engine probably has to read.
+	PrefillTokens int
+	// ExpectedWait is the expected time to the first token, and ExpectedQueue the part of it in
+	// which the engine reads what was sent earlier.
+	ExpectedWait, ExpectedQueue time.Duration
+	// HealthPenalty names the penalty of the endpoint when it was chosen, "none" if it had none,
+	// and Pause is the time that remained of its pause.
+	HealthPenalty string
+	Pause         time.Duration
 
-	balancer *Balancer
-	endpoint *endpoint
-	sent     time.Time
-	ahead    int // tokens that were unread there
-	// objective is that of a call of a plain service, 0 for others.
-	objective time.Duration
-	reading   bool
-	ended     bool
-	probe     bool
+	balancer     *Balancer
+	endpoint     *endpoint
+	sentAt       time.Time
+	queuedTokens int // tokens that were unread there
+	// objective is the target latency of a plain call, 0 for other requests.
+	objective        time.Duration
+	awaitsFirstToken bool
+	ended            bool
+	probe            bool
 }
 
-// Outcome says how a request left its endpoint.
+// Outcome is the way a request ended at its endpoint.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a request.
 const (
-	// Served is an answer of the endpoint that was whole.
+	// Served means that the endpoint sent a complete answer.
 	Served Outcome = iota + 1
-	// Faulty is an answer that says that the endpoint failed.
+	// Faulty means that the endpoint answered with an error of its own.
 	Faulty
-	// Broken is a connection that broke.
-	Broken
-	// Unreached is a connection that could not be made.
-	Unreached
-	// Late is a connection that was not made in time by a router that is late itself.
-	Late
-	// Full is a refusal because the endpoint has no room.
+	// ConnectionBroken means that the connection broke after it was made.
+	ConnectionBroken
+	// ConnectFailed means that no connection could be made.
+	ConnectFailed
+	// ConnectLate means that no connection was made in time, but that the router itself is
+	// overloaded and may be the cause.
+	ConnectLate
+	// Full means that the endpoint refused the request for lack of room.
 	Full
-	// Wrong is the answer of another instance at that address.
-	Wrong
-	// Withdrawn is a request whose client left; it says nothing of the endpoint.
-	Withdrawn
+	// WrongInstance means that another instance answered at the address.
+	WrongInstance
+	// Cancelled means that the client left; it says nothing about the endpoint.
+	Cancelled
 )
 
-// connected tells whether the outcome shows that the endpoint listens.
-func (o Outcome) connected() bool {
-	return o == Served || o == Faulty || o == Full || o == Wrong
+// provesReachable returns whether the outcome proves that the endpoint accepts connections.
+func (o Outcome) provesReachable() bool {
+	return o == Served || o == Faulty || o == Full || o == WrongInstance
 }
 
-// Heard notes that the endpoint sends its answer, and so has read the prompt.
-func (s *Slot) Heard(now time.Time) {
+// NoteResponse records that the endpoint sent data of its answer, and so has read the prompt.
+func (s *Slot) NoteResponse(now time.Time) {
 	s.balancer.mutex.Lock()
 	defer s.balancer.mutex.Unlock()
-	s.endpoint.heard, s.endpoint.closed = now, false
+	s.endpoint.lastActivity, s.endpoint.connectFailed = now, false
 	s.endProbe(now)
-	s.balancer.reached(s.endpoint)
-	if s.reading && len(s.endpoint.unread) > 0 {
-		s.learn(now)
+	s.balancer.noteReachable(s.endpoint)
+	if s.awaitsFirstToken && len(s.endpoint.awaiting) > 0 {
+		s.observeWait(now)
 	}
-	if s.reading && s.objective > 0 {
-		s.endpoint.pressure.answered(now.Sub(s.sent), s.objective)
+	if s.awaitsFirstToken && s.objective > 0 {
+		s.endpoint.pressure.observeAnswer(now.Sub(s.sentAt), s.objective)
 	}
-	s.began()
+	s.endPrefill()
 }
 
-// endProbe lets others be sent to an endpoint that has begun to answer its probe. Until the
-// end of a stream it would be idle for seconds.
+// endProbe allows other requests to an endpoint that has begun to answer its probe. Waiting for the
+// end of the answer would leave it idle for seconds during a stream.
 func (s *Slot) endProbe(now time.Time) {
 	if !s.probe {
 		return
 	}
 	s.probe, s.endpoint.probing = false, false
-	if !now.Before(s.endpoint.until) {
-		s.endpoint.until = time.Time{}
+	if !now.Before(s.endpoint.pausedUntil) {
+		s.endpoint.pausedUntil = time.Time{}
 	}
 }
 
-// learn takes the wait for the first token.
-func (s *Slot) learn(now time.Time) {
-	fit, waited := s.balancer.fit(s.endpoint.Service), now.Sub(s.sent)
-	s.endpoint.factor.Observe(now, waited, fit.Wait(s.ahead+s.Reading))
-	fit.Observe(s.ahead+s.Reading, waited)
-	fit.Deviate(waited - s.Wait)
+// observeWait updates the prefill model with the wait for the first token.
+func (s *Slot) observeWait(now time.Time) {
+	fit, waited := s.balancer.fit(s.endpoint.Service), now.Sub(s.sentAt)
+	s.endpoint.factor.Observe(now, waited, fit.Wait(s.queuedTokens+s.PrefillTokens))
+	fit.Observe(s.queuedTokens+s.PrefillTokens, waited)
+	fit.Deviate(waited - s.ExpectedWait)
 }
 
-// Dark tells whether the endpoint has sent nothing at all for a time, on any of
-// this router's connections. One that is only slow still sends to others.
-func (s *Slot) Dark(now time.Time, limit time.Duration) bool {
+// EndpointSilent returns whether the endpoint has sent nothing for at least limit on any of this
+// router's connections. An endpoint that is only slow still sends data for other requests.
+func (s *Slot) EndpointSilent(now time.Time, limit time.Duration) bool {
 	s.balancer.mutex.Lock()
 	defer s.balancer.mutex.Unlock()
-	return now.Sub(s.endpoint.heard) >= limit
+	return now.Sub(s.endpoint.lastActivity) >= limit
 }
 
-// Life is done once the endpoint has started again: what ran in the slot has ended.
-func (s *Slot) Life() context.Context {
-	return s.endpoint.life
+// EndpointLifetime returns a context that is done once the endpoint has restarted: the request of
+// the slot has ended with the previous lifetime.
+func (s *Slot) EndpointLifetime() context.Context {
+	return s.endpoint.lifetime
 }
 
-func (s *Slot) began() {
-	if s.reading {
-		s.reading = false
-		s.endpoint.own.unread -= s.Reading
-		s.endpoint.unread = slices.DeleteFunc(s.endpoint.unread, func(other *Slot) bool { return other == s })
+func (s *Slot) endPrefill() {
+	if s.awaitsFirstToken {
+		s.awaitsFirstToken = false
+		s.endpoint.own.unread -= s.PrefillTokens
+		s.endpoint.awaiting = slices.DeleteFunc(s.endpoint.awaiting, func(other *Slot) bool { return other == s })
 	}
 }
 
-// End gives the slot back. Later calls do nothing.
+// End releases the slot. Later calls do nothing.
 func (s *Slot) End(now time.Time, outcome Outcome) {
 	s.balancer.mutex.Lock()
 	defer s.balancer.mutex.Unlock()
@@ -127,45 +129,45 @@
 		return
 	}
 	s.ended = true
-	s.began()
+	s.endPrefill()
 	e := s.endpoint
 	e.own.running--
 	if s.probe {
 		e.probing = false
 	}
-	if outcome.connected() {
-		e.closed = false
+	if outcome.provesReachable() {
+		e.connectFailed = false
 	}
 	switch outcome {
 	case Served:
-		e.failed *= 1 - memory
-		e.pauses, e.until = 0, time.Time{}
-		if e.backsOff(now) {
-			e.until = e.backoff
+		e.failureShare *= 1 - failureWeight
+		e.consecutiveFailures, e.pausedUntil = 0, time.Time{}
+		if e.inBackoff(now) {
+			e.pausedUntil = e.backoffUntil
 		}
-	case Faulty, Broken:
-		e.failed = e.failed*(1-memory) + memory
-		if outcome == Broken || s.balancer.faulty(e) {
+	case Faulty, ConnectionBroken:
+		e.failureShare = e.failureShare*(1-failureWeight) + failureWeight
+		if outcome == ConnectionBroken || s.balancer.failsMoreThanUsual(e) {
 			e.pause(now)
 		}
-	case Unreached:
-		e.closed = true
+	case ConnectFailed:
+		e.connectFailed = true
 		e.pause(now)
-		s.balancer.unreached(now, e)
-	case Full, Wrong, Late:
+		s.balancer.noteUnreachable(now, e)
+	case Full, WrongInstance, ConnectLate:
 		e.pause(now)
 		if outcome == Full && s.objective > 0 {
-			e.pressure.turnedAway(s.objective)
+			e.pressure.observeFull(s.objective)
 		}
 	}
 }
 
-// pause keeps new work away for a while.
+// pause stops new requests to the endpoint, for longer with each consecutive failure.
 func (e *endpoint) pause(now time.Time) {
-	if now.Before(e.until) {
-		return // failures of requests that were sent before the pause began
+	if now.Before(e.pausedUntil) {
+		return // failures of requests sent before the pause began do not extend it
 	}
-	length := min(firstPause<<min(e.pauses, 10), longestPause)
-	e.pauses++
-	e.until = now.Add(length)
+	length := min(initialPause<<min(e.consecutiveFailures, 10), maxPause)
+	e.consecutiveFailures++
+	e.pausedUntil = now.Add(length)
 }
--- a/router/internal/director/director.go
+++ b/router/internal/director/director.go
@@ -117,13 +117,13 @@
 	d.reader = newsreader.New(newsreader.Options{
 		Name: settings.Name, Zone: settings.Zone, Dialect: dialect, Clock: clock, Log: log, Dial: d.dial,
 		Endpoints: d.endpoints, Plan: d.plan, Routers: d.routers,
-		Uses: func() map[string]apportioner.Use { return d.shares.Uses(clock.Now()) }, Loads: d.balancer.Unread, Fleet: d.fleet,
+		Uses: func() map[string]apportioner.Use { return d.shares.Uses(clock.Now()) }, Loads: d.balancer.UnreadTokens, Fleet: d.fleet,
 		Backlog: func() time.Duration { return d.backlog(clock.Now()) },
-		Homes:   d.balancer.Homes,
+		Homes:   d.balancer.SetSampling,
 		Begun:   d.streams.Report, Told: d.streams.Told, Untold: d.streams.Lost,
-		Evacuated: func(zones []string) { d.balancer.Evacuate(clock.Now(), zones) },
+		Evacuated: func(zones []string) { d.balancer.SetEvacuatedZones(clock.Now(), zones) },
 		Rations: func(asked time.Time, keeper netip.AddrPort, rations []balancer.Ration) {
-			d.balancer.Take(clock.Now(), asked, keeper, rations)
+			d.balancer.TakeLeases(clock.Now(), asked, keeper, rations)
 		},
 	})
 	d.news = subscriber.New(subscriber.Options{
@@ -183,11 +183,11 @@
 
 // plan prepares for a configuration that is about to be in force.
 func (d *Director) plan(table *resolver.Table) {
-	d.shares.Capacity(table.Limits().Rate)
+	d.shares.SetCapacity(table.Limits().Rate)
 	for name, service := range table.Services() {
-		d.balancer.Cold(name, service.Cold)
+		d.balancer.SetColdLimit(name, service.Cold)
 		if service.Engine != nil {
-			d.balancer.Remember(name, service.Engine.Tokens)
+			d.balancer.SetCacheCapacity(name, service.Engine.Tokens)
 		}
 	}
 }
@@ -198,8 +198,8 @@
 // give.
 func (d *Director) fleet(fleet newsreader.Fleet) {
 	now := d.clock.Now()
-	d.balancer.Others(now, fleet.Loads)
-	d.shares.Demand(now, fleet.Uses, fleet.Backlog)
+	d.balancer.SetOtherLoads(now, fleet.Loads)
+	d.shares.SetFleetUse(now, fleet.Uses, fleet.Backlog)
 }
 
 // backlog returns how long the engines still read what they have been sent, of the
@@ -222,8 +222,8 @@
 func (d *Director) routers(count int) {
 	d.shedder.routers.Store(int64(count))
 	d.budget.Share(count)
-	d.shares.Routers(count)
-	d.balancer.Routers(count)
+	d.shares.SetRouterCount(count)
+	d.balancer.SetRouterCount(count)
 	rate := d.rate.take(d.clock.Now(), d.passer.Taken())
 	d.news.Pace(d.waits(rate, count, d.news.Keepers()))
 }
--- a/router/internal/director/metrics.go
+++ b/router/internal/director/metrics.go
@@ -32,19 +32,19 @@
 		return d.backlog(d.clock.Now()).Seconds()
 	})
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_sums_age_seconds", Help: "How old the sums are that shares rest on; from 3 on this router keeps the part of each workspace's demand that was last its own."}, func() float64 {
-		return d.shares.Age(d.clock.Now()).Seconds()
+		return d.shares.SumsAge(d.clock.Now()).Seconds()
 	})
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_evacuated_zones", Help: "Zones whose endpoints get no new work."}, func() float64 {
-		return float64(d.balancer.Evacuated())
+		return float64(d.balancer.CountEvacuatedZones())
 	})
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_cold_endpoints", Help: "Endpoints that are cold and bear few requests."}, func() float64 {
-		return float64(d.balancer.Rationed(d.clock.Now()))
+		return float64(d.balancer.CountRationed(d.clock.Now()))
 	})
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_backed_off_endpoints", Help: "Endpoints that have asked this router for backoff and get nothing from it."}, func() float64 {
-		return float64(d.balancer.BackedOff(d.clock.Now()))
+		return float64(d.balancer.CountBackedOff(d.clock.Now()))
 	})
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_pressed_endpoints", Help: "Endpoints of plain services from which this router keeps a part of the calls away, as they answer late or have no room."}, func() float64 {
-		return float64(d.balancer.Pressing())
+		return float64(d.balancer.CountThrottled())
 	})
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_starts", Help: "Requests a second that this router may start now."}, d.pacer.Starts.Value)
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_away", Help: "1 while new clients are sent to other routers."}, func() float64 {
--- a/router/internal/director/shedder.go
+++ b/router/internal/director/shedder.go
@@ -58,7 +58,7 @@
 func (d *Director) shed() {
 	now := d.clock.Now()
 	refused := d.passer.Crowding(now)
-	own, fleet := d.shares.Unheard(now)
+	own, fleet := d.shares.ShedRates(now)
 	if d.shedder.look(now, refused, own, fleet) {
 		d.log.Warn().Bool("away", d.shedder.away.Load()).Float64("refused", refused).Float64("own", own).Float64("fleet", fleet).
 			Int64("routers", d.shedder.routers.Load()).Msg("readiness for new clients changed")
--- a/router/internal/director/shedder_test.go
+++ b/router/internal/director/shedder_test.go
@@ -47,7 +47,7 @@
 
 func TestFloodedRouterIsNotReady(t *testing.T) {
 	i := newInstanceOf(t, `{"name":"desk","engine":{"slots":1,"kv_capacity_tokens":1000}}`)
-	i.shares.Capacity(1000)
+	i.shares.SetCapacity(1000)
 	i.routers(64)
 	require.True(t, i.ready())
 	for range 1 + crowdedTime/sweepPause {
--- a/router/internal/newsreader/fleet.go
+++ b/router/internal/newsreader/fleet.go
@@ -39,7 +39,7 @@
 	}
 	for _, use := range news.GetUses() {
 		fleet.Uses[use.GetWorkspace()] = apportioner.Use{
-			Asked: scaled(use.GetAsked(), scale), Got: scaled(use.GetGot(), scale), Unheard: scaled(use.GetUnheard(), scale),
+			Demand: scaled(use.GetAsked(), scale), Served: scaled(use.GetGot(), scale), Shed: scaled(use.GetUnheard(), scale),
 		}
 	}
 	for _, at := range news.GetLoads() {
--- a/router/internal/newsreader/newsreader.go
+++ b/router/internal/newsreader/newsreader.go
@@ -133,7 +133,7 @@
 func (r *Reader) account(request *messenger.FollowRequest) {
 	if r.options.Uses != nil {
 		for workspace, use := range r.options.Uses() {
-			request.Uses = append(request.Uses, &messenger.Use{Workspace: workspace, Asked: use.Asked, Got: use.Got, Unheard: use.Unheard})
+			request.Uses = append(request.Uses, &messenger.Use{Workspace: workspace, Asked: use.Demand, Got: use.Served, Unheard: use.Shed})
 		}
 	}
 	if r.options.Loads != nil {
--- a/router/internal/passer/admission.go
+++ b/router/internal/passer/admission.go
@@ -112,14 +112,14 @@
 	d := p.options.Shares.Admit(q.received, q.workspace, tokens, q.late())
 	if !d.Admitted {
 		p.usedUp(q, d)
-		p.refuse(q, byShare, http.StatusTooManyRequests, noShare, max(d.Pause, retrySoon))
+		p.refuse(q, byShare, http.StatusTooManyRequests, noShare, max(d.RetryAfter, retrySoon))
 		return false
 	}
-	q.spare = d.Spare
+	q.spare = d.BestEffort
 	if !p.keepsOthersWaiting(q) {
 		return true
 	}
-	p.options.Shares.Return(q.workspace, tokens, true)
+	p.options.Shares.Refund(q.workspace, tokens, true)
 	p.refuse(q, byEngines, http.StatusTooManyRequests, "the workspace has used its share, and engines are busy", retryBusy)
 	return false
 }
@@ -137,8 +137,8 @@
 	p.press(q.received)
 	if p.quietly.Admit(q.received, p.options.Log) {
 		p.options.Log.Info().Str("id", q.in.ID).Str("workspace", q.workspace).Int("tokens", q.tokens()).
-			Float64("asked", d.Asked).Float64("share", d.Share).Float64("local", d.Local).Float64("stretch", d.Stretch).
-			Dur("backlog_ms", d.Backlog).Dur("age_ms", d.Age).Dur("pause_ms", d.Pause).Msg("share used up")
+			Float64("asked", d.Demand).Float64("share", d.Share).Float64("local", d.LocalShare).Float64("stretch", d.Stretch).
+			Dur("backlog_ms", d.Backlog).Dur("age_ms", d.Age).Dur("pause_ms", d.RetryAfter).Msg("share used up")
 	}
 }
 
--- a/router/internal/passer/answer.go
+++ b/router/internal/passer/answer.go
@@ -109,7 +109,7 @@
 		_, err = q.writer.Write(begin)
 	}
 	if err != nil {
-		return &ending{outcome: balancer.Withdrawn, reason: "the client left: " + err.Error()}
+		return &ending{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
 	}
 	if _, err := io.Copy(q.writer, x.Body); err != nil {
 		e := p.failed(ctx, q, merry.Errorf("%w: %w", forwarder.ErrBroken, err))
@@ -118,7 +118,7 @@
 		return e
 	}
 	if err := q.end.Whole(http.NewResponseController(q.writer)); err != nil {
-		return &ending{outcome: balancer.Withdrawn, reason: "the client left: " + err.Error()}
+		return &ending{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
 	}
 	return nil
 }
--- a/router/internal/passer/attempt.go
+++ b/router/internal/passer/attempt.go
@@ -34,13 +34,13 @@
 	slot := p.options.Balancer.Pick(now, q.service, &q.in.Work, tried)
 	if slot == nil {
 		e := &ending{unsent: true, nowhere: true, reason: "no endpoint of the service takes work"}
-		if p.options.Balancer.Takes(now, q.service, &q.in.Work, tried) {
+		if p.options.Balancer.HasAvailable(now, q.service, &q.in.Work, tried) {
 			e.pressed, e.reason = true, noRoom
 		}
 		return e
 	}
 	q.tried[slot.ID] = true
-	q.endpoint, q.reading, q.queue, q.expected = slot.ID, slot.Reading, slot.Queue, slot.Wait
+	q.endpoint, q.reading, q.queue, q.expected = slot.ID, slot.PrefillTokens, slot.ExpectedQueue, slot.ExpectedWait
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	q.said = forwarder.Answer{}
@@ -49,14 +49,14 @@
 	if next != nil {
 		outcome = next.outcome
 	}
-	if ctx.Err() != nil && (outcome == balancer.Broken || outcome == balancer.Unreached) {
-		outcome = balancer.Withdrawn // the request's time was over, or its client left
+	if ctx.Err() != nil && (outcome == balancer.ConnectionBroken || outcome == balancer.ConnectFailed) {
+		outcome = balancer.Cancelled // the request's time was over, or its client left
 	}
 	slot.End(p.options.Clock.Now(), outcome)
 	if next != nil {
 		p.options.Log.Info().Str("id", q.in.ID).Str("endpoint", slot.ID).Str("reason", next.reason).
 			Bool("unsent", next.unsent).Bool("not_run", next.notRun).Int("sends", q.sends).
-			Str("doubt", slot.Doubt).Dur("pause_ms", slot.Pause).Dur("backoff_ms", q.said.Backoff).Bool("leaving", q.said.Leaving).
+			Str("doubt", slot.HealthPenalty).Dur("pause_ms", slot.Pause).Dur("backoff_ms", q.said.Backoff).Bool("leaving", q.said.Leaving).
 			Msg("attempt ended without an answer")
 	}
 	return next
@@ -71,11 +71,11 @@
 	}
 	watch := p.watch(q, slot, cancel)
 	defer watch.stop()
-	unlink := context.AfterFunc(slot.Life(), func() { cancel(errRestarted) })
+	unlink := context.AfterFunc(slot.EndpointLifetime(), func() { cancel(errRestarted) })
 	defer unlink()
 	x, err := p.options.Client.Do(ctx, slot.Address, out, func() bool {
 		// The context's timer may be as late as the process is: the clock is asked.
-		if now := p.options.Clock.Now(); ctx.Err() != nil || !now.Before(q.until) || !slot.Open(now) || gone(q.http.Context()) {
+		if now := p.options.Clock.Now(); ctx.Err() != nil || !now.Before(q.until) || !slot.StillAccepts(now) || gone(q.http.Context()) {
 			return false
 		}
 		q.sends++
@@ -92,7 +92,7 @@
 		return p.declined(q, x, answer)
 	}
 	if x.StatusCode < http.StatusMultipleChoices && !answer.Signed {
-		return &ending{outcome: balancer.Broken, reason: "the endpoint's success is not signed"}
+		return &ending{outcome: balancer.ConnectionBroken, reason: "the endpoint's success is not signed"}
 	}
 	if q.route.Kind == resolver.Stream && x.StatusCode == http.StatusOK {
 		return p.relayStream(ctx, q, slot, x, watch)
@@ -106,7 +106,7 @@
 	if answer.Backoff > 0 && slot.BackOff(p.options.Clock.Now(), answer.Backoff) {
 		p.options.Log.Info().Str("endpoint", slot.ID).Dur("backoff_ms", answer.Backoff).Msg("endpoint asks for backoff")
 	}
-	if answer.Leaving && slot.Leave() {
+	if answer.Leaving && slot.MarkLeaving() {
 		p.options.Log.Info().Str("endpoint", slot.ID).Msg("endpoint says in an answer that it leaves")
 	}
 	if answer.Unread != nil {
@@ -116,7 +116,7 @@
 
 // failed is the ending of an attempt without an answer.
 func (p *Passer) failed(ctx context.Context, q *request, err error) *ending {
-	e := &ending{outcome: balancer.Broken, reason: err.Error()}
+	e := &ending{outcome: balancer.ConnectionBroken, reason: err.Error()}
 	switch {
 	case errors.Is(err, forwarder.ErrUnsent):
 		e.unsent, e.outcome = true, p.unsent(err)
@@ -143,11 +143,11 @@
 	var dialed net.Error
 	switch {
 	case errors.Is(err, forwarder.ErrWithdrawn):
-		return balancer.Withdrawn
+		return balancer.Cancelled
 	case errors.As(err, &dialed) && dialed.Timeout() && p.options.Lags != nil && p.options.Lags():
-		return balancer.Late
+		return balancer.ConnectLate
 	}
-	return balancer.Unreached
+	return balancer.ConnectFailed
 }
 
 // declined is the ending of an attempt that the endpoint did not run.
@@ -157,7 +157,7 @@
 	}
 	e := &ending{outcome: balancer.Full, notRun: true, reason: "the endpoint refused it with " + strconv.Itoa(x.StatusCode)}
 	if answer.Misdirected {
-		e.outcome = balancer.Wrong
+		e.outcome = balancer.WrongInstance
 	}
 	return e
 }
@@ -165,12 +165,12 @@
 // heard notes that the endpoint sends its answer.
 func (p *Passer) heard(q *request, slot *balancer.Slot) {
 	now := p.options.Clock.Now()
-	slot.Heard(now)
+	slot.NoteResponse(now)
 	if q.answered {
 		return
 	}
 	q.answered = true
 	if p.sharesEngines(q) {
-		p.options.Shares.Begin(now, q.workspace, float64(q.tokens()))
+		p.options.Shares.CountServed(now, q.workspace, float64(q.tokens()))
 	}
 }
--- a/router/internal/passer/backoff_test.go
+++ b/router/internal/passer/backoff_test.go
@@ -225,7 +225,7 @@
 	next := b.passer.exchange(ctx, cancel, q, slot)
 	require.NotNil(t, next)
 	require.True(t, next.unsent)
-	require.Equal(t, balancer.Withdrawn, next.outcome)
+	require.Equal(t, balancer.Cancelled, next.outcome)
 	require.Zero(t, s.got())
 	clock.Advance(time.Second)
 	require.Nil(t, b.passer.exchange(ctx, cancel, q, slot))
--- a/router/internal/passer/begun_test.go
+++ b/router/internal/passer/begun_test.go
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBed(t)
 			b.news.table.Store(engineTable(t))
-			b.shares.Capacity(1e6)
+			b.shares.SetCapacity(1e6)
 			ctx, cancel := context.WithCancel(t.Context())
 			b.endpoint(func(conn net.Conn, request *http.Request) {
 				if test.leave {
@@ -49,8 +49,8 @@
 			cancel()
 			require.Eventually(t, func() bool { return b.passer.Running() == 0 }, patience, tick)
 			use := b.shares.Uses(time.Now())["club"]
-			require.NotZero(t, use.Asked)
-			require.Equal(t, test.got, use.Got > 0)
+			require.NotZero(t, use.Demand)
+			require.Equal(t, test.got, use.Served > 0)
 		})
 	}
 }
--- a/router/internal/passer/ledger.go
+++ b/router/internal/passer/ledger.go
@@ -115,10 +115,10 @@
 		if e.held() == 0 {
 			return
 		}
-		standing := shares.Standing(e.workspace)
+		standing := shares.Shares(e.workspace)
 		log.Info().Str("workspace", e.workspace).Dur("span_ms", now.Sub(l.since)).Int("begun", e.begun).
 			Int("by_share", e.refused[byShare]).Int("by_engines", e.refused[byEngines]).Int("by_router", e.refused[byRouter]).
 			Int("by_endpoints", e.refused[byEndpoints]).Int("unanswered", e.refused[passed]).
-			Uint64("fleet", standing.Got).Float64("owed", standing.Owed).Float64("most", standing.Most).Msg("workspace held back")
+			Uint64("fleet", standing.Served).Float64("owed", standing.Guaranteed).Float64("most", standing.Maximum).Msg("workspace held back")
 	}
 }
--- a/router/internal/passer/ledger_test.go
+++ b/router/internal/passer/ledger_test.go
@@ -23,8 +23,8 @@
 	var l ledger
 	var shares apportioner.Apportioner
 	now := time.Unix(1000, 0)
-	shares.Capacity(1000)
-	shares.Demand(now, map[string]apportioner.Use{"club": {Asked: 9000, Got: 250}}, 0)
+	shares.SetCapacity(1000)
+	shares.SetFleetUse(now, map[string]apportioner.Use{"club": {Demand: 9000, Served: 250}}, 0)
 	add := func(workspace string, tokens, sends int, by verdict) {
 		l.add(now, log, &shares, &request{
 			workspace: workspace, sends: sends, refused: by,
--- a/router/internal/passer/odds.go
+++ b/router/internal/passer/odds.go
@@ -88,7 +88,7 @@
 // pressurePause returns when a client may come back whose call found no room at a plain service. As long
 // as it is likely to be let in then, it comes back soon enough to be in time.
 func (p *Passer) pressurePause(q *request) time.Duration {
-	pressed := p.options.Balancer.Pressed(q.service)
+	pressed := p.options.Balancer.RejectionShare(q.service)
 	if pressed <= likelyRefused && !q.late() {
 		return retrySoon
 	}
--- a/router/internal/passer/passer.go
+++ b/router/internal/passer/passer.go
@@ -239,7 +239,7 @@
 			// What engines decline stays counted. While they take little, that goes by how often it is
 			// tried, and a flood would try many times as often as everybody else.
 			if !q.answered && !next.notRun && p.sharesEngines(q) {
-				p.options.Shares.Return(q.workspace, float64(q.tokens()), q.spare)
+				p.options.Shares.Refund(q.workspace, float64(q.tokens()), q.spare)
 			}
 			p.giveUp(ctx, q, *next)
 			return
@@ -294,7 +294,7 @@
 	case !q.ran && e.pressed:
 		p.refuse(q, byPressure, http.StatusServiceUnavailable, e.reason, p.pressurePause(q))
 	case !q.ran:
-		left := p.options.Balancer.BackoffLeft(p.options.Clock.Now(), q.service, &q.in.Work)
+		left := p.options.Balancer.BackoffRemaining(p.options.Clock.Now(), q.service, &q.in.Work)
 		p.refuse(q, byEndpoints, http.StatusServiceUnavailable, e.reason, max(retrySoon, left))
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		p.fail(q, http.StatusGatewayTimeout, "no answer in time")
--- a/router/internal/passer/restart_test.go
+++ b/router/internal/passer/restart_test.go
@@ -87,6 +87,6 @@
 	b.t.Helper()
 	slot := b.balance.Pick(time.Now(), "desk", &balancer.Work{}, func(other string) bool { return other != id })
 	require.NotNil(b.t, slot)
-	defer slot.End(time.Now(), balancer.Withdrawn)
+	defer slot.End(time.Now(), balancer.Cancelled)
 	return lister.Listing{ID: id, Service: "desk", State: lister.Ready, Slots: 6, Address: slot.Address}
 }
--- a/router/internal/passer/screen.go
+++ b/router/internal/passer/screen.go
@@ -56,12 +56,12 @@
 	if !p.sharesEngines(q) {
 		return nil
 	}
-	d, refused := p.options.Shares.Refuses(q.received, q.workspace, float64(q.tokens()), q.late())
+	d, refused := p.options.Shares.WouldRefuse(q.received, q.workspace, float64(q.tokens()), q.late())
 	if !refused {
 		return nil
 	}
 	p.usedUp(q, d)
-	return &screener.Refusal{Status: http.StatusTooManyRequests, Reason: noShare, Retry: max(d.Pause, retrySoon)}
+	return &screener.Refusal{Status: http.StatusTooManyRequests, Reason: noShare, Retry: max(d.RetryAfter, retrySoon)}
 }
 
 // unheard counts a request that the router has no room for, and what it asks of its
@@ -69,6 +69,6 @@
 func (p *Passer) unheard(q *request) {
 	p.forRoom.Add(1)
 	if p.sharesEngines(q) {
-		p.options.Shares.Ask(q.received, q.workspace, float64(q.tokens()))
+		p.options.Shares.CountShed(q.received, q.workspace, float64(q.tokens()))
 	}
 }
--- a/router/internal/passer/screen_test.go
+++ b/router/internal/passer/screen_test.go
@@ -56,7 +56,7 @@
 			now := clock.Now()
 			news, shares := &stub{}, &apportioner.Apportioner{}
 			news.table.Store(compiled)
-			shares.Capacity(10_000)
+			shares.SetCapacity(10_000)
 			starts := &pacer.Rate{Begin: 100, Least: 100}
 			p := New(Options{
 				Dialect: platform.Dialect{}, News: news, Shares: shares, Client: &forwarder.Client{Clock: clock},
@@ -68,7 +68,7 @@
 				}
 			}
 			if test.used {
-				shares.Demand(now, map[string]apportioner.Use{"flood": {Asked: 1e6}, "small": {Asked: 10}}, time.Second)
+				shares.SetFleetUse(now, map[string]apportioner.Use{"flood": {Demand: 1e6}, "small": {Demand: 10}}, time.Second)
 				for shares.Admit(now, "flood", 1000, false).Admitted {
 				}
 			}
@@ -90,7 +90,7 @@
 			require.Equal(t, 1, len(p.ledger.entries))
 			require.Positive(t, p.ledger.entries["flood"].refused[test.by])
 			if test.path == "/draft/x" {
-				require.Greater(t, shares.Uses(now)["flood"].Asked, asked.Asked, "the fleet hears of it")
+				require.Greater(t, shares.Uses(now)["flood"].Demand, asked.Demand, "the fleet hears of it")
 			}
 			clock.Advance(screenFor + 1)
 			require.False(t, p.Screens(), "nobody was refused of late")
--- a/router/internal/passer/spare.go
+++ b/router/internal/passer/spare.go
@@ -19,7 +19,7 @@
 	if !q.spare {
 		return false
 	}
-	q.queue, q.expected = p.options.Balancer.Expect(q.received, q.service, &q.in.Work)
+	q.queue, q.expected = p.options.Balancer.Estimate(q.received, q.service, &q.in.Work)
 	target := float64(q.in.Work.Target)
 	return q.queue > time.Duration(spareQueue*target) || q.expected > time.Duration(spareWait*target)
 }
--- a/router/internal/passer/start_test.go
+++ b/router/internal/passer/start_test.go
@@ -58,11 +58,11 @@
 			b := newBed(t)
 			id := b.endpoint(answering("served"))
 			now := time.Now()
-			b.balance.Others(now, map[uint64]int{balancer.Key(lister.Listing{ID: id}): test.unread})
+			b.balance.SetOtherLoads(now, map[uint64]int{balancer.Key(lister.Listing{ID: id}): test.unread})
 			q := &request{received: now, service: "desk", route: &resolver.Route{Target: target}, spare: test.spare}
 			q.in.Work = balancer.Work{Model: "m", Prompt: test.prompt, Parts: []balancer.Part{{ID: 1, Tokens: test.prompt}}, Target: target}
 			require.Equal(t, test.want, b.passer.keepsOthersWaiting(q))
-			require.Empty(t, b.balance.Unread(), "nothing is noted of what is only asked")
+			require.Empty(t, b.balance.UnreadTokens(), "nothing is noted of what is only asked")
 		})
 	}
 }
--- a/router/internal/passer/stream.go
+++ b/router/internal/passer/stream.go
@@ -82,7 +82,7 @@
 			if split {
 				var err error
 				if piece, err = q.stream.take(piece); err != nil {
-					return &ending{outcome: balancer.Broken, reason: err.Error()}
+					return &ending{outcome: balancer.ConnectionBroken, reason: err.Error()}
 				}
 			}
 			if split && len(piece) > 0 {
@@ -90,7 +90,7 @@
 			}
 			if err := p.relayPiece(q, flusher, x, piece); err != nil {
 				q.sends = q.route.Attempts // what it would go on behind may not have arrived
-				return &ending{outcome: balancer.Withdrawn, reason: "the client left: " + err.Error()}
+				return &ending{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
 			}
 		}
 		if readErr == nil {
@@ -149,7 +149,7 @@
 		err = q.end.Whole(flusher)
 	}
 	if err != nil {
-		return &ending{outcome: balancer.Withdrawn, reason: "the client left: " + err.Error()}
+		return &ending{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
 	}
 	return nil
 }
--- a/router/internal/passer/takeup.go
+++ b/router/internal/passer/takeup.go
@@ -35,11 +35,11 @@
 
 // offers tells whether there is an endpoint where a stream of an origin may go on.
 func (p *Passer) offers(q *request, origin versioner.Origin) bool {
-	if p.options.Balancer.Offers(origin.Service, &q.in.Work) {
+	if p.options.Balancer.HasEligible(origin.Service, &q.in.Work) {
 		return true
 	}
 	p.options.Streams.Widen(q.http.Context(), origin)
-	return p.options.Balancer.Offers(origin.Service, &q.in.Work)
+	return p.options.Balancer.HasEligible(origin.Service, &q.in.Work)
 }
 
 // noteVersion notes at which software version a stream begins or goes on, so that it goes on
--- a/router/internal/passer/tries_test.go
+++ b/router/internal/passer/tries_test.go
@@ -18,10 +18,10 @@
 	b := newBedAt(t, clock)
 	b.news.table.Store(engineTable(t))
 	const capacity = 100_000
-	b.shares.Capacity(capacity)
-	b.shares.Routers(1)
-	flood := apportioner.Use{Asked: 100 * capacity}
-	b.shares.Demand(clock.Now(), map[string]apportioner.Use{"club": flood, "other": flood}, 0)
+	b.shares.SetCapacity(capacity)
+	b.shares.SetRouterCount(1)
+	flood := apportioner.Use{Demand: 100 * capacity}
+	b.shares.SetFleetUse(clock.Now(), map[string]apportioner.Use{"club": flood, "other": flood}, 0)
 	_, tries := b.shedding()
 	const asked = 200
 	for range asked {
--- a/router/internal/passer/unsent_test.go
+++ b/router/internal/passer/unsent_test.go
@@ -25,12 +25,12 @@
 		lags bool
 		want balancer.Outcome
 	}{
-		"refused":                     {refused, false, balancer.Unreached},
-		"refused, at a late router":   {refused, true, balancer.Unreached},
-		"not in time":                 {timeout, false, balancer.Unreached},
-		"not in time, a late router":  {timeout, true, balancer.Late},
-		"its client left":             {unsent(forwarder.ErrWithdrawn), false, balancer.Withdrawn},
-		"its client left, late there": {unsent(forwarder.ErrWithdrawn), true, balancer.Withdrawn},
+		"refused":                     {refused, false, balancer.ConnectFailed},
+		"refused, at a late router":   {refused, true, balancer.ConnectFailed},
+		"not in time":                 {timeout, false, balancer.ConnectFailed},
+		"not in time, a late router":  {timeout, true, balancer.ConnectLate},
+		"its client left":             {unsent(forwarder.ErrWithdrawn), false, balancer.Cancelled},
+		"its client left, late there": {unsent(forwarder.ErrWithdrawn), true, balancer.Cancelled},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/router/internal/passer/watch.go
+++ b/router/internal/passer/watch.go
@@ -36,7 +36,7 @@
 		now := p.options.Clock.Now()
 		switch {
 		case w.done.Load():
-		case slot.Dark(now, stall) && p.options.Budget.Spend(now, q.service):
+		case slot.EndpointSilent(now, stall) && p.options.Budget.Spend(now, q.service):
 			q.prepaid.Store(true)
 			cancel(errStalled)
 		default:
