--- a/bench/internal/policy/router.go
+++ b/bench/internal/policy/router.go
@@ -198,7 +198,7 @@
 		usual: make([]float64, workspaces), used: make(map[*engine]int),
 	}
 	for i := range d.usual {
-		d.usual[i] = estimator.Standard
+		d.usual[i] = estimator.DefaultCost
 	}
 	return d
 }
--- a/keeper/internal/server/directory.go
+++ b/keeper/internal/server/directory.go
@@ -131,7 +131,7 @@
 		}
 	}
 	d.taker = taker{}
-	d.lessor.Forget(now)
+	d.lessor.DropExpired(now)
 	widened := d.subset.count(d.list.Services())
 	for _, service := range widened {
 		d.list.Retell(service)
--- a/keeper/internal/server/metrics.go
+++ b/keeper/internal/server/metrics.go
@@ -31,7 +31,7 @@
 	gauge("leader", "1 while this keeper leads.", func(v *view) float64 { return truth(v.status.State == replicator.Leader) })
 	gauge("quorum", "1 while this keeper has contact with a quorum.", func(v *view) float64 { return truth(v.status.Quorum) })
 	gauge("disk_full", "1 while a full disk keeps this keeper out of the group.", func(v *view) float64 { return truth(v.full) })
-	gauge("late_seconds", "Mean time for which what is due waits; a late keeper holds polls for longer.", func(*view) float64 { return s.pacer.Late().Seconds() })
+	gauge("late_seconds", "Mean time for which what is due waits; a late keeper holds polls for longer.", func(*view) float64 { return s.pacer.Lateness().Seconds() })
 	gauge("term", "Term of the agreement.", func(v *view) float64 { return float64(v.status.Term) })
 	gauge("commit_index", "Highest log entry known to be committed.", func(v *view) float64 { return float64(v.status.Commit) })
 	gauge("applied_index", "Highest log entry applied.", func(v *view) float64 { return float64(v.applied) })
--- a/keeper/internal/server/rationing.go
+++ b/keeper/internal/server/rationing.go
@@ -123,7 +123,7 @@
 		}
 		rations = append(rations, &messenger.Ration{
 			Endpoint: p.endpoint, PauseMs: uint32((p.pause + time.Millisecond - 1) / time.Millisecond),
-			LeaseMs: uint32(rationer.Term / time.Millisecond),
+			LeaseMs: uint32(rationer.LeaseTerm / time.Millisecond),
 		})
 	}
 	return rations
@@ -140,7 +140,7 @@
 		for _, use := range f.report.GetUses() {
 			asked += use.GetAsked()
 		}
-		candidates = append(candidates, rationer.Candidate{Name: name, Asked: float64(asked)})
+		candidates = append(candidates, rationer.Candidate{Name: name, Demand: float64(asked)})
 	}
 	return candidates
 }
--- a/keeper/internal/server/rationing_bench_test.go
+++ b/keeper/internal/server/rationing_bench_test.go
@@ -29,7 +29,7 @@
 		listing.ColdUntil = began.Add(time.Hour)
 		d.beat(began, listing)
 	}
-	d.lessor.Begin(began.Add(-time.Hour))
+	d.lessor.Start(began.Add(-time.Hour))
 	for i := range 50 {
 		d.follow(began, &messenger.FollowRequest{Node: fmt.Sprint("router-", i), Uses: []*messenger.Use{{Workspace: "club", Asked: 1000}}})
 	}
--- a/keeper/internal/server/recalling.go
+++ b/keeper/internal/server/recalling.go
@@ -27,7 +27,7 @@
 // on, so that each keeper has all of them. Its zero value knows none. It is safe for
 // concurrent use.
 type streams struct {
-	memory versioner.Memory
+	memory versioner.Store
 
 	mutex  sync.Mutex
 	direct []arrival // in the order of their arrival
@@ -42,7 +42,7 @@
 // take takes what a router or another keeper tells.
 func (s *streams) take(now time.Time, request *messenger.FollowRequest) {
 	for _, record := range versioner.FromWire(request.GetBegun()) {
-		if s.memory.Note(now, record.Stream, record.Origin) && !request.GetKeeper() {
+		if s.memory.Add(now, record.Stream, record.Origin) && !request.GetKeeper() {
 			s.pass(arrival{at: now, record: record})
 		}
 	}
--- a/keeper/internal/server/server.go
+++ b/keeper/internal/server/server.go
@@ -173,7 +173,7 @@
 	server.seeds.Store(&seeds)
 	if s.Platform != nil {
 		server.directory.list.Interval = s.Platform.Heartbeat.Duration
-		server.directory.lessor.Begin(clock.Now())
+		server.directory.lessor.Start(clock.Now())
 	}
 	server.followed = subscriber.New(subscriber.Options{
 		Host: colleagues{Server: server, heard: &told{}}, Clock: clock, Log: log, Own: s.Address(), Wait: subscriber.LeastWait,
--- a/keeper/internal/server/shedding.go
+++ b/keeper/internal/server/shedding.go
@@ -30,7 +30,7 @@
 func (s *Server) tellLateness(before bool) bool {
 	late := s.pacer.Lags()
 	if late != before {
-		s.log.Info().Bool("late", late).Dur("late_ms", s.pacer.Late()).Int("followers", s.directory.size()).
+		s.log.Info().Bool("late", late).Dur("late_ms", s.pacer.Lateness()).Int("followers", s.directory.size()).
 			Msg("lateness changed; a late keeper holds polls for longer")
 	}
 	return late
--- a/keeper/internal/server/shedding_test.go
+++ b/keeper/internal/server/shedding_test.go
@@ -34,7 +34,7 @@
 			s := newServer(&seeded.settings, zerolog.Nop(), clock)
 			for range 20 {
 				if test.late {
-					s.pacer.Look(time.Second)
+					s.pacer.Observe(time.Second)
 				}
 			}
 			answered := func() <-chan *messenger.FollowResponse {
--- a/lib/accountant/accountant.go
+++ b/lib/accountant/accountant.go
@@ -1,23 +1,23 @@
-// Package accountant keeps one service counter per workspace, merged over all
-// schedulers of a service.
+// Package accountant keeps one service counter per workspace, merged over all schedulers of a
+// service.
 //
-// Every scheduler life is an origin with a row per workspace: units charged,
-// virtual units lifted and virtual units forgiven. A row only grows and only
-// its origin raises it, so rows are merged by maximum, and exchanges that are
-// lost, repeated or reordered change nothing but the time at which they count.
+// Each run of a scheduler process is an origin. It has a row per workspace: units charged, virtual
+// units lifted and virtual units forgiven. A row only grows and only its origin raises it, so that
+// rows are merged by maximum. Lost, repeated or reordered exchanges change only the time at which
+// rows count.
 //
 // A workspace's counter is
 //
 //	base + sum of charged/weight over origins + max lifted - max forgiven - absorbed
 //
-// where base is the collapsed history with which an origin joined. Lifting and
-// forgiving take the maximum, not the sum, because two origins that cannot see
-// one another lift the same workspace for the same reason. Absorbed is what the
-// maxima held when this ledger first saw them, and what it does not let count:
-// they are measured from the base of whoever lifted, which may be another one.
+// where base is the collapsed history with which an origin joined. Lifting and forgiving take the
+// maximum, not the sum, because two origins that cannot reach one another lift the same workspace
+// for the same reason. Absorbed is the part of these maxima that does not count in this ledger:
+// their values when the ledger first received them, and the units given to Absorb. Both were
+// measured from the base of the origin that lifted, which may differ from this ledger's.
 //
-// Invariants: charges count with the weight in force when they are learned, so
-// that a change of weight never rewrites the past; an origin's row counts once.
+// Invariants: charges count with the weight in force when this ledger learns of them, so that a
+// change of weight never rewrites the past; an origin's row counts once.
 package accountant
 
 import (
@@ -27,11 +27,11 @@
 	"time"
 )
 
-// Row is one workspace's row of an origin, or the collapsed rows of all.
+// Row is one workspace's row of an origin, or the collapsed rows of all origins.
 type Row struct {
 	Charged  uint64 // units
-	Lifted   uint64 // units by weight
-	Forgiven uint64 // units by weight
+	Lifted   uint64 // units divided by weight
+	Forgiven uint64 // units divided by weight
 }
 
 // Entry is a row with its workspace.
@@ -40,65 +40,67 @@
 	Row
 }
 
-// Limits of memory and of the exchange.
+// Limits of the memory and of the exchange.
 const (
-	// MaxAccounts bounds the workspaces with an account of their own; all
-	// beyond share one, which is unfair among them but bounded.
+	// MaxAccounts bounds the workspaces that have an account of their own. All further workspaces
+	// share one account, which is unfair among them but bounded.
 	MaxAccounts = 16384
-	// MaxOrigins bounds the remote scheduler lives whose rows are kept; the one
-	// heard least recently is dropped, which loses only its repeats.
+	// MaxOrigins bounds the remote origins whose rows are kept. The least recently received one is
+	// dropped, which loses only its resent rows.
 	MaxOrigins = 256
-	// absorbContact is how much contact with an origin it takes until a row seen
-	// for the first time is new and not older than this ledger. It exceeds
-	// the longest interval at which unchanged rows are sent again.
-	absorbContact = 90 * time.Second
-	// contactGap is the longest silence that counts as contact.
-	contactGap = time.Second
-	// rejoinSilence is the silence of an origin that counts as a cut, if it is also
-	// rejoinIntervals times as long as usual; rejoinTime is how long its rows after
-	// that bring what the cut held back.
+	// minContact is the duration of contact with an origin after which a row received for the first
+	// time is new, rather than older than this ledger. It exceeds the longest interval at which
+	// unchanged rows are resent.
+	minContact = 90 * time.Second
+	// maxContactGap is the longest silence that counts as contact.
+	maxContactGap = time.Second
+	// rejoinSilence is the silence of an origin that counts as a network partition, if it is also
+	// rejoinIntervals times as long as the origin's mean interval. rejoinTime is the period after
+	// the partition in which the origin's rows carry the charges that the partition held back.
+	// intervalGain is the EWMA weight of one interval, and maxInterval bounds the interval that is
+	// averaged.
 	rejoinSilence   = 2 * time.Second
 	rejoinIntervals = 4
 	rejoinTime      = time.Second
 	intervalGain    = 1.0 / 4
-	intervalMost    = 15 * time.Second
+	maxInterval     = 15 * time.Second
 )
 
-// Ledger holds all accounts as one origin sees them. The zero value is empty
-// and ready to use.
+// Ledger holds the accounts of all workspaces as one origin sees them. The zero value is empty and
+// ready to use. Ledger is not safe for concurrent use.
 type Ledger struct {
 	accounts map[string]*Account
-	order    []*Account // by creation, so that walks are deterministic
+	order    []*Account // by creation, so that iteration is deterministic
 	origins  map[uint64]*origin
 }
 
-// origin is what is known of a remote scheduler life.
+// origin is the state received from one remote run of a scheduler.
 type origin struct {
-	rows    map[string]Row
-	heard   time.Time
-	contact time.Duration
-	every   time.Duration // mean time between its messages
-	rejoin  time.Time     // end of the last cut, zero if there was none
+	rows         map[string]Row
+	lastReceived time.Time
+	contact      time.Duration
+	interval     time.Duration // EWMA of the time between its messages
+	rejoined     time.Time     // end of the last partition, zero if there was none
 }
 
-// Account is one workspace's counter. Its ledger makes it.
+// Account is one workspace's counter. Ledger.Account creates it.
 type Account struct {
 	Workspace string
 	weight    float64
-	served    float64 // units by weight, all origins and the base
-	total     uint64  // units, all origins and the base, for the collapsed history
+	served    float64 // units divided by weight, all origins and the base
+	total     uint64  // units, all origins and the base, for Collapse
 	base      Row
 	own       Row
 	lifted    uint64 // maximum over origins
 	forgiven  uint64
-	absorbed  float64 // of lifted, less that of forgiven
+	absorbed  float64 // part of lifted that does not count, less that of forgiven
 	resend    resend
 }
 
-// Account returns the workspace's account, made on first use with weight 1.
+// Account returns the workspace's account. It is created on first use with weight 1.
 func (l *Ledger) Account(workspace string) *Account {
-	if known, found := l.accounts[workspace]; found {
-		return known
+	if existing, found := l.accounts[workspace]; found {
+		return existing
 	}
 	if len(l.order) >= MaxAccounts {
 		workspace = ""
@@ -115,12 +117,13 @@
 	return account
 }
 
-// Accounts lists all accounts in the order in which they were made.
+// Accounts returns all accounts in the order of their creation.
 func (l *Ledger) Accounts() []*Account {
 	return l.order
 }
 
-// SetWeight sets the weight of charges from now on.
+// SetWeight sets the weight of charges from now on. Weights that are not positive and finite are
+// ignored.
 func (a *Account) SetWeight(weight float64) {
 	if weight > 0 && !math.IsInf(weight, 0) {
 		a.weight = weight
@@ -132,7 +135,7 @@
 	return a.weight
 }
 
-// Charge adds units to the own row.
+// Charge adds units to the workspace's own row.
 func (a *Account) Charge(units uint64) {
 	if units == 0 {
 		return
@@ -147,29 +150,28 @@
 	a.served += float64(units) / a.weight
 }
 
-// Counter returns the service that the workspace has had, in units by weight.
+// Counter returns the service that the workspace has received, in units divided by weight.
 func (a *Account) Counter() float64 {
-	return a.served + a.moved()
+	return a.served + a.adjustment()
 }
 
-// moved is what lifting and forgiving have added in all.
-func (a *Account) moved() float64 {
+// adjustment returns the total of lifting and forgiving that counts here.
+func (a *Account) adjustment() float64 {
 	return float64(a.lifted) - float64(a.forgiven) - a.absorbed
 }
 
-// Absorb lets units by weight, by which other origins lifted the workspace, not
-// count here.
+// Absorb excludes units, divided by weight, by which other origins lifted the workspace, from the
+// counter.
 func (a *Account) Absorb(units float64) {
 	a.absorbed += units
 }
 
-// Own returns the own row.
+// Own returns the row of this ledger's own origin.
 func (a *Account) Own() Row {
 	return a.own
 }
 
-// LiftTo raises the counter to at least this value, so that time without work
-// banks no credit.
+// LiftTo raises the counter to at least the given value, so that idle time accumulates no credit.
 func (a *Account) LiftTo(counter float64) {
 	missing := counter - a.Counter()
 	if missing < 1 {
@@ -180,8 +182,8 @@
 	a.resend.changed()
 }
 
-// ForgiveTo lowers the counter to at most this value, so that a workspace that
-// is far ahead after a cut does not starve to repay.
+// ForgiveTo lowers the counter to at most the given value, so that a workspace that is far ahead
+// after a partition does not starve until it has repaid.
 func (a *Account) ForgiveTo(counter float64) {
 	excess := a.Counter() - counter
 	if excess < 1 {
@@ -192,30 +194,29 @@
 	a.resend.changed()
 }
 
-// Change is an account whose counter moved.
+// Change describes an account whose counter has changed through Merge.
 type Change struct {
 	Account *Account
-	Jump    float64 // units by weight
-	Lift    float64 // the part of Jump that other origins lifted
-	// Rejoined says that the origin had been silent for so long that the jump is
-	// what happened during a cut, and not between two exchanges.
+	Jump    float64 // change of the counter, in units divided by weight
+	Lift    float64 // the part of Jump that comes from lifts of other origins
+	// Rejoined is set if the origin had been silent for so long that the jump covers a partition
+	// rather than the time between two exchanges.
 	Rejoined bool
 }
 
-// Merge takes an origin's rows in and returns the accounts that changed.
+// Merge merges the rows of an origin and returns the accounts whose counters changed.
 //
-// The rows of an origin that is older than this ledger are in the base
-// already, or were never known here; counting them would charge a workspace
-// twice. So a row seen for the first time, while contact with its origin is
-// young, counts only from then on. What is lost for a truly new origin is its
-// charges of one exchange interval.
+// The rows of an origin that is older than this ledger are in the base already, or were never
+// received here; counting them would charge a workspace twice. A row that is received for the first
+// time while contact with its origin is young therefore counts only from then on. For an origin
+// that is actually new, this loses the charges of one exchange interval.
 func (l *Ledger) Merge(now time.Time, from uint64, entries []Entry) []Change {
-	known := l.origin(now, from)
+	remote := l.origin(now, from)
 	var changes []Change
 	for _, entry := range entries {
-		change := l.mergeRow(known, entry)
+		change := l.mergeRow(remote, entry)
 		if change.Jump != 0 {
-			change.Rejoined = !known.rejoin.IsZero() && now.Sub(known.rejoin) <= rejoinTime
+			change.Rejoined = !remote.rejoined.IsZero() && now.Sub(remote.rejoined) <= rejoinTime
 			changes = append(changes, change)
 		}
 	}
@@ -232,7 +233,7 @@
 	from.rows[entry.Workspace] = merged
 	counter := account.Counter()
 	lift := account.raise(merged)
-	if seen || from.contact >= absorbContact {
+	if seen || from.contact >= minContact {
 		account.count(merged.Charged - before.Charged)
 	} else {
 		account.Absorb(lift)
@@ -241,15 +242,15 @@
 	return Change{Account: account, Jump: account.Counter() - counter, Lift: lift}
 }
 
-// raise takes the maxima of lifted and forgiven in and returns what they add. The
-// own row carries them on, or a scheduler that was elected after their origin's
-// end would never hear of them; they travel when the row is sent for its charges.
+// raise merges the maxima of lifted and forgiven and returns the resulting change of the counter.
+// The account's own row repeats them; otherwise a scheduler that is elected after the end of their
+// origin would never receive them. They are sent when the row is sent for its charges.
 func (a *Account) raise(row Row) float64 {
-	before := a.moved()
+	before := a.adjustment()
 	a.lifted = max(a.lifted, row.Lifted)
 	a.forgiven = max(a.forgiven, row.Forgiven)
 	a.own.Lifted, a.own.Forgiven = a.lifted, a.forgiven
-	return a.moved() - before
+	return a.adjustment() - before
 }
 
 func (r Row) max(other Row) Row {
@@ -261,44 +262,42 @@
 }
 
 func (l *Ledger) origin(now time.Time, id uint64) *origin {
-	known, found := l.origins[id]
+	remote, found := l.origins[id]
 	if !found {
 		if l.origins == nil {
 			l.origins = make(map[uint64]*origin)
 		}
 		l.dropOldest()
-		known = &origin{rows: make(map[string]Row), heard: now}
-		l.origins[id] = known
+		remote = &origin{rows: make(map[string]Row), lastReceived: now}
+		l.origins[id] = remote
 	}
-	if silence := now.Sub(known.heard); silence > 0 {
-		known.contact += min(silence, contactGap)
-		if silence > max(rejoinSilence, rejoinIntervals*known.every) {
-			known.rejoin = now
+	if silence := now.Sub(remote.lastReceived); silence > 0 {
+		remote.contact += min(silence, maxContactGap)
+		if silence > max(rejoinSilence, rejoinIntervals*remote.interval) {
+			remote.rejoined = now
 		}
-		known.every += time.Duration(intervalGain * float64(min(silence, intervalMost)-known.every))
-		known.heard = now
+		remote.interval += time.Duration(intervalGain * float64(min(silence, maxInterval)-remote.interval))
+		remote.lastReceived = now
 	}
-	return known
+	return remote
 }
 
-// dropOldest keeps the number of origins bounded: every restart of a scheduler
-// anywhere makes a new one.
+// dropOldest bounds the number of origins: every restart of a scheduler anywhere creates a new one.
 func (l *Ledger) dropOldest() {
 	if len(l.origins) < MaxOrigins {
 		return
 	}
 	var oldest uint64
-	for id, known := range l.origins {
+	for id, remote := range l.origins {
 		other := l.origins[oldest]
-		if other == nil || known.heard.Before(other.heard) || (known.heard.Equal(other.heard) && id < oldest) {
+		if other == nil || remote.lastReceived.Before(other.lastReceived) || (remote.lastReceived.Equal(other.lastReceived) && id < oldest) {
 			oldest = id
 		}
 	}
 	delete(l.origins, oldest)
 }
 
-// Join takes a peer's collapsed history in as the base. More than one history
-// is merged by maximum.
+// Join adds a peer's collapsed history to the base. Several histories are merged by maximum.
 func (l *Ledger) Join(entries []Entry) {
 	for _, entry := range entries {
 		account := l.Account(entry.Workspace)
@@ -310,13 +309,13 @@
 	}
 }
 
-// Collapse returns everything known here as one row per workspace, sorted by
-// workspace, for an origin that joins.
+// Collapse returns the complete state of this ledger as one row per workspace, sorted by workspace,
+// for an origin that joins.
 func (l *Ledger) Collapse() []Entry {
 	entries := make([]Entry, 0, len(l.order))
 	for _, account := range l.order {
 		row := Row{Charged: account.total}
-		if moved := account.moved(); moved >= 0 {
+		if moved := account.adjustment(); moved >= 0 {
 			row.Lifted = uint64(moved)
 		} else {
 			row.Forgiven = uint64(-moved)
--- a/lib/accountant/accountant_test.go
+++ b/lib/accountant/accountant_test.go
@@ -10,18 +10,18 @@
 	"shallotkeel.example/lib/accountant"
 )
 
-var zero = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Exchanges that are lost, repeated and reordered change nothing in the end:
-// two ledgers that have heard each other's last rows agree.
+// Lost, repeated and reordered exchanges don't change the final result: two ledgers that have
+// received each other's last rows agree.
 func TestExchangesInAnyOrderAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"one", "two", "three"}
 		var ledgers [2]accountant.Ledger
 		var sent [2][][]accountant.Entry
-		now := zero
+		now := epoch
 		for from := range 2 {
-			for _, name := range names { // both know each other from the start
+			for _, name := range names { // each ledger receives the other's rows from the start
 				ledgers[from].Account(name).Charge(1)
 			}
 			sent[from] = append(sent[from], ledgers[from].Due(now))
@@ -44,7 +44,7 @@
 				ledgers[1-from].Merge(now, uint64(from), rapid.SampledFrom(sent[from]).Draw(t, "message"))
 			}
 		}
-		for range 2 { // a lift raised by one shows in the other's own row after it
+		for range 2 { // a lift merged by one ledger is in its own row only afterwards
 			for from := range 2 {
 				now = now.Add(time.Minute)
 				ledgers[from].ResendAll()
@@ -57,7 +57,7 @@
 	})
 }
 
-// A change of weight counts from now on and never rewrites what was charged.
+// A change of weight applies to later charges only.
 func TestWeightCountsFromNowOn(t *testing.T) {
 	var l accountant.Ledger
 	a := l.Account("one")
@@ -68,17 +68,16 @@
 	require.InDelta(t, 125, a.Counter(), 1e-9)
 }
 
-// A row that stopped changing is sent again less and less often, and at once
-// when a cut has ended.
-func TestRowsAreSentAgainLessOften(t *testing.T) {
+// A row that has stopped changing is resent at growing intervals, and at once after ResendAll.
+func TestResendIntervalGrows(t *testing.T) {
 	var l accountant.Ledger
 	l.Account("one").Charge(5)
 	sent := 0
-	for now := zero; now.Before(zero.Add(10 * time.Minute)); now = now.Add(200 * time.Millisecond) {
+	for now := epoch; now.Before(epoch.Add(10 * time.Minute)); now = now.Add(200 * time.Millisecond) {
 		sent += len(l.Due(now))
 	}
 	require.Greater(t, sent, 10)
 	require.Less(t, sent, 25)
 	l.ResendAll()
-	require.Len(t, l.Due(zero.Add(10*time.Minute)), 1)
+	require.Len(t, l.Due(epoch.Add(10*time.Minute)), 1)
 }
--- a/lib/accountant/resend.go
+++ b/lib/accountant/resend.go
@@ -6,56 +6,57 @@
 	"time"
 )
 
-// Intervals between sending one row. Every message may be lost, so a row is
-// sent again after it stopped changing, less and less often.
+// minResendInterval and maxResendInterval bound the interval between two transmissions of a row.
+// Every message may be lost, so that a row is resent at doubling intervals after it has stopped
+// changing.
 const (
-	resendFirst = 200 * time.Millisecond
-	resendMost  = 60 * time.Second
+	minResendInterval = 200 * time.Millisecond
+	maxResendInterval = 60 * time.Second
 )
 
-// resend decides when an own row is due in an exchange.
+// resend schedules the transmission of an account's own row.
 type resend struct {
-	dirty    bool
-	every    time.Duration
-	due      time.Time
-	everSent bool
-	told     uint64 // units charged when the row was last sent
+	dirty       bool // changed since the row was last sent
+	interval    time.Duration
+	due         time.Time // time of the next transmission
+	everSent    bool
+	sentCharged uint64 // units charged when the row was last sent
 }
 
 func (r *resend) changed() {
 	r.dirty = true
 }
 
-// take notes that the row goes into the exchange now. A row that keeps
-// changing goes at most once per resendFirst, so that calling for each zone in
-// turn or too often costs no more bytes.
-func (a *Account) take(now time.Time) {
+// markSent records that the row is sent in the current exchange. A row that keeps changing is sent
+// at most once per minResendInterval, so that separate calls for each zone, or calls that are too
+// frequent, cost no more bytes.
+func (a *Account) markSent(now time.Time) {
 	r := &a.resend
 	if r.dirty {
-		r.every = resendFirst
+		r.interval = minResendInterval
 	} else {
-		r.every = min(2*r.every, resendMost)
+		r.interval = min(2*r.interval, maxResendInterval)
 	}
 	r.dirty = false
 	r.everSent = true
-	r.due = now.Add(r.every)
-	r.told = a.own.Charged
+	r.due = now.Add(r.interval)
+	r.sentCharged = a.own.Charged
 }
 
-// isDue tells whether the row may go into an exchange now.
+// isDue reports whether the row may be sent in an exchange now.
 func (r *resend) isDue(now time.Time) bool {
 	switch {
 	case !r.everSent:
 		return r.dirty
-	case r.dirty && r.due.Sub(now) > resendFirst:
+	case r.dirty && r.due.Sub(now) > minResendInterval:
 		return true
 	default:
 		return !now.Before(r.due)
 	}
 }
 
-// ResendAll makes every own row due. After a cut the other side must learn at
-// once what happened meanwhile, also of workspaces that have no work any more.
+// ResendAll makes every own row that was ever sent due. After a partition the other side must learn
+// at once what happened meanwhile, also for workspaces that have no work any more.
 func (l *Ledger) ResendAll() {
 	for _, account := range l.order {
 		if account.resend.everSent {
@@ -64,14 +65,14 @@
 	}
 }
 
-// Due returns the own rows that are due in an exchange, sorted by workspace:
-// those that changed, and those that were not sent for long.
+// Due returns the own rows that are due in an exchange, sorted by workspace: rows that have
+// changed, and rows whose resend interval is over.
 func (l *Ledger) Due(now time.Time) []Entry {
 	return l.Urgent(now, len(l.order), nil)
 }
 
-// Urgent returns up to a limit of the rows that are due: those with most that was
-// not told, times what urgency says of the workspace. The others stay due.
+// Urgent returns at most limit of the due rows, sorted by workspace: the ones with the highest
+// product of unsent charge and the workspace's urgency. The other rows stay due.
 func (l *Ledger) Urgent(now time.Time, limit int, urgency func(workspace string) float64) []Entry {
 	var due []*Account
 	for _, account := range l.order {
@@ -80,24 +81,24 @@
 		}
 	}
 	if len(due) > limit {
-		worth := make(map[*Account]float64, len(due))
+		priorities := make(map[*Account]float64, len(due))
 		for _, account := range due {
-			worth[account] = account.untold() * urgency(account.Workspace)
+			priorities[account] = account.unsentCharge() * urgency(account.Workspace)
 		}
-		slices.SortStableFunc(due, func(a, b *Account) int { return cmp.Compare(worth[b], worth[a]) })
+		slices.SortStableFunc(due, func(a, b *Account) int { return cmp.Compare(priorities[b], priorities[a]) })
 		due = due[:limit]
 	}
 	var entries []Entry
 	for _, account := range due {
-		account.take(now)
+		account.markSent(now)
 		entries = append(entries, Entry{Workspace: account.Workspace, Row: account.own})
 	}
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Workspace, b.Workspace) })
 	return entries
 }
 
-// untold is what was charged since the row was last sent, in units by weight, and
-// one more, so that a row that only has to be repeated has its turn as well.
-func (a *Account) untold() float64 {
-	return float64(a.own.Charged-a.resend.told)/a.weight + 1
+// unsentCharge returns the units that were charged since the row was last sent, divided by weight,
+// plus one, so that a row that is only resent is also selected at some time.
+func (a *Account) unsentCharge() float64 {
+	return float64(a.own.Charged-a.resend.sentCharged)/a.weight + 1
 }
--- a/lib/balancer/cold.go
+++ b/lib/balancer/cold.go
@@ -87,7 +87,7 @@
 	defer b.mutex.Unlock()
 	for _, e := range b.byID {
 		if ration, found := byKey[e.key]; found {
-			e.leases.Take(now, requestedAt, keeper, ration.Pause, ration.Term)
+			e.leases.RecordGrant(now, requestedAt, keeper, ration.Pause, ration.Term)
 		}
 	}
 }
--- a/lib/balancer/load.go
+++ b/lib/balancer/load.go
@@ -77,7 +77,7 @@
 		if !b.isWilling(now, e) || b.healthPenalty(now, e) != penaltyNone {
 			continue
 		}
-		total += time.Duration(float64(fit.Reading(b.unreadTokens(now, e))) * e.factor.Get(now))
+		total += time.Duration(float64(fit.PrefillTime(b.unreadTokens(now, e))) * e.factor.Get(now))
 		count++
 	}
 	if count == 0 {
--- a/lib/balancer/load_test.go
+++ b/lib/balancer/load_test.go
@@ -9,7 +9,7 @@
 
 // readTime returns the prefill time of a number of tokens, as estimated before any answer.
 func readTime(b *Balancer, tokens int) time.Duration {
-	return b.fit("engines").Reading(tokens)
+	return b.fit("engines").PrefillTime(tokens)
 }
 
 func TestLoadsOfAllRoutersAreKnown(t *testing.T) {
--- a/lib/balancer/price.go
+++ b/lib/balancer/price.go
@@ -78,9 +78,9 @@
 	o.queuedTokens = b.unreadTokens(now, e)
 	factor, overdue := e.factor.Get(now), e.overdue(now)
 	o.wait = scale(fit.Wait(o.queuedTokens+o.prefillTokens), factor) + overdue
-	o.queue = scale(fit.Reading(o.queuedTokens), factor) + overdue
+	o.queue = scale(fit.PrefillTime(o.queuedTokens), factor) + overdue
 	o.price += weights.Waiting*float64(e.own.unread) + weights.Reading*float64(o.prefillTokens) +
-		weights.Running*float64(e.own.running) + weights.Late*fit.Tokens(fit.Late(o.wait, work.target()))
+		weights.Running*float64(e.own.running) + weights.Late*fit.PrefillTokens(fit.ExpectedLateness(o.wait, work.target()))
 	return o
 }
 
--- a/lib/balancer/slot.go
+++ b/lib/balancer/slot.go
@@ -96,7 +96,7 @@
 	fit, waited := s.balancer.fit(s.endpoint.Service), now.Sub(s.sentAt)
 	s.endpoint.factor.Observe(now, waited, fit.Wait(s.queuedTokens+s.PrefillTokens))
 	fit.Observe(s.queuedTokens+s.PrefillTokens, waited)
-	fit.Deviate(waited - s.ExpectedWait)
+	fit.ObserveDeviation(waited - s.ExpectedWait)
 }
 
 // EndpointSilent returns whether the endpoint has sent nothing for at least limit on any of this
--- a/lib/budgeter/budgeter.go
+++ b/lib/budgeter/budgeter.go
@@ -1,13 +1,12 @@
-// Package budgeter bounds how many requests this router sends once more, so that
-// all routers together stay within a fleet's bound in every sliding window.
+// Package budgeter bounds the retries of this router so that all routers together stay within a
+// fleet-wide bound in every sliding window.
 //
-// The bound of a service is a share of its requests plus a constant. A router
-// spends the share of its own requests and its even part of the constant; no
-// router has to ask another, and whatever way requests are spread, the sum stays
-// below the bound.
+// The bound of a service is a fraction of its requests plus a constant. A router may spend the
+// fraction of its own requests plus an even share of the constant. Routers need not communicate,
+// and however the requests are distributed among them, the sum stays below the bound.
 //
-// Invariant: in no window of Window does Spend allow more than Ratio times the
-// requests of the shortest whole window before, plus Slack divided by Routers.
+// Invariant: in no window of length Window does Spend allow more than Ratio times the requests of
+// the shortest whole window before, plus Slack divided by the number of routers.
 package budgeter
 
 import (
@@ -16,25 +15,25 @@
 )
 
 const (
-	// steps is into how many parts a window is cut. One more is kept, so that the
-	// oldest part is counted whole: a little too much is counted as spent, never
-	// too little.
-	steps = 10
-	// safety is the part of the bound that is used. Requests on their way between
-	// two parts of a window would otherwise count in the wrong one.
+	// buckets is the number of buckets of a window. One more is kept, so that the oldest bucket
+	// counts in full: the retries of a window may be overcounted slightly, but never undercounted.
+	buckets = 10
+	// safety is the fraction of the bound that is used. Requests on their way between two buckets
+	// of a window would otherwise count in the wrong one.
 	safety = 0.7
-	// maxServices bounds the services that are counted.
+	// maxServices bounds the services for which counts are kept.
 	maxServices = 1024
 )
 
-// Bound is what all routers together may spend at one service in a window.
+// Bound limits the retries of all routers together at one service within a window.
 type Bound struct {
-	Ratio  float64       // of the requests for the service
-	Slack  float64       // besides
-	Window time.Duration // sliding
+	Ratio  float64       // retries per request for the service
+	Slack  float64       // retries in addition
+	Window time.Duration // length of the sliding window
 }
 
-// Budgeter counts. Set Bound before use. It is safe for concurrent use.
+// Budgeter counts requests and retries by service. Bound must be set before use. Budgeter is safe
+// for concurrent use.
 type Budgeter struct {
 	Bound Bound
 
@@ -43,14 +42,15 @@
 	services map[string]*counts
 }
 
+// counts holds the requests and retries of one service in a ring of buckets.
 type counts struct {
-	step     int64
-	requests [steps + 1]int
-	spent    [steps + 1]int
+	bucket   int64 // number of the current bucket since 1970
+	requests [buckets + 1]int
+	spent    [buckets + 1]int
 }
 
-// Share sets among how many routers the constant is divided.
-func (b *Budgeter) Share(routers int) {
+// SetRouters sets the number of routers among which the constant is divided.
+func (b *Budgeter) SetRouters(routers int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.routers = routers
@@ -60,23 +60,23 @@
 func (b *Budgeter) Request(now time.Time, service string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if c := b.at(now, service); c != nil {
-		c.requests[c.step%(steps+1)]++
+	if c := b.advance(now, service); c != nil {
+		c.requests[c.bucket%(buckets+1)]++
 	}
 }
 
-// Spend tells whether a request may be sent once more, and counts it if so.
+// Spend reports whether a request may be retried, and counts the retry if so.
 func (b *Budgeter) Spend(now time.Time, service string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	c := b.at(now, service)
+	c := b.advance(now, service)
 	if c == nil {
 		return false
 	}
 	requests, spent := 0, 0
 	for i := range c.requests {
 		spent += c.spent[i]
-		if int64(i) != (c.step+1)%(steps+1) { // the oldest part may be outside
+		if int64(i) != (c.bucket+1)%(buckets+1) { // the oldest bucket may lie outside the window
 			requests += c.requests[i]
 		}
 	}
@@ -84,31 +84,32 @@
 	if float64(spent+1) > allowed {
 		return false
 	}
-	c.spent[c.step%(steps+1)]++
+	c.spent[c.bucket%(buckets+1)]++
 	return true
 }
 
-// at returns a service's counts, with the parts that are over cleared.
-func (b *Budgeter) at(now time.Time, service string) *counts {
+// advance returns a service's counts, after clearing the buckets that have left the window. It
+// returns nil for a service without counts if maxServices are counted already.
+func (b *Budgeter) advance(now time.Time, service string) *counts {
 	if b.services == nil {
 		b.services = make(map[string]*counts)
 	}
 	step := int64(0)
 	if b.Bound.Window > 0 {
-		step = now.UnixNano() / int64(b.Bound.Window/steps)
+		step = now.UnixNano() / int64(b.Bound.Window/buckets)
 	}
 	c, found := b.services[service]
 	if !found {
 		if len(b.services) >= maxServices {
 			return nil
 		}
-		c = &counts{step: step}
+		c = &counts{bucket: step}
 		b.services[service] = c
 	}
-	for range min(step-c.step, steps+1) {
-		c.step++
-		c.requests[c.step%(steps+1)], c.spent[c.step%(steps+1)] = 0, 0
+	for range min(step-c.bucket, buckets+1) {
+		c.bucket++
+		c.requests[c.bucket%(buckets+1)], c.spent[c.bucket%(buckets+1)] = 0, 0
 	}
-	c.step = max(c.step, step)
+	c.bucket = max(c.bucket, step)
 	return c
 }
--- a/lib/budgeter/budgeter_test.go
+++ b/lib/budgeter/budgeter_test.go
@@ -10,16 +10,16 @@
 
 var bound = Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
 
-// The symptom would be a retry storm: endpoints that fail get more repeats than
-// they can bear. The events are any requests and repeats at several routers; the
-// sum is compared with the bound in every sliding window.
+// Guards against a retry storm, in which failing endpoints get more retries than they can handle.
+// Random requests and retries at several routers are compared with the bound in every sliding
+// window.
 func TestRoutersTogetherStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := rapid.IntRange(1, 5).Draw(t, "routers")
 		budgets := make([]*Budgeter, routers)
 		for i := range budgets {
 			budgets[i] = &Budgeter{Bound: bound}
-			budgets[i].Share(routers)
+			budgets[i].SetRouters(routers)
 		}
 		now := time.Unix(1000, 0)
 		var requests, spent []time.Time
@@ -32,13 +32,13 @@
 			} else if b.Spend(now, "desk") {
 				spent = append(spent, now)
 			}
-			allowed := bound.Ratio*float64(within(requests, now)) + bound.Slack
-			require.LessOrEqual(t, float64(within(spent, now)), allowed)
+			allowed := bound.Ratio*float64(countWithin(requests, now)) + bound.Slack
+			require.LessOrEqual(t, float64(countWithin(spent, now)), allowed)
 		}
 	})
 }
 
-func within(times []time.Time, now time.Time) int {
+func countWithin(times []time.Time, now time.Time) int {
 	count := 0
 	for _, at := range times {
 		if now.Sub(at) <= bound.Window {
@@ -48,7 +48,7 @@
 	return count
 }
 
-func TestBudgetComesBack(t *testing.T) {
+func TestBudgetRecovers(t *testing.T) {
 	b := &Budgeter{Bound: bound}
 	now := time.Unix(1000, 0)
 	spend := func() int {
@@ -59,7 +59,7 @@
 		return count
 	}
 	require.Equal(t, 35, spend(), "seven tenths of the constant")
-	require.True(t, b.Spend(now, "other"), "services have budgets of their own")
+	require.True(t, b.Spend(now, "other"), "each service has its own budget")
 	now = now.Add(9 * time.Second)
 	require.Zero(t, spend())
 	now = now.Add(3 * time.Second)
@@ -68,7 +68,7 @@
 
 func TestConstantIsDividedAmongRouters(t *testing.T) {
 	b := &Budgeter{Bound: bound}
-	b.Share(35)
+	b.SetRouters(35)
 	now := time.Unix(1000, 0)
 	require.True(t, b.Spend(now, "desk"))
 	require.False(t, b.Spend(now, "desk"))
--- a/lib/damper/damper.go
+++ b/lib/damper/damper.go
@@ -1,10 +1,10 @@
-// Package damper bounds how many lines of one kind a log gets in a second.
+// Package damper bounds the number of lines of one kind that are logged per second.
 //
-// What comes from outside may come by the thousand: a flood's refusals, heartbeats
-// that cannot be read. A line for each would cost the processor time that the rest
-// needs, and tell nothing that the first ones did not.
+// Events that are caused from outside may come by the thousand: the refusals of a flood, or
+// heartbeats that cannot be read. A line for each would cost the processor time that other work
+// needs, and would add nothing to the first ones.
 //
-// Invariant: every line that is left out is counted in a later one.
+// Invariant: every suppressed line is counted in a later one.
 package damper
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/rs/zerolog"
 )
 
-// DefaultMost is how many lines a second are let through. A flood brings 2,000
-// refusals a second to one router.
-const DefaultMost = 50
+// DefaultLinesPerSecond is the default of Damper.LinesPerSecond. A flood causes 2,000 refusals per
+// second at one router.
+const DefaultLinesPerSecond = 50
 
-// Damper bounds the lines of one kind. Its zero value lets DefaultMost through. It
-// is safe for concurrent use.
+// Damper bounds the lines of one kind. Its zero value permits DefaultLinesPerSecond. It is safe for
+// concurrent use.
 type Damper struct {
-	// Most is how many lines a second are let through, DefaultMost if 0.
-	Most int
+	// LinesPerSecond is the maximum number of lines per second, DefaultLinesPerSecond if 0.
+	LinesPerSecond int
 
 	mutex   sync.Mutex
 	second  time.Time
@@ -30,22 +30,22 @@
 	omitted int
 }
 
-// Admit tells whether one more line is to be logged. The first one behind a second
-// in which some were left out is preceded by their count.
+// Admit reports whether one more line may be logged. The first call after a second in which lines
+// were suppressed logs their number.
 func (d *Damper) Admit(now time.Time, log zerolog.Logger) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if second := now.Truncate(time.Second); !second.Equal(d.second) {
 		if d.omitted > 0 {
-			log.Info().Int("omitted", d.omitted).Time("second", d.second).Msg("lines were left out")
+			log.Info().Int("omitted", d.omitted).Time("second", d.second).Msg("log lines suppressed by the rate limit")
 		}
 		d.second, d.logged, d.omitted = second, 0, 0
 	}
-	most := d.Most
-	if most == 0 {
-		most = DefaultMost
+	limit := d.LinesPerSecond
+	if limit == 0 {
+		limit = DefaultLinesPerSecond
 	}
-	if d.logged >= most {
+	if d.logged >= limit {
 		d.omitted++
 		return false
 	}
--- a/lib/damper/damper_test.go
+++ b/lib/damper/damper_test.go
@@ -10,23 +10,23 @@
 )
 
 func TestLinesOfAFloodAreCounted(t *testing.T) {
-	tests := map[string]struct{ set, most int }{
-		"default": {set: 0, most: DefaultMost},
-		"chosen":  {set: 3, most: 3},
+	tests := map[string]struct{ set, limit int }{
+		"default": {set: 0, limit: DefaultLinesPerSecond},
+		"chosen":  {set: 3, limit: 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var written bytes.Buffer
-			d := Damper{Most: test.set}
+			d := Damper{LinesPerSecond: test.set}
 			log := zerolog.New(&written)
 			now := time.Unix(1000, 0)
 			logged := 0
-			for range test.most + 100 {
+			for range test.limit + 100 {
 				if d.Admit(now, log) {
 					logged++
 				}
 			}
-			require.Equal(t, test.most, logged)
+			require.Equal(t, test.limit, logged)
 			require.Empty(t, written.String())
 			require.True(t, d.Admit(now.Add(time.Second), log))
 			require.Contains(t, written.String(), `"omitted":100`)
--- a/lib/estimator/estimator.go
+++ b/lib/estimator/estimator.go
@@ -1,31 +1,33 @@
-// Package estimator predicts what a request will cost before it has run.
+// Package estimator predicts the cost of a request before it runs.
 //
-// It learns per workspace and model the mean cost, and what the caller's hint
-// is worth: the ratio of cost to hint, and how far predictions from the hint
-// were off compared with predictions from the mean. The better predictor wins,
-// so a caller whose hints lie by any factor, constant or not, gains nothing
-// from them for longer than it takes to learn.
+// For each workspace and model it learns the mean cost and the value of the client's hints: the
+// ratio of cost to hint, and the error of predictions from the hint compared with that of
+// predictions from the mean. The predictor with the smaller error is used, so that a client whose
+// hints are wrong by any factor, constant or not, gains nothing from them for longer than the
+// learning takes.
 //
-// Invariants: an estimate is at least 1 and within a fixed factor of the
-// learned mean; memory is bounded by MaxRecords.
+// Invariants: an estimate is at least 1 and within a fixed factor of the learned mean; memory is
+// bounded by MaxRecords.
 package estimator
 
-// Limits of the estimates and of memory.
+// Limits of the estimates and of the memory.
 const (
-	// Standard is the estimate while nothing at all is known, in units.
-	Standard = 256
-	// MaxRecords bounds the workspace and model pairs that learn on their own;
-	// all beyond share one record.
+	// DefaultCost is the estimate before any cost is known, in units.
+	DefaultCost = 256
+	// MaxRecords bounds the pairs of workspace and model that have a record of their own. All
+	// further pairs share one record.
 	MaxRecords = 16384
-	// spread bounds an estimate from a hint to this factor around the mean.
-	spread = 8
-	// gain is the weight of a new observation once a record is settled.
+	// maxHintFactor is the maximum factor between an estimate from a hint and the mean, in both
+	// directions.
+	maxHintFactor = 8
+	// gain is the EWMA weight of an observation once a record has 1/gain of them.
 	gain = 1.0 / 16
-	// settled is how many costs a record needs before its mean is trusted.
-	settled = 4
+	// minObservations is the number of costs after which a record's mean is used without its prior.
+	minObservations = 4
 )
 
-// Estimator keeps a record per workspace and model. The zero value is ready.
+// Estimator keeps a record per pair of workspace and model. The zero value is ready to use.
+// Estimator is not safe for concurrent use.
 type Estimator struct {
 	records map[key]*Record
 	all     Record
@@ -33,22 +35,22 @@
 
 type key struct{ workspace, model string }
 
-// Record is what is known of one workspace's requests to one model.
+// Record holds the statistics of one workspace's requests to one model.
 type Record struct {
-	prior    *Record // where to look while this record is not settled
-	count    float64
-	mean     float64 // units
-	ratio    float64 // cost over hint
-	hints    float64 // how many costs came with a hint
-	missMean float64 // mean distance of the mean's predictions, units
-	missHint float64 // mean distance of the hint's predictions, units
+	prior     *Record // completes the mean while this record has few costs
+	count     float64
+	mean      float64 // units
+	ratio     float64 // cost divided by hint
+	hintCount float64 // number of costs with a hint
+	meanError float64 // mean absolute error of predictions from the mean, in units
+	hintError float64 // mean absolute error of predictions from the hint, in units
 }
 
-// Record returns the pair's record, made on first use.
+// Record returns the pair's record. It is created on first use.
 func (e *Estimator) Record(workspace, model string) *Record {
 	pair := key{workspace: workspace, model: model}
-	if known, found := e.records[pair]; found {
-		return known
+	if existing, found := e.records[pair]; found {
+		return existing
 	}
 	if len(e.records) >= MaxRecords {
 		return &e.all
@@ -61,17 +63,17 @@
 	return record
 }
 
-// Mean returns the mean cost of all requests, Standard while none is known.
+// Mean returns the mean cost of all requests, DefaultCost before any cost is known.
 func (e *Estimator) Mean() float64 {
 	if e.all.count == 0 {
-		return Standard
+		return DefaultCost
 	}
 	return e.all.mean
 }
 
-// Estimate predicts the cost of a request with this hint, 0 if it has none.
+// Estimate predicts the cost of a request in units. Hint is the client's hint, 0 if there is none.
 func (r *Record) Estimate(hint uint32) uint32 {
-	mean := r.expect()
+	mean := r.expectedCost()
 	estimate := mean
 	if hint > 0 {
 		estimate = r.fromHint(float64(hint), mean)
@@ -80,33 +82,33 @@
 }
 
 func (r *Record) fromHint(hint, mean float64) float64 {
-	if r.hints < settled {
-		// An untried hint may only lower the estimate, and not by much: a
-		// caller that claims little must not get more than its share for it.
+	if r.hintCount < minObservations {
+		// The hint of a client without a history may only lower the estimate, and by no more than
+		// half: a client that claims a low cost must not get more than its share for it.
 		return max(min(hint, mean), mean/2)
 	}
-	if r.missHint >= r.missMean {
+	if r.hintError >= r.meanError {
 		return mean
 	}
-	return min(max(hint*r.ratio, mean/spread), mean*spread)
+	return min(max(hint*r.ratio, mean/maxHintFactor), mean*maxHintFactor)
 }
 
-// expect is the mean, mixed with the prior's while few costs are known.
-func (r *Record) expect() float64 {
+// expectedCost returns the mean, mixed with the prior's while few costs are known.
+func (r *Record) expectedCost() float64 {
 	if r.prior == nil {
 		if r.count == 0 {
-			return Standard
+			return DefaultCost
 		}
 		return r.mean
 	}
-	if r.count >= settled {
+	if r.count >= minObservations {
 		return r.mean
 	}
-	return (r.mean*r.count + r.prior.expect()*(settled-r.count)) / settled
+	return (r.mean*r.count + r.prior.expectedCost()*(minObservations-r.count)) / minObservations
 }
 
-// Learn takes in what a request with this hint has cost. Only requests that ran
-// to their end teach: an abandoned one tells when its caller left.
+// Learn records the cost of a request with the given hint, 0 if there was none. Only requests that
+// ran to their end may be recorded: the cost of an abandoned one depends on when its client left.
 func (r *Record) Learn(hint, cost uint32) {
 	if r.prior != nil {
 		r.prior.Learn(0, cost)
@@ -115,26 +117,26 @@
 		r.learnHint(float64(hint), float64(cost))
 	}
 	r.count++
-	r.mean += step(r.count) * (float64(cost) - r.mean)
+	r.mean += observationWeight(r.count) * (float64(cost) - r.mean)
 }
 
 func (r *Record) learnHint(hint, cost float64) {
-	r.hints++
-	weight := step(r.hints)
-	if r.hints > 1 {
-		r.missHint += weight * (distance(hint*r.ratio, cost) - r.missHint)
-		r.missMean += weight * (distance(r.expect(), cost) - r.missMean)
+	r.hintCount++
+	weight := observationWeight(r.hintCount)
+	if r.hintCount > 1 {
+		r.hintError += weight * (absDifference(hint*r.ratio, cost) - r.hintError)
+		r.meanError += weight * (absDifference(r.expectedCost(), cost) - r.meanError)
 	}
 	r.ratio += weight * (cost/hint - r.ratio)
 }
 
-// step is the weight of the next observation: a plain mean at first, then a
-// moving one.
-func step(count float64) float64 {
+// observationWeight returns the weight of the next observation: an arithmetic mean at first, then
+// an exponentially weighted one.
+func observationWeight(count float64) float64 {
 	return max(1/count, gain)
 }
 
-func distance(a, b float64) float64 {
+func absDifference(a, b float64) float64 {
 	if a > b {
 		return a - b
 	}
--- a/lib/estimator/estimator_test.go
+++ b/lib/estimator/estimator_test.go
@@ -8,7 +8,7 @@
 	"shallotkeel.example/lib/estimator"
 )
 
-func TestHintsCountForWhatTheyProvedWorth(t *testing.T) {
+func TestHintsAreWeightedByAccuracy(t *testing.T) {
 	costs := []uint32{50, 400, 100, 300}
 	tests := map[string]struct {
 		hint func(i int, cost uint32) uint32
@@ -36,10 +36,10 @@
 	}
 }
 
-// A caller gains nothing by an untried hint of one unit: half of the mean is
-// charged at the least.
+// A client gains nothing by a hint of one unit before it has a history: at least half of the mean
+// is charged.
 func TestUntriedHintIsBounded(t *testing.T) {
 	var e estimator.Estimator
-	require.EqualValues(t, estimator.Standard/2, e.Record("one", "draft").Estimate(1))
-	require.EqualValues(t, estimator.Standard, e.Record("one", "draft").Estimate(1_000_000))
+	require.EqualValues(t, estimator.DefaultCost/2, e.Record("one", "draft").Estimate(1))
+	require.EqualValues(t, estimator.DefaultCost, e.Record("one", "draft").Estimate(1_000_000))
 }
--- a/lib/limiter/limiter_test.go
+++ b/lib/limiter/limiter_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fill lets as many requests wait as there is room for.
+// fill adds requests until one is refused, and returns the number of admitted ones.
 func fill(l *limiter.Limiter, now time.Time, workspace string, bound int) int {
 	count := 0
 	for {
@@ -24,16 +24,15 @@
 	}
 }
 
-// Symptom: a small workspace is refused while another floods. Sequence: one
-// workspace, or several, send far more than their bounds; then a small one
-// sends a request. Cause: a total that is given to whoever comes first.
-func TestFloodLeavesRoom(t *testing.T) {
+// Guards against a small workspace that is refused while one or several others send far more than
+// their bounds, because the total is given out in arrival order.
+func TestFloodLeavesCapacityForSmallWorkspaces(t *testing.T) {
 	for name, test := range map[string]struct {
 		flooding, bound, entered int
 	}{
-		"one floods":     {flooding: 1, bound: 100, entered: 100},
-		"several flood":  {flooding: 3, bound: 400, entered: 700 + limiter.Small},
-		"bound is large": {flooding: 1, bound: 5000, entered: 700},
+		"one workspace floods":     {flooding: 1, bound: 100, entered: 100},
+		"several workspaces flood": {flooding: 3, bound: 400, entered: 700 + limiter.SmallQueue},
+		"bound is large":           {flooding: 1, bound: 5000, entered: 700},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := limiter.Limiter{Total: 800}
@@ -42,23 +41,22 @@
 				entered += fill(&l, start, fmt.Sprint("flood-", i), test.bound)
 			}
 			require.Equal(t, test.entered, entered)
-			require.Equal(t, limiter.Small, fill(&l, start, "club", limiter.Small))
+			require.Equal(t, limiter.SmallQueue, fill(&l, start, "club", limiter.SmallQueue))
 		})
 	}
 }
 
-// Symptom: refused callers come back too early, again and again, or stay away
-// while there is room. Sequence: a queue drains at a steady rate; one more
-// caller is refused. Cause: a fixed Retry-After.
+// Guards against refused clients that retry too early again and again, or stay away while there is
+// capacity, because Retry-After does not follow the rate at which the queue drains.
 func TestRetryFollowsDrainRate(t *testing.T) {
 	for name, test := range map[string]struct {
-		every time.Duration // between two that leave
-		least time.Duration
-		most  time.Duration
+		every   time.Duration // interval between two requests that leave
+		atLeast time.Duration
+		atMost  time.Duration
 	}{
-		"quick":  {every: 10 * time.Millisecond, least: time.Second, most: time.Second},
-		"steady": {every: time.Second, least: 18 * time.Second, most: 22 * time.Second},
-		"slow":   {every: 20 * time.Second, least: time.Minute, most: time.Minute},
+		"quick":  {every: 10 * time.Millisecond, atLeast: time.Second, atMost: time.Second},
+		"steady": {every: time.Second, atLeast: 18 * time.Second, atMost: 22 * time.Second},
+		"slow":   {every: 20 * time.Second, atLeast: time.Minute, atMost: time.Minute},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := limiter.Limiter{Total: 800}
@@ -71,19 +69,19 @@
 			}
 			retry, entered := l.Enter(now, "club", 20)
 			require.False(t, entered)
-			require.GreaterOrEqual(t, retry, test.least)
-			require.LessOrEqual(t, retry, test.most)
+			require.GreaterOrEqual(t, retry, test.atLeast)
+			require.LessOrEqual(t, retry, test.atMost)
 		})
 	}
 }
 
-func TestStuckQueueSaysTheMost(t *testing.T) {
+func TestStuckQueueGivesMaxRetry(t *testing.T) {
 	l := limiter.Limiter{Total: 800}
 	fill(&l, start, "club", 20)
 	retry, _ := l.Enter(start, "club", 20)
-	require.Equal(t, time.Second, retry, "nothing is known yet")
+	require.Equal(t, time.Second, retry, "no drain rate is known yet")
 	retry, _ = l.Enter(start.Add(time.Minute), "club", 20)
-	require.Equal(t, time.Minute, retry, "nothing has left for a minute")
+	require.Equal(t, time.Minute, retry, "no request has left for a minute")
 }
 
 func TestBoundsHold(t *testing.T) {
@@ -117,8 +115,8 @@
 	})
 }
 
-// Symptom: memory grows with every workspace ever seen. Sequence: thousands of
-// workspaces send one request each. Cause: drain rates that are never forgotten.
+// Guards against memory that grows with every workspace ever seen, because drain rates are never
+// dropped: thousands of workspaces send one request each.
 func TestIdleWorkspacesAreForgotten(t *testing.T) {
 	l := limiter.Limiter{Total: 8000}
 	for i := range 4096 {
--- a/lib/pacer/pacer.go
+++ b/lib/pacer/pacer.go
@@ -1,19 +1,21 @@
-// Package pacer notices that a process gets too little processor time for its
-// work: whatever is due begins late. It measures how late a timer fires, and for how long
-// a goroutine then waits for its turn behind all others that can run.
+// Package pacer detects that a process gets too little processor time for its work, so that
+// goroutines run late. A sample of the lateness is how late a timer fires plus how long the
+// goroutine that it wakes then waits behind all other runnable goroutines.
 //
-// A process that has more to do than it can is late at every look. One that was held up for
-// a moment, by a collection of garbage or by requests that came all at once, is late at one
-// or two and soon catches up. Both lag, and had better refuse what has gathered meanwhile; only
-// the first has to start less from then on. So starts follow the lateness that stands: the
-// least within an interval (K. Nichols and V. Jacobson, "Controlling Queue Delay", 2012).
+// An overloaded process is late at every sample. A process that is held up for a moment, by a
+// garbage collection or by a burst of requests, is late at one or two samples and soon catches up.
+// Both should refuse the requests that have queued up meanwhile, but only the overloaded process
+// has to start fewer requests from then on. The rate of starts therefore follows the persistent
+// lateness: the minimum within an interval (K. Nichols and V. Jacobson, "Controlling Queue Delay",
+// 2012).
 //
-// Refusing takes time as well. A process that is late because of what it refuses does not catch
-// up by starting less: it refuses more instead, until it starts next to nothing. So starts are
-// lowered to what is kept for them; then less is read of those who come, and starts only last.
+// Refusing takes processor time as well. A process that is late because of its refusals does not
+// catch up by starting fewer requests: it refuses more instead, until it starts next to nothing.
+// Starts are therefore lowered only to a reserved floor; then fewer new connections are read, and
+// only last are starts lowered below the floor.
 //
-// Invariant: a process that keeps up is never taken for one that lags; one that
-// lags is noticed within some steps, and so is the end of it.
+// Invariant: a process that keeps up is never reported as lagging. Both the beginning and the end
+// of a lag are detected within a few samples.
 package pacer
 
 import (
@@ -26,106 +28,107 @@
 )
 
 const (
-	// step is the pause between two looks.
-	step = 25 * time.Millisecond
-	// interval is for how long a process has to be late before it starts less: longer than it
-	// is held up for by single events.
+	// sampleInterval is the pause between two samples.
+	sampleInterval = 25 * time.Millisecond
+	// interval is how long a process has to be late before its starts are lowered. It is longer
+	// than the pause that a single event causes.
 	interval = 100 * time.Millisecond
-	// leastLooks and mostLooks make up an interval: each look covers a step and what it is
-	// late by. A single one never shows more than a moment.
-	leastLooks = 2
-	mostLooks  = int(interval / step)
-	// TooLate is the mean lateness from which a process lags: a tenth of the time
-	// within which the shortest answers are due. A process that keeps up is a
-	// millisecond late.
-	TooLate = 25 * time.Millisecond
-	// weight of the latest look in the mean: a lag that lasts is noticed within
-	// four looks, a single late one of 80 ms is not.
-	weight = 0.3
+	// minSamples and maxSamples bound the number of samples in an interval: each sample covers
+	// sampleInterval plus its own lateness. A single sample never shows more than a moment.
+	minSamples = 2
+	maxSamples = int(interval / sampleInterval)
+	// LagThreshold is the mean lateness from which a process lags: a tenth of the time within which
+	// the shortest answers are due. A process that keeps up is a millisecond late.
+	LagThreshold = 25 * time.Millisecond
+	// ewmaWeight is the weight of the latest sample in the mean lateness: a persistent lag is
+	// detected within four samples, a single late sample of 80 ms is not.
+	ewmaWeight = 0.3
 )
 
-// Pacer measures. Its zero value does not lag.
+// Pacer measures the lateness of its process and adapts two rates to it. Its zero value does not
+// lag.
 type Pacer struct {
-	// Starts is how many requests are served, and Entries how many connections are read while
-	// others are refused. Both are adapted at each look; they may be nil.
+	// Starts bounds the requests that are served, and Entries the connections that are read while
+	// the process refuses others. Both are adapted at each sample; they may be nil.
 	Starts, Entries *Rate
 
-	yield func()                   // waits for a turn; runtime.Gosched if nil
-	looks [mostLooks]time.Duration // how late, the latest first; used by Look only
-	late  atomic.Int64             // mean lateness
+	yield        func()                    // yields the processor; runtime.Gosched if nil
+	samples      [maxSamples]time.Duration // lateness, the latest first; used by Observe only
+	meanLateness atomic.Int64              // nanoseconds
 }
 
-// Run measures until the context ends.
+// Run samples the lateness until the context ends.
 func (p *Pacer) Run(ctx context.Context, clock clockwork.Clock) {
 	yield := p.yield
 	if yield == nil {
 		yield = runtime.Gosched
 	}
 	for {
-		due := clock.Now().Add(step)
+		due := clock.Now().Add(sampleInterval)
 		select {
 		case <-ctx.Done():
 			return
-		case <-clock.After(step):
+		case <-clock.After(sampleInterval):
 		}
-		// Whom a timer wakes goes before all others that can run, so that timers alone are
-		// on time however many wait.
+		// The runtime schedules a goroutine that a timer wakes ahead of all other runnable ones, so
+		// that timers alone are on time however many goroutines wait. Yielding adds their delay.
 		yield()
-		p.Look(clock.Now().Sub(due))
+		p.Observe(clock.Now().Sub(due))
 	}
 }
 
-// Look takes how late a goroutine that was due had its turn. Run calls it.
-func (p *Pacer) Look(late time.Duration) {
-	copy(p.looks[1:], p.looks[:])
-	p.looks[0] = max(late, 0)
-	mean := p.Late()
-	p.late.Store(int64(mean + time.Duration(weight*float64(p.looks[0]-mean))))
-	p.adapt(p.standing())
+// Observe adds a sample: how late a goroutine ran after the time at which its timer was due. Run
+// calls it.
+func (p *Pacer) Observe(late time.Duration) {
+	copy(p.samples[1:], p.samples[:])
+	p.samples[0] = max(late, 0)
+	mean := p.Lateness()
+	p.meanLateness.Store(int64(mean + time.Duration(ewmaWeight*float64(p.samples[0]-mean))))
+	p.adapt(p.minLateness())
 }
 
-// adapt lowers the rates of a process that is late, or lets them grow if it keeps up.
+// adapt lowers the rates of a process that is late, or raises them if it keeps up.
 func (p *Pacer) adapt(late time.Duration) {
 	switch {
-	case p.catchesUp():
-	case late < strained:
-		p.Starts.Look(late)
-		p.Entries.change(quickGrowth)
+	case p.recovering():
+	case late < cutThreshold:
+		p.Starts.Adapt(late)
+		p.Entries.scale(entryGrowth)
 	case p.Starts.lower(p.Starts.floor()):
-	case late < TooLate && p.Entries.reducible():
-		// Whose connection is closed unread learns nothing: a process that is a little late
-		// bears it.
-	case p.Entries.lower(p.Entries.least()):
+	case late < LagThreshold && p.Entries.aboveMinimum():
+		// A client whose connection is closed unread gets no answer, so a process that is only a
+		// little late keeps reading connections and tolerates the lateness.
+	case p.Entries.lower(p.Entries.minimum()):
 	default:
-		p.Starts.lower(p.Starts.least())
+		p.Starts.lower(p.Starts.minimum())
 	}
 }
 
-// catchesUp tells whether lateness falls: what is started and read is less than is possible
-// already, and what is late is what came before.
-func (p *Pacer) catchesUp() bool {
-	return p.looks[mostLooks-1]-p.looks[0] >= strained
+// recovering reports whether lateness is falling: the process already starts and reads less than
+// its capacity allows, and the remaining lateness comes from earlier work.
+func (p *Pacer) recovering() bool {
+	return p.samples[maxSamples-1]-p.samples[0] >= cutThreshold
 }
 
-// standing returns the least lateness within the interval that has just passed.
-func (p *Pacer) standing() time.Duration {
-	least, covered := p.looks[0], time.Duration(0)
-	for i, late := range p.looks {
-		if i >= leastLooks && covered >= interval {
+// minLateness returns the minimum lateness within the interval that has just passed.
+func (p *Pacer) minLateness() time.Duration {
+	lowest, covered := p.samples[0], time.Duration(0)
+	for i, late := range p.samples {
+		if i >= minSamples && covered >= interval {
 			break
 		}
-		least = min(least, late)
-		covered += step + late
+		lowest = min(lowest, late)
+		covered += sampleInterval + late
 	}
-	return least
+	return lowest
 }
 
-// Late returns the mean lateness.
-func (p *Pacer) Late() time.Duration {
-	return time.Duration(p.late.Load())
+// Lateness returns the mean lateness.
+func (p *Pacer) Lateness() time.Duration {
+	return time.Duration(p.meanLateness.Load())
 }
 
-// Lags tells whether the process does not keep up.
+// Lags reports whether the process does not keep up with its work.
 func (p *Pacer) Lags() bool {
-	return p.Late() >= TooLate
+	return p.Lateness() >= LagThreshold
 }
--- a/lib/pacer/rate.go
+++ b/lib/pacer/rate.go
@@ -6,159 +6,163 @@
 )
 
 const (
-	// Calm is the lateness up to which a process keeps up, and more may be started.
-	Calm = 6 * time.Millisecond
-	// strained is the standing lateness from which less is started: half of TooLate, at
-	// which everybody is refused.
-	strained = 12 * time.Millisecond
-	// Growth and cut of a rate at each look, 40 a second: it doubles in 0.7 s while it
-	// holds somebody up, and halves in 0.14 s.
+	// OnTimeThreshold is the lateness up to which a process keeps up and its rates may grow.
+	OnTimeThreshold = 6 * time.Millisecond
+	// cutThreshold is the persistent lateness from which starts are lowered: half of LagThreshold,
+	// at which all clients are refused.
+	cutThreshold = 12 * time.Millisecond
+	// growth and cut are the factors of a rate at each sample, of which there are 40 a second: the
+	// rate doubles in 0.7 s while it holds requests back, and halves in 0.14 s.
 	growth = 1.025
 	cut    = 0.88
-	// quickGrowth is that of what is read: who is closed unread is told nothing.
-	quickGrowth = 1.08
-	// startBurst is how much of a second's starts may follow one another at once.
+	// entryGrowth is the growth factor of Entries. It is larger because a client whose connection
+	// is closed unread gets no answer.
+	entryGrowth = 1.08
+	// startBurst is the size of the token bucket, in seconds of the rate: so many starts may follow
+	// one another at once.
 	startBurst = 0.04
-	// span is the time over which starts are counted by who asked for them: long enough
-	// for a few requests of each, short enough to follow a flood.
-	span = 500 * time.Millisecond
-	// maxAsking bounds those that are told apart in a span, 50 bytes each.
-	maxAsking = 256
+	// countSpan is the time over which starts are counted by client: long enough for a few requests
+	// of each client, short enough to follow a flood.
+	countSpan = 500 * time.Millisecond
+	// maxClients bounds the clients that are counted separately in a span; each takes 50 bytes.
+	maxClients = 256
 )
 
-// Rate bounds how many requests a process starts in a second by how late it is.
+// Rate bounds how many requests a process starts per second, depending on its lateness.
 //
-// A bound on what is under way does not see how much of it has yet to be worked on: streams
-// that run take little, as many that begin at one moment keep a small instance busy for a
-// second, and all of them are late. Most of a request's processor time goes into its begin, so
-// that this is what has to be paced. Least and Begin are starts a second; the zero value bounds
+// A bound on the requests in flight does not see how much work they still need: running streams
+// take little processor time, but as many streams that begin at one moment keep a small instance
+// busy for a second, and all of them are late. Most of a request's processor time goes into its
+// start, so that starts are paced. Min and Initial are starts per second; the zero value bounds
 // nothing.
 //
-// Who has started less than an even part of what is possible may start more also when
-// nothing is left: otherwise one that floods a process would keep all others out.
+// A client that has started less than an even share of the capacity may start more even if no token
+// is left: otherwise one client that floods a process would keep all others out.
 type Rate struct {
-	Least, Begin float64
+	Min, Initial float64
 
-	mutex   sync.Mutex
-	rate    float64
-	kept    float64 // starts a second, however much is refused; 0 if nobody has told
-	tokens  float64
-	filled  time.Time
-	starved bool // somebody was held up since the last look
+	mutex    sync.Mutex
+	rate     float64
+	reserved float64 // floor in starts per second, however much is refused; 0 if SetFloor has not been called
+	tokens   float64
+	refilled time.Time
+	limited  bool // a request was held back since the last adaptation
 
-	begun         time.Time // of the younger span
-	younger, aged map[string]int
+	spanStart        time.Time // start of the span that recent counts
+	recent, previous map[string]int
 }
 
+// unbounded reports whether the rate bounds nothing.
 func (r *Rate) unbounded() bool {
-	return r == nil || r.Begin == 0
+	return r == nil || r.Initial == 0
 }
 
-// Room tells whether one more request may be started now, whoever asks.
-func (r *Rate) Room(now time.Time) bool {
+// Available reports whether one more request may be started now, whichever client sent it.
+func (r *Rate) Available(now time.Time) bool {
 	if r.unbounded() {
 		return true
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.fill(now)
+	r.refill(now)
 	if r.tokens >= 0 {
 		return true
 	}
-	r.starved = true
+	r.limited = true
 	return false
 }
 
-// Crowds tells whether somebody has started an even part of what is possible.
-func (r *Rate) Crowds(now time.Time, who string) bool {
+// ExceedsShare reports whether a client has started an even share of the capacity or more.
+func (r *Rate) ExceedsShare(now time.Time, client string) bool {
 	if r.unbounded() {
 		return false
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.turn(now)
-	asking := len(r.aged)
-	for other := range r.younger {
-		if _, found := r.aged[other]; !found {
-			asking++
+	r.rotate(now)
+	clients := len(r.previous)
+	for other := range r.recent {
+		if _, found := r.previous[other]; !found {
+			clients++
 		}
 	}
-	started := r.younger[who] + r.aged[who]
+	started := r.recent[client] + r.previous[client]
 	if started == 0 {
-		asking++
+		clients++
 	}
-	possible := r.current() * (now.Sub(r.begun) + span).Seconds()
-	return asking > maxAsking || float64(started) >= max(possible/float64(asking), 1)
+	capacity := r.current() * (now.Sub(r.spanStart) + countSpan).Seconds()
+	return clients > maxClients || float64(started) >= max(capacity/float64(clients), 1)
 }
 
-// turn begins a new span when one is over.
-func (r *Rate) turn(now time.Time) {
-	if r.younger != nil && now.Sub(r.begun) < span {
+// rotate begins a new span when the current one is over.
+func (r *Rate) rotate(now time.Time) {
+	if r.recent != nil && now.Sub(r.spanStart) < countSpan {
 		return
 	}
-	r.aged = r.younger
-	if now.Sub(r.begun) >= 2*span {
-		r.aged = nil
+	r.previous = r.recent
+	if now.Sub(r.spanStart) >= 2*countSpan {
+		r.previous = nil
 	}
-	r.begun, r.younger = now, make(map[string]int)
+	r.spanStart, r.recent = now, make(map[string]int)
 }
 
-// Take counts a request that is started for somebody.
-func (r *Rate) Take(now time.Time, who string) {
+// Take counts a request that is started for a client.
+func (r *Rate) Take(now time.Time, client string) {
 	if r.unbounded() {
 		return
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.fill(now)
+	r.refill(now)
 	r.tokens--
-	r.turn(now)
-	if len(r.younger) <= maxAsking {
-		r.younger[who]++
+	r.rotate(now)
+	if len(r.recent) <= maxClients {
+		r.recent[client]++
 	}
 }
 
-// Look adapts the rate to the process's standing lateness.
-func (r *Rate) Look(late time.Duration) {
+// Adapt adjusts the rate to the persistent lateness of the process.
+func (r *Rate) Adapt(late time.Duration) {
 	switch {
-	case late >= strained:
-		r.change(cut)
-	case late <= Calm:
-		r.change(growth)
+	case late >= cutThreshold:
+		r.scale(cut)
+	case late <= OnTimeThreshold:
+		r.scale(growth)
 	default:
-		r.change(1)
+		r.scale(1)
 	}
 }
 
-// change multiplies the rate, and raises it only if it has held somebody up since the last time.
-func (r *Rate) change(by float64) {
+// scale multiplies the rate by a factor. It raises the rate only if the rate has held a request
+// back since the last call.
+func (r *Rate) scale(factor float64) {
 	if r.unbounded() {
 		return
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if by < 1 || r.starved {
-		r.rate = max(r.current()*by, r.Least)
+	if factor < 1 || r.limited {
+		r.rate = max(r.current()*factor, r.Min)
 	}
-	r.starved = false
+	r.limited = false
 }
 
-// Keep sets how many starts a second are kept in a process that is late because of what it refuses;
-// until then that is Begin.
-func (r *Rate) Keep(perSecond float64) {
+// SetFloor sets how many starts per second are reserved in a process that is late because of its
+// refusals. Until the first call the floor is Initial.
+func (r *Rate) SetFloor(perSecond float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.kept = perSecond
+	r.reserved = perSecond
 }
 
-// lower cuts the rate, down to a floor, and tells whether it was above that.
+// lower cuts the rate, down to a floor, and reports whether the rate was above the floor.
 func (r *Rate) lower(floor float64) bool {
 	if r.unbounded() {
 		return false
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.starved = false
+	r.limited = false
 	if r.current() <= floor {
 		return false
 	}
@@ -166,45 +170,46 @@
 	return true
 }
 
-// floor returns what is kept, not below the least nor above Begin.
+// floor returns the reserved rate, at least Min and at most Initial.
 func (r *Rate) floor() float64 {
 	if r.unbounded() {
 		return 0
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.kept == 0 {
-		return r.Begin
+	if r.reserved == 0 {
+		return r.Initial
 	}
-	return min(max(r.kept, r.Least), r.Begin)
+	return min(max(r.reserved, r.Min), r.Initial)
 }
 
-func (r *Rate) least() float64 {
+func (r *Rate) minimum() float64 {
 	if r.unbounded() {
 		return 0
 	}
-	return r.Least
+	return r.Min
 }
 
-// reducible tells whether the rate is above its least.
-func (r *Rate) reducible() bool {
-	return r.Value() > r.least()
+// aboveMinimum reports whether the rate is above its minimum.
+func (r *Rate) aboveMinimum() bool {
+	return r.Value() > r.minimum()
 }
 
 func (r *Rate) current() float64 {
 	if r.rate == 0 {
-		return r.Begin
+		return r.Initial
 	}
 	return r.rate
 }
 
-func (r *Rate) fill(now time.Time) {
+// refill adds the tokens of the time since the last call, up to startBurst.
+func (r *Rate) refill(now time.Time) {
 	rate := r.current()
-	r.tokens = min(r.tokens+rate*now.Sub(r.filled).Seconds(), rate*startBurst)
-	r.filled = now
+	r.tokens = min(r.tokens+rate*now.Sub(r.refilled).Seconds(), rate*startBurst)
+	r.refilled = now
 }
 
-// Value returns how many requests may be started in a second, 0 for any number.
+// Value returns how many requests may be started per second; 0 means that the rate is unbounded.
 func (r *Rate) Value() float64 {
 	if r.unbounded() {
 		return 0
--- a/lib/pacer/rate_test.go
+++ b/lib/pacer/rate_test.go
@@ -8,154 +8,154 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A small instance whose flood asks for far more than it can start.
+// A small instance that gets a flood of far more requests than it can start.
 const (
-	arrivals = 2000 // a second
-	cores    = 0.192
-	refusal  = 60 * time.Microsecond // of a core
-	begin    = 900 * time.Microsecond
-	length   = 12 * time.Second
-	settled  = 2 * time.Second
+	arrivalRate   = 2000 // requests per second
+	cores         = 0.192
+	refusalCost   = 60 * time.Microsecond // of one core
+	startCost     = 900 * time.Microsecond
+	floodDuration = 12 * time.Second
+	warmUp        = 2 * time.Second
 )
 
-// flood plays it and returns the starts a second and the latest look, once it has settled. Held
-// is by how much a look is late besides what there is to do; it may be nil.
-func flood(starts *Rate, held func(at time.Duration) time.Duration) (perSecond float64, latest time.Duration) {
+// flood simulates the flood and returns the starts per second and the largest backlog after the
+// warm-up. Pause is an additional lateness of each sample beside the backlog; it may be nil.
+func flood(starts *Rate, pause func(at time.Duration) time.Duration) (perSecond float64, largest time.Duration) {
 	p := Pacer{Starts: starts}
 	now, backlog, started := time.Unix(1000, 0), time.Duration(0), 0
-	for at := time.Duration(0); at < length; at += step {
-		for range arrivals * step / time.Second {
-			cost := refusal
-			if starts.Room(now) {
+	for at := time.Duration(0); at < floodDuration; at += sampleInterval {
+		for range arrivalRate * sampleInterval / time.Second {
+			cost := refusalCost
+			if starts.Available(now) {
 				starts.Take(now, "flood")
-				cost = begin
-				if at >= settled {
+				cost = startCost
+				if at >= warmUp {
 					started++
 				}
 			}
 			backlog += time.Duration(float64(cost) / cores)
-			now = now.Add(time.Second / arrivals)
+			now = now.Add(time.Second / arrivalRate)
 		}
-		backlog = max(backlog-step, 0)
+		backlog = max(backlog-sampleInterval, 0)
 		late := backlog
-		if held != nil {
-			late += held(at)
+		if pause != nil {
+			late += pause(at)
 		}
-		p.Look(late)
-		if at >= settled {
-			latest = max(latest, backlog)
+		p.Observe(late)
+		if at >= warmUp {
+			largest = max(largest, backlog)
 		}
 	}
-	return float64(started) / (length - settled).Seconds(), latest
+	return float64(started) / (floodDuration - warmUp).Seconds(), largest
 }
 
-// Symptom: requests that a router has read reach their endpoints 1.2 s later, half of them
-// after their clients have left. Sequence: a flood's requests come to one small router;
-// 150 of them begin at one moment. Cause: only what was under way was bounded, and what
-// begins takes most of a request's processor time.
-func TestStartsFollowWhatAProcessCanDo(t *testing.T) {
+// Guards against requests that reach their endpoints 1.2 s after the router has read them, half of
+// them after their clients have left: 150 requests of a flood begin at one moment on one small
+// router. A bound on the requests in flight alone allows that, because the start takes most of a
+// request's processor time.
+func TestStartsFollowCapacity(t *testing.T) {
 	tests := map[string]struct {
 		starts *Rate
-		late   time.Duration // at most, once it has settled
+		late   time.Duration // upper bound after the warm-up
 	}{
-		"paced":   {starts: &Rate{Begin: 150, Least: 20}, late: 100 * time.Millisecond},
+		"paced":   {starts: &Rate{Initial: 150, Min: 20}, late: 100 * time.Millisecond},
 		"unpaced": {starts: &Rate{}, late: time.Hour},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			started, latest := flood(test.starts, nil)
-			require.Less(t, latest, test.late)
-			if test.starts.Begin == 0 {
-				require.Greater(t, latest, 10*time.Second, "without it the process is late without bound")
+			started, largest := flood(test.starts, nil)
+			require.Less(t, largest, test.late)
+			if test.starts.Initial == 0 {
+				require.Greater(t, largest, 10*time.Second, "without pacing the lateness is unbounded")
 				return
 			}
-			// What refusals leave is worth 80 starts a second.
+			// The processor time that refusals leave suffices for 80 starts per second.
 			require.Greater(t, started, 60.0)
 		})
 	}
 }
 
-// Guards against a router that serves half of what it could: each moment at which it was held
-// up, by a collection of garbage or many connections at once, cut its starts, although most
-// looks found it on time.
-func TestMomentsDoNotHoldStartsBack(t *testing.T) {
+// Guards against a router that serves half of its capacity because each moment at which it is held
+// up, by a garbage collection or by many connections at once, lowers its starts, although most
+// samples find it on time.
+func TestShortPausesDoNotLowerStarts(t *testing.T) {
 	const (
-		every = 8 * step
-		held  = 80 * time.Millisecond
+		every = 8 * sampleInterval
+		pause = 80 * time.Millisecond
 	)
-	started, _ := flood(&Rate{Begin: 150, Least: 20}, func(at time.Duration) time.Duration {
+	started, _ := flood(&Rate{Initial: 150, Min: 20}, func(at time.Duration) time.Duration {
 		if at%every == 0 {
-			return held
+			return pause
 		}
 		return 0
 	})
-	// What refusals leave is worth 80 starts a second.
+	// The processor time that refusals leave suffices for 80 starts per second.
 	require.Greater(t, started, 60.0)
 }
 
-func TestRateWithoutABound(t *testing.T) {
+func TestUnboundedRate(t *testing.T) {
 	var none *Rate
 	now := time.Unix(1000, 0)
 	none.Take(now, "flood")
-	none.Look(time.Second)
-	require.True(t, none.Room(now))
+	none.Adapt(time.Second)
+	require.True(t, none.Available(now))
 	var zero Rate
 	for range 1000 {
-		require.True(t, zero.Room(now))
+		require.True(t, zero.Available(now))
 		zero.Take(now, "flood")
 	}
 	require.Zero(t, zero.Value())
 }
 
-func TestRateFallsToItsLeastAndComesBack(t *testing.T) {
-	r := &Rate{Begin: 100, Least: 10}
+func TestRateFallsToMinimumAndRecovers(t *testing.T) {
+	r := &Rate{Initial: 100, Min: 10}
 	for range 100 {
-		r.Look(time.Second)
+		r.Adapt(time.Second)
 	}
 	require.InDelta(t, 10, r.Value(), 1e-9)
 	for range 100 {
-		r.Look(0)
+		r.Adapt(0)
 	}
-	require.InDelta(t, 10, r.Value(), 1e-9, "nobody was held up")
+	require.InDelta(t, 10, r.Value(), 1e-9, "no request was held back")
 	now := time.Unix(1000, 0)
 	for range 200 {
-		for r.Room(now) {
+		for r.Available(now) {
 			r.Take(now, "flood")
 		}
-		r.Look(0)
-		now = now.Add(step)
+		r.Adapt(0)
+		now = now.Add(sampleInterval)
 	}
 	require.Greater(t, r.Value(), 100.0)
 }
 
-// Symptom: a small workspace gets nothing at a router that another one floods. Cause:
-// whoever came while nothing was left was held up.
-func TestFloodLeavesOthersTheirPart(t *testing.T) {
-	r := &Rate{Begin: 100, Least: 100}
+// Guards against a small workspace that gets nothing at a router which another workspace floods,
+// because every request that comes while no token is left is held back.
+func TestFloodLeavesOthersTheirShare(t *testing.T) {
+	r := &Rate{Initial: 100, Min: 100}
 	now, started := time.Unix(1000, 0), map[string]int{}
-	for i := range 8000 { // 2,000 a second
+	for i := range 8000 { // 2,000 per second
 		now = now.Add(500 * time.Microsecond)
-		who := "flood"
-		if i%100 == 0 { // 20 a second, beside 100 that are possible
-			who = "small"
+		client := "flood"
+		if i%100 == 0 { // 20 per second, of a capacity of 100
+			client = "small"
 		}
-		if r.Room(now) || !r.Crowds(now, who) {
-			r.Take(now, who)
-			started[who]++
+		if r.Available(now) || !r.ExceedsShare(now, client) {
+			r.Take(now, client)
+			started[client]++
 		}
 	}
 	require.Equal(t, 80, started["small"])
-	require.InDelta(t, 4*100-80, started["flood"], 60, "and what they leave is used")
+	require.InDelta(t, 4*100-80, started["flood"], 60, "the flood uses what the small workspace leaves")
 }
 
-func TestManyWhoAskAreBounded(t *testing.T) {
-	r := &Rate{Begin: 1e6, Least: 100}
+func TestTrackedClientsAreBounded(t *testing.T) {
+	r := &Rate{Initial: 1e6, Min: 100}
 	now := time.Unix(1000, 0)
-	for i := range 2 * maxAsking {
+	for i := range 2 * maxClients {
 		r.Take(now, fmt.Sprint("club-", i))
 	}
-	require.LessOrEqual(t, len(r.younger), maxAsking+1)
-	require.True(t, r.Crowds(now, "one more"))
-	now = now.Add(2 * span)
-	require.False(t, r.Crowds(now, "one more"))
+	require.LessOrEqual(t, len(r.recent), maxClients+1)
+	require.True(t, r.ExceedsShare(now, "one more"))
+	now = now.Add(2 * countSpan)
+	require.False(t, r.ExceedsShare(now, "one more"))
 }
--- a/lib/predictor/predictor.go
+++ b/lib/predictor/predictor.go
@@ -1,15 +1,13 @@
-// Package predictor predicts how long an engine takes until the first token of a
-// request.
+// Package predictor predicts the time that an engine takes until the first token of a request.
 //
-// An engine reads prompts in the order in which they came, so that the wait is a
-// constant part and the unread tokens, those ahead and the request's own, over the
-// engine's speed. Engines of one service differ little, and a router has a few
-// answers a second of each: the two numbers are fitted over the answers of all of
-// them. What an engine differs by, because it is slow or because it has more to do
-// than this router knows, is a factor of its own.
+// An engine reads prompts in arrival order. The wait is therefore a constant part plus the unread
+// tokens, those queued ahead and the request's own, divided by the engine's speed. The engines of
+// one service differ little, and a router gets a few answers per second of each: the two parameters
+// are fitted over the answers of all of them. Each engine's deviation from the fit, because it is
+// slow or has more load than this router sees, is a factor of its own.
 //
-// Invariants: a prediction is never negative and rises with the tokens; a factor that
-// is not confirmed by answers goes back to one.
+// Invariants: a prediction is never negative and rises with the number of tokens; a factor that is
+// not confirmed by answers returns to one.
 package predictor
 
 import (
@@ -18,118 +16,124 @@
 )
 
 const (
-	// firstBase and firstToken are what a fit begins with before any answer, of engines that
-	// read with other requests between.
-	firstBase  = 40 * time.Millisecond
-	firstToken = 15 * time.Microsecond
-	// firstWeight is how many answers that beginning counts for. A router has as many
-	// in its first quarter of a second.
-	firstWeight = 8
-	// firstSpread is the spread of tokens among these, 3,000 for one answer.
-	firstSpread = 3000.0
-	// keep is what an answer's weight is multiplied by with each later one: some three
-	// hundred count, which is a few seconds of a busy router.
-	keep = 0.997
-	// leastToken and mostToken bound the time for one token. A fit over few answers
+	// initialBase and initialTokenTime are the parameters of a fit before any answer, typical of
+	// engines that read prompts while other requests run.
+	initialBase      = 40 * time.Millisecond
+	initialTokenTime = 15 * time.Microsecond
+	// initialWeight is the number of answers for which the initial parameters count. A router has
+	// as many answers in its first quarter of a second.
+	initialWeight = 8
+	// initialSpread is both the mean and the standard deviation of the tokens of these initial
+	// answers: 3,000 tokens an answer.
+	initialSpread = 3000.0
+	// decayPerAnswer is the factor by which the weight of an answer is multiplied with each later
+	// one: some three hundred answers count, which are a few seconds of a busy router.
+	decayPerAnswer = 0.997
+	// minTokenTime and maxTokenTime bound the time for one token, because a fit over few answers
 	// may be far off.
-	leastToken = time.Microsecond
-	mostToken  = time.Millisecond
-	// mostBase bounds the constant part.
-	mostBase = 500 * time.Millisecond
+	minTokenTime = time.Microsecond
+	maxTokenTime = time.Millisecond
+	// maxBase bounds the constant part.
+	maxBase = 500 * time.Millisecond
 )
 
-// Fit is the two numbers of one service's engines. Its zero value knows no answer.
+// Fit is the linear fit of the waits for the first token over the engines of one service. The zero
+// value has seen no answers and predicts from the initial parameters.
 type Fit struct {
 	count, tokens, waited, square, product float64 // decayed sums, in tokens and seconds
-	base, token                            float64 // seconds, and seconds a token
-	deviation                              float64 // mean deviation of answers from what was predicted, in seconds
+	base, tokenTime                        float64 // in seconds, and in seconds per token
+	deviation                              float64 // mean absolute deviation of answers from their predictions, in seconds
 }
 
-// Observe takes how long an answer's begin took, with how many unread tokens.
+// Observe records an answer: the wait for its first token, and the number of unread tokens when it
+// was sent.
 func (f *Fit) Observe(tokens int, waited time.Duration) {
-	f.begin()
+	f.initialize()
 	x, w := float64(tokens), waited.Seconds()
-	f.count = keep*f.count + 1
-	f.tokens = keep*f.tokens + x
-	f.waited = keep*f.waited + w
-	f.square = keep*f.square + x*x
-	f.product = keep*f.product + x*w
+	f.count = decayPerAnswer*f.count + 1
+	f.tokens = decayPerAnswer*f.tokens + x
+	f.waited = decayPerAnswer*f.waited + w
+	f.square = decayPerAnswer*f.square + x*x
+	f.product = decayPerAnswer*f.product + x*w
 	f.solve()
 }
 
-// begin puts the first guess in place of answers.
-func (f *Fit) begin() {
+// initialize replaces missing answers by the initial parameters.
+func (f *Fit) initialize() {
 	if f.count > 0 {
 		return
 	}
-	f.base, f.token, f.deviation = firstBase.Seconds(), firstToken.Seconds(), firstDeviation.Seconds()
-	mean := firstSpread
-	f.count = firstWeight
-	f.tokens = firstWeight * mean
-	f.square = firstWeight * (mean*mean + firstSpread*firstSpread)
-	f.waited = f.base*f.count + f.token*f.tokens
-	f.product = f.base*f.tokens + f.token*f.square
+	f.base, f.tokenTime, f.deviation = initialBase.Seconds(), initialTokenTime.Seconds(), initialDeviation.Seconds()
+	mean := initialSpread
+	f.count = initialWeight
+	f.tokens = initialWeight * mean
+	f.square = initialWeight * (mean*mean + initialSpread*initialSpread)
+	f.waited = f.base*f.count + f.tokenTime*f.tokens
+	f.product = f.base*f.tokens + f.tokenTime*f.square
 }
 
-// solve finds the line of the least squares, within the bounds.
+// solve computes the least-squares line, within the bounds.
 func (f *Fit) solve() {
 	meanTokens, meanWaited := f.tokens/f.count, f.waited/f.count
 	spread := f.square/f.count - meanTokens*meanTokens
 	if spread > 1 {
-		f.token = (f.product/f.count - meanTokens*meanWaited) / spread
+		f.tokenTime = (f.product/f.count - meanTokens*meanWaited) / spread
 	}
-	f.token = min(max(f.token, leastToken.Seconds()), mostToken.Seconds())
-	f.base = min(max(meanWaited-f.token*meanTokens, 0), mostBase.Seconds())
+	f.tokenTime = min(max(f.tokenTime, minTokenTime.Seconds()), maxTokenTime.Seconds())
+	f.base = min(max(meanWaited-f.tokenTime*meanTokens, 0), maxBase.Seconds())
 }
 
-// Wait returns the wait expected with so many unread tokens.
+// Wait returns the predicted wait with the given number of unread tokens.
 func (f *Fit) Wait(tokens int) time.Duration {
-	f.begin()
-	return seconds(f.base + f.token*float64(max(tokens, 0)))
+	f.initialize()
+	return seconds(f.base + f.tokenTime*float64(max(tokens, 0)))
 }
 
-// Reading returns the part of the wait that so many tokens are.
-func (f *Fit) Reading(tokens int) time.Duration {
-	f.begin()
-	return seconds(f.token * float64(max(tokens, 0)))
+// PrefillTime returns the part of the wait that the given number of tokens adds.
+func (f *Fit) PrefillTime(tokens int) time.Duration {
+	f.initialize()
+	return seconds(f.tokenTime * float64(max(tokens, 0)))
 }
 
 const (
-	// firstDeviation is the mean deviation before any answer.
-	firstDeviation = 50 * time.Millisecond
-	// deviationStep is the weight of one answer in it: some hundred count.
-	deviationStep = 0.01
-	// mostDeviation bounds what one answer says: one that hung says little of the next.
-	mostDeviation = 500 * time.Millisecond
-	// logistic is how many times its scale the mean deviation of a logistic distribution is.
-	logistic = 2 * math.Ln2
-	// certain is from how many scales beyond its target on an answer is late for certain.
-	certain = 20
+	// initialDeviation is the mean deviation before any answer.
+	initialDeviation = 50 * time.Millisecond
+	// deviationGain is the EWMA weight of one answer in the mean deviation: some hundred answers
+	// count.
+	deviationGain = 0.01
+	// maxDeviation bounds the effect of one answer: an answer that hung says little about the next
+	// one.
+	maxDeviation = 500 * time.Millisecond
+	// deviationPerScale is the ratio of the mean deviation of a logistic distribution to its scale.
+	deviationPerScale = 2 * math.Ln2
+	// certainScales is the number of scales beyond the target from which an answer is late with
+	// certainty.
+	certainScales = 20
 )
 
-// Deviate takes by how much the begin of an answer was off its prediction.
-func (f *Fit) Deviate(off time.Duration) {
-	f.begin()
-	f.deviation += deviationStep * (min(off.Abs(), mostDeviation).Seconds() - f.deviation)
+// ObserveDeviation records the difference between an answer's wait and its prediction.
+func (f *Fit) ObserveDeviation(deviation time.Duration) {
+	f.initialize()
+	f.deviation += deviationGain * (min(deviation.Abs(), maxDeviation).Seconds() - f.deviation)
 }
 
-// Late returns by how much an answer that is predicted after a wait is late in the mean.
-// Answers come about their prediction as in a logistic distribution: one that is predicted
-// only just in time is late in half of all cases, because of what nobody knew of.
-func (f *Fit) Late(wait, target time.Duration) time.Duration {
-	f.begin()
-	scale := f.deviation / logistic
-	beyond := (wait - target).Seconds()
-	if beyond >= certain*scale {
+// ExpectedLateness returns the mean lateness of an answer with the given predicted wait. Answers
+// are distributed around their prediction like a logistic distribution: an answer that is predicted
+// only just in time is late in half of all cases, because of load that is unknown to the router.
+func (f *Fit) ExpectedLateness(wait, target time.Duration) time.Duration {
+	f.initialize()
+	scale := f.deviation / deviationPerScale
+	excess := (wait - target).Seconds()
+	if excess >= certainScales*scale {
 		return max(wait-target, 0)
 	}
-	return seconds(scale * math.Log1p(math.Exp(beyond/scale)))
+	return seconds(scale * math.Log1p(math.Exp(excess/scale)))
 }
 
-// Tokens returns how many tokens an engine reads in a time, 0 for a negative one.
-func (f *Fit) Tokens(length time.Duration) float64 {
-	f.begin()
-	return max(length.Seconds(), 0) / f.token
+// PrefillTokens returns how many tokens an engine reads in the given time, 0 for a negative time.
+func (f *Fit) PrefillTokens(available time.Duration) float64 {
+	f.initialize()
+	return max(available.Seconds(), 0) / f.tokenTime
 }
 
 func seconds(s float64) time.Duration {
@@ -137,34 +141,35 @@
 }
 
 const (
-	// step is the weight of one answer in an engine's factor: a router has some two
-	// answers a second of each engine.
-	step = 0.15
-	// mostRatio bounds what one answer says, either way: one that waited behind a
-	// prompt that this router did not know of says little of the next.
-	mostRatio = 4.0
-	// leastLog is what counts as one again: a hundredth, which no answer shows.
-	leastLog = 0.01
-	// forgets is the half-life of a factor without answers. A slow engine gets little
-	// work, and would else never be found to have recovered.
-	forgets = 3 * time.Second
+	// factorGain is the EWMA weight of one answer in an engine's factor: a router gets some two
+	// answers per second of each engine.
+	factorGain = 0.15
+	// maxRatio bounds the effect of one answer in both directions: an answer that waited behind a
+	// prompt unknown to this router says little about the next one.
+	maxRatio = 4.0
+	// minLog is the logarithm below which a factor counts as one: a hundredth, which is not visible
+	// in any answer.
+	minLog = 0.01
+	// factorHalfLife is the half-life of a factor without answers. A slow engine gets little work,
+	// and its recovery would otherwise never be detected.
+	factorHalfLife = 3 * time.Second
 )
 
-// Factor is by how much an engine's waits exceed the prediction. Its zero value is one.
+// Factor is the ratio of an engine's waits to the predictions of the fit. Its zero value is one.
 type Factor struct {
-	log float64
-	at  time.Time
+	log float64   // natural logarithm of the factor
+	at  time.Time // time of the last decay
 }
 
-// Observe takes an answer's wait and what was predicted for it.
+// Observe records an answer's wait and the prediction for it.
 func (f *Factor) Observe(now time.Time, waited, predicted time.Duration) {
 	f.decay(now)
 	ratio := max(waited.Seconds(), 1e-3) / max(predicted.Seconds(), 1e-3)
-	ratio = min(max(ratio, 1/mostRatio), mostRatio)
-	f.log += step * (math.Log(ratio) - f.log)
+	ratio = min(max(ratio, 1/maxRatio), maxRatio)
+	f.log += factorGain * (math.Log(ratio) - f.log)
 }
 
-// Get returns the factor.
+// Get returns the factor, decayed until now.
 func (f *Factor) Get(now time.Time) float64 {
 	if f.log == 0 {
 		return 1
@@ -173,11 +178,12 @@
 	return math.Exp(f.log)
 }
 
+// decay moves the factor towards one by the time since the last call.
 func (f *Factor) decay(now time.Time) {
 	if elapsed := now.Sub(f.at); elapsed > 0 {
-		f.log *= math.Exp2(-elapsed.Seconds() / forgets.Seconds())
+		f.log *= math.Exp2(-elapsed.Seconds() / factorHalfLife.Seconds())
 		f.at = now
-		if math.Abs(f.log) < leastLog {
+		if math.Abs(f.log) < minLog {
 			f.log = 0
 		}
 	}
--- a/lib/rationer/holder.go
+++ b/lib/rationer/holder.go
@@ -5,65 +5,66 @@
 	"time"
 )
 
-// Holder holds a router's leases on one endpoint, one for each keeper that has given it its
-// part. The zero value has none. It is not safe for concurrent use.
+// Holder keeps a router's leases on one endpoint, at most one of each keeper. The zero value has no
+// leases. It is not safe for concurrent use.
 type Holder struct {
-	held map[netip.AddrPort]*holding
+	held map[netip.AddrPort]*heldLease
 }
 
-type holding struct {
-	until time.Time
-	next  time.Time // the earliest moment of the next request
-	pause time.Duration
+// heldLease is a lease of one keeper's part.
+type heldLease struct {
+	expires time.Time
+	next    time.Time // earliest time of the next request
+	pause   time.Duration
 }
 
-// Take notes that a keeper has given or renewed a lease that was asked for at a time. The
-// first request under a new one waits for a pause, because the one that had the part before
-// may have used it only just.
-func (h *Holder) Take(now, asked time.Time, keeper netip.AddrPort, pause, term time.Duration) {
+// RecordGrant records that a keeper has granted or renewed a lease for which the router asked at
+// the time asked. The first request under a new lease waits for a pause, because the previous
+// holder of the part may have used it just before.
+func (h *Holder) RecordGrant(now, asked time.Time, keeper netip.AddrPort, pause, term time.Duration) {
 	if h.held == nil {
-		h.held = make(map[netip.AddrPort]*holding)
+		h.held = make(map[netip.AddrPort]*heldLease)
 	}
-	known, found := h.held[keeper]
+	lease, found := h.held[keeper]
 	if !found {
-		known = &holding{}
-		h.held[keeper] = known
+		lease = &heldLease{}
+		h.held[keeper] = lease
 	}
-	if !now.Before(known.until) {
-		known.next = now.Add(pause)
+	if !now.Before(lease.expires) {
+		lease.next = now.Add(pause)
 	}
-	known.until, known.pause = asked.Add(term), pause
+	lease.expires, lease.pause = asked.Add(term), pause
 }
 
-// Ready tells whether a request may be sent now.
+// Ready reports whether a request may be sent now.
 func (h *Holder) Ready(now time.Time) bool {
-	return h.first(now) != nil
+	return h.oldestReady(now) != nil
 }
 
-// Use notes that a request is sent. It may be called only if Ready tells so.
+// Use records that a request is sent. It may be called only if Ready returns true.
 func (h *Holder) Use(now time.Time) {
-	first := h.first(now)
-	if first == nil {
+	oldest := h.oldestReady(now)
+	if oldest == nil {
 		return
 	}
-	early := time.Duration(credit * float64(first.pause))
-	first.next = first.next.Add(first.pause)
-	if least := now.Add(first.pause - early); first.next.Before(least) {
-		first.next = least
+	early := time.Duration(earlyCredit * float64(oldest.pause))
+	oldest.next = oldest.next.Add(oldest.pause)
+	if earliest := now.Add(oldest.pause - early); oldest.next.Before(earliest) {
+		oldest.next = earliest
 	}
 }
 
-// first returns the lease that has been ready for longest, nil if none is.
-func (h *Holder) first(now time.Time) *holding {
-	var first *holding
-	for keeper, known := range h.held {
+// oldestReady returns the lease that has been ready for the longest time, nil if none is ready.
+func (h *Holder) oldestReady(now time.Time) *heldLease {
+	var oldest *heldLease
+	for keeper, lease := range h.held {
 		switch {
-		case !now.Before(known.until):
+		case !now.Before(lease.expires):
 			delete(h.held, keeper)
-		case now.Before(known.next):
-		case first == nil || known.next.Before(first.next):
-			first = known
+		case now.Before(lease.next):
+		case oldest == nil || lease.next.Before(oldest.next):
+			oldest = lease
 		}
 	}
-	return first
+	return oldest
 }
--- a/lib/rationer/lessor.go
+++ b/lib/rationer/lessor.go
@@ -8,75 +8,76 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// offerTime is how long a router is waited for that was chosen for a part and has not asked
-// since. Routers ask twice a second or more.
-const offerTime = 600 * time.Millisecond
+// offerTimeout is how long a part stays offered to a router that was selected for it and has not
+// asked since. Routers ask at least twice a second.
+const offerTimeout = 600 * time.Millisecond
 
 // Candidate is a router that may get a part.
 type Candidate struct {
 	Name string
-	// Asked is what its clients ask for, in any unit: who asks for nothing leaves its
-	// part unused.
-	Asked float64
+	// Demand is the demand of the router's clients, in any unit. A router without demand would
+	// leave its part unused.
+	Demand float64
 }
 
-// Lessor leases one keeper's parts. Its zero value leases from Term after Begin, or else after
-// it is first asked: until then leases may be out that a former process of the keeper has
-// given. It is not safe for concurrent use.
+// Lessor leases one keeper's parts. Its zero value starts to grant leases LeaseTerm after Start or,
+// without Start, after the first call of Grant: until then leases of an earlier process of the
+// keeper may still be in force. It is not safe for concurrent use.
 type Lessor struct {
-	began  time.Time
-	leases map[uint64]lease
+	started time.Time
+	leases  map[uint64]lease
 }
 
-// lease is a part that a router has until a time, or has been chosen for.
+// lease is a part that a router holds until it expires, or that is offered to the router.
 type lease struct {
-	router string
-	chosen time.Time
-	until  time.Time
+	router  string
+	offered time.Time
+	expires time.Time
 }
 
-// Begin notes when the keeper's process has started.
-func (l *Lessor) Begin(now time.Time) {
-	l.began, l.leases = now, make(map[uint64]lease)
+// Start records the time at which the keeper's process has started.
+func (l *Lessor) Start(now time.Time) {
+	l.started, l.leases = now, make(map[uint64]lease)
 }
 
-// Grant tells whether a router that asked at a time gets this keeper's part of an endpoint,
-// or keeps it, for Term from then on. Candidates are called for only if nobody has it.
+// Grant reports whether a router that asked at the time asked gets or keeps this keeper's part of
+// an endpoint, for LeaseTerm from then on. Candidates is called only if no router holds the part.
 func (l *Lessor) Grant(now, asked time.Time, endpoint uint64, router string, candidates func() []Candidate) bool {
-	if l.began.IsZero() {
-		l.Begin(now)
+	if l.started.IsZero() {
+		l.Start(now)
 	}
-	if now.Sub(l.began) < Term {
+	if now.Sub(l.started) < LeaseTerm {
 		return false
 	}
-	held := l.leases[endpoint]
-	if !now.Before(held.until) && now.Sub(held.chosen) > offerTime {
-		held = lease{router: choose(endpoint, candidates()), chosen: now}
-		l.leases[endpoint] = held
+	current := l.leases[endpoint]
+	if !now.Before(current.expires) && now.Sub(current.offered) > offerTimeout {
+		current = lease{router: choose(endpoint, candidates()), offered: now}
+		l.leases[endpoint] = current
 	}
-	if held.router != router {
+	if current.router != router {
 		return false
 	}
-	held.until, held.chosen = asked.Add(Term), now
-	l.leases[endpoint] = held
+	current.expires, current.offered = asked.Add(LeaseTerm), now
+	l.leases[endpoint] = current
 	return true
 }
 
-// Forget drops what is over.
-func (l *Lessor) Forget(now time.Time) {
-	for endpoint, held := range l.leases {
-		if !now.Before(held.until) && now.Sub(held.chosen) > offerTime {
+// DropExpired drops the leases and offers that have expired.
+func (l *Lessor) DropExpired(now time.Time) {
+	for endpoint, current := range l.leases {
+		if !now.Before(current.expires) && now.Sub(current.offered) > offerTimeout {
 			delete(l.leases, endpoint)
 		}
 	}
 }
 
-// choose draws a router by weighted rendezvous hashing: each is chosen for as many of the
-// endpoints as it asks for, so that one with many leases has the requests for them.
+// choose selects a router by weighted rendezvous hashing: each router is selected for a number of
+// endpoints in proportion to its demand, so that a router with many leases has the requests to use
+// them.
 func choose(endpoint uint64, candidates []Candidate) string {
 	best, bestScore := "", 0.0
 	for _, c := range candidates {
-		score := Score(max(c.Asked, math.SmallestNonzeroFloat32), digest(c.Name, endpoint))
+		score := Score(max(c.Demand, math.SmallestNonzeroFloat32), digest(c.Name, endpoint))
 		if best == "" || score > bestScore {
 			best, bestScore = c.Name, score
 		}
@@ -84,14 +85,15 @@
 	return best
 }
 
-// Score ranks candidates of different weights by rendezvous hashing: each comes first as often as
-// its weight is of all. Hash is of the candidate and of what is given out.
+// Score ranks candidates of different weights by rendezvous hashing: each candidate ranks first
+// with a probability that is its part of the total weight. Hash covers the candidate and the
+// assigned item.
 func Score(weight float64, hash uint64) float64 {
-	return weight / -math.Log(unit(hash))
+	return weight / -math.Log(uniform(hash))
 }
 
-// unit turns a hash into a number between 0 and 1.
-func unit(hash uint64) float64 {
+// uniform maps a hash to a number between 0 and 1.
+func uniform(hash uint64) float64 {
 	return (float64(hash>>11) + 0.5) / (1 << 53)
 }
 
@@ -100,15 +102,15 @@
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(name), number))
 }
 
-// Owns tells whether the keeper of a name has one of so many parts of an endpoint, ranked by
-// rendezvous hashing over the names of all keepers.
+// Owns reports whether the named keeper owns one of the parts of an endpoint. Keepers are ranked by
+// rendezvous hashing over their names; the first ones own a part each.
 func Owns(name string, keepers []string, endpoint uint64, parts int) bool {
-	own, before := unit(digest(name, endpoint)), 0
+	own, before := uniform(digest(name, endpoint)), 0
 	member := false
 	for _, other := range keepers {
 		if other == name {
 			member = true
-		} else if rank := unit(digest(other, endpoint)); rank > own || rank == own && other < name {
+		} else if rank := uniform(digest(other, endpoint)); rank > own || rank == own && other < name {
 			before++
 		}
 	}
--- a/lib/resolver/plan.go
+++ b/lib/resolver/plan.go
@@ -1,13 +1,12 @@
-// Package resolver answers, for one version of a whole configuration, which
-// route a request takes, which workspace sent it, and which services may run it.
+// Package resolver determines, for one version of the whole configuration, the route of a request,
+// the workspace that sent it, and the services that may run it.
 //
-// A Plan is what an operator described; a Table is compiled from it once and
-// then only read, by any number of goroutines, so that every request is judged
-// by exactly one version from its arrival to its end.
+// A Plan is the configuration that an operator has written. A Table is compiled from it once and is
+// then only read, by any number of goroutines, so that every request is handled under exactly one
+// version from its arrival to its end.
 //
-// Invariants: a plan that does not pass Check is never compiled; a workspace's
-// keys are kept as digests only and are compared by digest, so that the time a
-// lookup takes tells nothing about a key.
+// Invariants: a plan that does not pass Check is never compiled; the keys of workspaces are kept
+// and compared only as digests, so that the duration of a lookup reveals nothing about a key.
 package resolver
 
 import (
@@ -17,30 +16,30 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrPlan is the kind of every error about a configuration that cannot be used.
+// ErrPlan is the sentinel of all errors about a configuration that cannot be used.
 var ErrPlan = merry.Sentinel("configuration is not usable")
 
-// Kind says what may be done with a request more than once.
+// Kind determines whether a request may run more than once.
 type Kind uint8
 
 // The kinds of request.
 const (
-	// Once may run at most once for each request that a client sends.
-	Once Kind = iota + 1
-	// Repeatable is idempotent: it may run more than once.
+	// AtMostOnce requests run at most once for each request that a client sends.
+	AtMostOnce Kind = iota + 1
+	// Repeatable requests are idempotent: they may run more than once.
 	Repeatable
-	// Stream is answered by a series of events, and may run at most once unless
-	// its route is resumable.
+	// Stream requests are answered by a series of events. They run at most once unless their route
+	// is resumable.
 	Stream
 )
 
-// Share is a service's part of a route's requests.
+// Share is the part of a route's requests that goes to one service.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says what happens to the requests of a host below a path.
+// Route determines the handling of all requests to a host below a path prefix.
 type Route struct {
 	Name      string
 	Host      string
@@ -48,69 +47,69 @@
 	Kind      Kind
 	Resumable bool
 	Shares    []Share
-	// Attempts is how many endpoints may get one request of a client.
+	// Attempts is the maximum number of endpoints to which one request of a client is sent.
 	Attempts int
-	// Timeout is the longest time until the final answer; Target the time until
-	// the first part of it that earns full credit; Gap the longest pause between
-	// two events that is still on time.
+	// Timeout bounds the time until the answer is complete. Target is the time until the first part
+	// of the answer that earns full credit. Gap is the longest pause between two events that is
+	// still on time.
 	Timeout time.Duration
 	Target  time.Duration
 	Gap     time.Duration
-	// Rank is 0 for the most urgent requests.
+	// Rank is the priority; 0 is the most urgent.
 	Rank      int
 	Anonymous bool
 }
 
-// Repeats tells whether a request of the route may run more than once.
-func (r *Route) Repeats() bool {
+// Retryable reports whether a request of the route may run more than once.
+func (r *Route) Retryable() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs at once.
 	Slots int
-	// Tokens is how many tokens its memory holds.
+	// Tokens is the number of tokens that fit into an engine's memory.
 	Tokens int
 }
 
 // Service is a group of endpoints that do the same work.
 type Service struct {
 	Name string
-	// Health is the path of its health check.
+	// Health is the path of the endpoints' health check.
 	Health string
-	// Connections is how many connections an endpoint accepts from all callers.
+	// Connections is the number of connections that an endpoint accepts from all callers together.
 	Connections int
 	// Engine is nil for a plain service.
 	Engine *Engine
 	Cold   Cold
 }
 
-// Cold says what an endpoint bears that has only just started, or got nothing for a while.
+// Cold is the load limit of an endpoint that has just started or has been idle for a while.
 type Cold struct {
-	// Rate is how many requests a second it bears until it is warm, 0 for any number. Well
-	// above it the endpoint crashes.
+	// Rate is the number of requests per second that the endpoint can serve until it is warm; 0
+	// means no limit. Well above this rate the endpoint crashes.
 	Rate float64
-	// Length is how long it takes to get warm.
+	// Length is the time that the endpoint takes to get warm.
 	Length time.Duration
 }
 
-// Workspace is a group of users who share one fair share of the capacity.
+// Workspace is a group of users that have one fair share of the capacity in common.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Rank goes before the route's if Ranked is set.
+	// Rank takes precedence over the route's if Ranked is set.
 	Rank   int
 	Ranked bool
 }
 
-// Limits bound what a client may send and how fast.
+// Limits bound the size of requests and the time that clients may take to send them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	// Rate is the tokens a second that all engines yield together; 0 is unknown.
+	// Rate is the tokens per second that all engines generate together; 0 if it is unknown.
 	Rate float64
 }
 
@@ -123,7 +122,8 @@
 	Limits     Limits
 }
 
-// Check returns an error that names what makes the plan unusable.
+// Check returns an error that wraps ErrPlan and names the first fault which makes the plan
+// unusable.
 func (p *Plan) Check() error {
 	services := make(map[string]bool, len(p.Services))
 	for _, service := range p.Services {
@@ -154,7 +154,7 @@
 	if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return fail("needs a host and a path that begins and ends with a slash")
 	}
-	if r.Kind < Once || r.Kind > Stream {
+	if r.Kind < AtMostOnce || r.Kind > Stream {
 		return fail("has no kind; say what may be repeated")
 	}
 	if r.Timeout <= 0 {
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// checkKeys refuses a key that two workspaces hold: its requests could be
-// counted for either.
+// checkKeys rejects a key that two workspaces hold: its requests could be charged to either of
+// them.
 func (p *Plan) checkKeys() error {
 	holders := make(map[string]string)
 	for _, workspace := range p.Workspaces {
--- a/lib/resolver/resolver_test.go
+++ b/lib/resolver/resolver_test.go
@@ -22,33 +22,33 @@
 }
 
 func TestCheck(t *testing.T) {
-	spoiled := func(spoil func(*Plan)) Plan {
+	modified := func(modify func(*Plan)) Plan {
 		p := plan(route("a", "h", "/a/"), route("b", "h", "/b/"))
-		spoil(&p)
+		modify(&p)
 		return p
 	}
 	tests := map[string]struct {
-		spoil func(*Plan)
-		err   string
+		modify func(*Plan)
+		err    string
 	}{
-		"fine":                               {spoil: func(*Plan) {}},
-		"unknown service":                    {spoil: func(p *Plan) { p.Routes[0].Shares[0].Service = "desks" }, err: "unknown service desks"},
-		"same place":                         {spoil: func(p *Plan) { p.Routes[1].Prefix = "/a/" }, err: "share a host and a path"},
-		"same place, in capitals":            {spoil: func(p *Plan) { p.Routes[1].Host, p.Routes[1].Prefix = "H", "/a/" }, err: "share a host and a path"},
-		"no weight":                          {spoil: func(p *Plan) { p.Routes[0].Shares[0].Weight = 0 }, err: "add up to 0"},
-		"negative weight":                    {spoil: func(p *Plan) { p.Routes[0].Shares[0].Weight = -1 }, err: "negative weight"},
-		"no service":                         {spoil: func(p *Plan) { p.Routes[0].Shares = nil }, err: "add up to 0"},
-		"no timeout":                         {spoil: func(p *Plan) { p.Routes[0].Timeout = 0 }, err: "no timeout"},
-		"no kind":                            {spoil: func(p *Plan) { p.Routes[0].Kind = 0 }, err: "no kind"},
-		"no attempt":                         {spoil: func(p *Plan) { p.Routes[0].Attempts = 0 }, err: "no attempt"},
-		"no slash":                           {spoil: func(p *Plan) { p.Routes[0].Prefix = "/a" }, err: "ends with a slash"},
-		"shared key":                         {spoil: func(p *Plan) { p.Workspaces[1].Keys[0] = "k2" }, err: "share a key"},
-		"service twice":                      {spoil: func(p *Plan) { p.Services[1].Name = "desk" }, err: "stands twice"},
-		"a workspace's key twice is its own": {spoil: func(p *Plan) { p.Workspaces[0].Keys[1] = "k1" }},
+		"fine":                               {modify: func(*Plan) {}},
+		"unknown service":                    {modify: func(p *Plan) { p.Routes[0].Shares[0].Service = "desks" }, err: "unknown service desks"},
+		"same host and path":                 {modify: func(p *Plan) { p.Routes[1].Prefix = "/a/" }, err: "share a host and a path"},
+		"same host and path, in capitals":    {modify: func(p *Plan) { p.Routes[1].Host, p.Routes[1].Prefix = "H", "/a/" }, err: "share a host and a path"},
+		"no weight":                          {modify: func(p *Plan) { p.Routes[0].Shares[0].Weight = 0 }, err: "add up to 0"},
+		"negative weight":                    {modify: func(p *Plan) { p.Routes[0].Shares[0].Weight = -1 }, err: "negative weight"},
+		"no service":                         {modify: func(p *Plan) { p.Routes[0].Shares = nil }, err: "add up to 0"},
+		"no timeout":                         {modify: func(p *Plan) { p.Routes[0].Timeout = 0 }, err: "no timeout"},
+		"no kind":                            {modify: func(p *Plan) { p.Routes[0].Kind = 0 }, err: "no kind"},
+		"no attempt":                         {modify: func(p *Plan) { p.Routes[0].Attempts = 0 }, err: "no attempt"},
+		"no final slash":                     {modify: func(p *Plan) { p.Routes[0].Prefix = "/a" }, err: "ends with a slash"},
+		"shared key":                         {modify: func(p *Plan) { p.Workspaces[1].Keys[0] = "k2" }, err: "share a key"},
+		"service twice":                      {modify: func(p *Plan) { p.Services[1].Name = "desk" }, err: "stands twice"},
+		"a workspace's key twice is its own": {modify: func(p *Plan) { p.Workspaces[0].Keys[1] = "k1" }},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			_, err := Compile(spoiled(test.spoil))
+			_, err := Compile(modified(test.modify))
 			if test.err == "" {
 				require.NoError(t, err)
 				return
@@ -89,7 +89,7 @@
 func TestKeysLeadToTheirWorkspace(t *testing.T) {
 	table, err := Compile(plan(route("a", "h", "/")))
 	require.NoError(t, err)
-	require.True(t, table.Guarded())
+	require.True(t, table.RequiresKey())
 	for key, want := range map[string]string{"k1": "club", "k2": "club", "k3": "house"} {
 		workspace, found := table.Workspace(key)
 		require.True(t, found)
--- a/lib/resolver/table.go
+++ b/lib/resolver/table.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Table is a compiled plan. It is immutable.
+// Table is a compiled plan. It is immutable once it is in use.
 type Table struct {
-	version    uint64
-	limits     Limits
-	hosts      map[string][]*Route // longest prefix first
-	services   map[string]*Service
-	workspaces map[[sha256.Size]byte]*Workspace
-	guarded    bool
-	former     map[[sha256.Size]byte]Former
+	version     uint64
+	limits      Limits
+	hosts       map[string][]*Route // longest prefix first
+	services    map[string]*Service
+	workspaces  map[[sha256.Size]byte]*Workspace
+	requiresKey bool
+	removedKeys map[[sha256.Size]byte]RemovedKey
 }
 
 // Compile checks a plan and prepares it for lookups.
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	t := &Table{
-		version: plan.Version, limits: plan.Limits, guarded: len(plan.Workspaces) > 0,
+		version: plan.Version, limits: plan.Limits, requiresKey: len(plan.Workspaces) > 0,
 		hosts:      make(map[string][]*Route),
 		services:   make(map[string]*Service, len(plan.Services)),
 		workspaces: make(map[[sha256.Size]byte]*Workspace),
@@ -56,14 +56,14 @@
 	return t.version
 }
 
-// Limits returns what clients may send.
+// Limits returns the limits for requests of clients.
 func (t *Table) Limits() Limits {
 	return t.limits
 }
 
-// Guarded tells whether requests need the key of a workspace.
-func (t *Table) Guarded() bool {
-	return t.guarded
+// RequiresKey reports whether requests need the key of a workspace.
+func (t *Table) RequiresKey() bool {
+	return t.requiresKey
 }
 
 // Service returns a service by its name.
@@ -72,12 +72,12 @@
 	return service, found
 }
 
-// Services returns all services by name. The map is only for reading.
+// Services returns all services by name. Callers must not modify the map.
 func (t *Table) Services() map[string]*Service {
 	return t.services
 }
 
-// Route returns the route with the longest path that begins the request's.
+// Route returns the route of the host with the longest prefix of the request's path.
 func (t *Table) Route(host, path string) (*Route, bool) {
 	for _, route := range t.hosts[bareHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -87,7 +87,7 @@
 	return nil, false
 }
 
-// bareHost drops a port and the case of letters.
+// bareHost strips the port and converts the host to lower case.
 func bareHost(host string) string {
 	if strings.Contains(host, ":") {
 		if bare, _, err := net.SplitHostPort(host); err == nil {
@@ -103,12 +103,12 @@
 	return workspace, found
 }
 
-// Shared tells whether a service has a part of the route's requests.
-func (r *Route) Shared(service string) bool {
+// Includes reports whether the service gets a share of the route's requests.
+func (r *Route) Includes(service string) bool {
 	return slices.ContainsFunc(r.Shares, func(share Share) bool { return share.Service == service && share.Weight > 0 })
 }
 
-// Pick returns the service for a draw from 0 up to 1.
+// Pick selects a service by weight. Draw is a random number in [0, 1).
 func (r *Route) Pick(draw float64) string {
 	total := 0
 	for _, share := range r.Shares {
--- a/lib/throttler/throttler.go
+++ b/lib/throttler/throttler.go
@@ -1,15 +1,15 @@
-// Package throttler decides how many requests an endpoint may have at once.
+// Package throttler determines how many requests an endpoint may have in flight.
 //
-// Engines admit in arrival order and know no priorities, so what is sent too
-// early waits in the engine, where it can no longer be reordered, and what is
-// sent too late leaves the batch short. The window starts at the announced
-// slots and follows the wait before the first unit, less the shortest wait
-// seen for prompts of that size, compared with the time that the units then
-// took: a wait that is a large part of the service is a queue in the engine.
+// Engines admit requests in arrival order and have no priorities, so that a request that is sent
+// too early waits in the engine, where it can no longer be reordered, and one that is sent too late
+// leaves the batch short. The window starts at the announced slots. It follows the wait before the
+// first unit, less the shortest wait observed for prompts of that size, relative to the time that
+// the remaining units take: a wait that is a large part of the service time indicates a queue in
+// the engine.
 //
-// Invariants: the window lies between a quarter of the announced slots, at least
-// one, and all of them, and is 0 for no slots; it changes once per window's worth
-// of finished requests, up by one and down by an eighth.
+// Invariants: the window lies between a quarter of the announced slots, at least one, and all of
+// them, and is 0 for no slots; it changes at most once per window's worth of finished requests, up
+// by one and down by an eighth. Refusals of the endpoint lower it at once.
 package throttler
 
 import (
@@ -17,56 +17,57 @@
 	"time"
 )
 
-// Limits of the waits, relative to the time of service. Between the two the
-// window stays, so that it does not swing.
+// Thresholds of the mean wait, relative to the mean service time. Between them the window is kept,
+// so that it does not oscillate.
 const (
 	shrinkAbove = 0.5
 	growBelow   = 0.2
-	gain        = 1.0 / 8
-	// leastWait never shrinks the window, however short the service: prompts that
-	// miss the cache differ by that much without any queue.
-	leastWait = 500 * time.Millisecond
-	// leastShare of the announced slots is always used, so that a wrong guess
-	// about queues cannot idle an engine.
-	leastShare  = 4
-	shrinkShare = 8
-	// sizes is how many classes of prompt size have a shortest wait of their own.
-	sizes = 16
+	gain        = 1.0 / 8 // EWMA weight of one request
+	// minShrinkWait is the wait up to which the window never shrinks, however short the service
+	// time: the waits of prompts that miss the cache differ by that much without any queue.
+	minShrinkWait = 500 * time.Millisecond
+	// minWindowDivisor gives the minimum window: one in minWindowDivisor of the announced slots is
+	// always used, so that a wrong conclusion about queues cannot idle an engine.
+	minWindowDivisor = 4
+	shrinkDivisor    = 8
+	// sizeClasses is the number of prompt size classes, each of which has its own shortest wait.
+	sizeClasses = 16
 )
 
-// Throttler holds the window of one endpoint. The zero value has no slots.
+// Throttler adapts the window of one endpoint. The zero value has no slots. Throttler is not safe
+// for concurrent use.
 type Throttler struct {
 	slots    int
 	window   int
-	finished int // since the window last changed
-	wait     float64
-	service  float64
-	shortest [sizes]float64
+	finished int                  // requests since the window last changed
+	wait     float64              // EWMA of the excess wait, in nanoseconds
+	service  float64              // EWMA of the service time, in nanoseconds
+	shortest [sizeClasses]float64 // shortest wait by size class, in nanoseconds
 }
 
-// Sample is one request that ran to its end.
+// Sample describes one request that ran to its end.
 type Sample struct {
 	First  time.Duration // time to the first unit
-	Took   time.Duration // whole time at the endpoint
+	Took   time.Duration // total time at the endpoint
 	Prompt uint32        // prompt size in units
 	Full   bool          // the window was full when the request was sent
 }
 
-// Resize sets the announced slots. A window at the old bound follows the new.
+// Resize sets the announced slots. A window that is at the old maximum moves to the new one.
 func (t *Throttler) Resize(slots int) {
 	slots = max(slots, 0)
 	if t.window >= t.slots {
 		t.window = slots
 	}
 	t.slots = slots
-	t.window = max(min(t.window, slots), t.least())
+	t.window = max(min(t.window, slots), t.minWindow())
 }
 
-func (t *Throttler) least() int {
-	return (t.slots + leastShare - 1) / leastShare
+func (t *Throttler) minWindow() int {
+	return (t.slots + minWindowDivisor - 1) / minWindowDivisor
 }
 
-// Window returns how many requests the endpoint may have at once.
+// Window returns how many requests the endpoint may have in flight.
 func (t *Throttler) Window() int {
 	return t.window
 }
@@ -76,17 +77,17 @@
 	return t.slots
 }
 
-// Service returns the mean time from the first unit to the last.
+// Service returns the mean service time, from the first unit to the last.
 func (t *Throttler) Service() time.Duration {
 	return time.Duration(t.service)
 }
 
-// Wait returns the mean wait before the first unit beyond the shortest.
+// Wait returns the mean wait before the first unit in excess of the shortest wait.
 func (t *Throttler) Wait() time.Duration {
 	return time.Duration(t.wait)
 }
 
-// Observe takes a finished request in and adapts the window.
+// Observe records a finished request and adapts the window.
 func (t *Throttler) Observe(sample Sample) {
 	if sample.Took <= 0 {
 		return
@@ -101,9 +102,9 @@
 	t.adapt(sample.Full)
 }
 
-// excess returns the wait beyond the shortest for prompts of that size.
+// excess returns the wait in excess of the shortest wait for prompts of that size.
 func (t *Throttler) excess(prompt uint32, first float64) float64 {
-	class := min(bits.Len32(prompt)/2, sizes-1)
+	class := min(bits.Len32(prompt)/2, sizeClasses-1)
 	shortest := &t.shortest[class]
 	if *shortest == 0 || first < *shortest {
 		*shortest = first
@@ -112,22 +113,24 @@
 	return first - *shortest
 }
 
+// adapt changes the window by the mean wait. It grows only if it was full.
 func (t *Throttler) adapt(full bool) {
 	switch {
-	case t.wait > shrinkAbove*t.service && t.wait > float64(leastWait):
-		t.set(t.window - max(1, t.window/shrinkShare))
+	case t.wait > shrinkAbove*t.service && t.wait > float64(minShrinkWait):
+		t.setWindow(t.window - max(1, t.window/shrinkDivisor))
 	case t.wait < growBelow*t.service && full:
-		t.set(t.window + 1)
+		t.setWindow(t.window + 1)
 	}
 }
 
-// Refused takes in that the endpoint would not start a request: it is full
-// sooner than it announced.
+// Refused records that the endpoint refused a request: it is full with fewer requests than it
+// announced.
 func (t *Throttler) Refused() {
-	t.set(t.window - 1)
+	t.setWindow(t.window - 1)
 }
 
-func (t *Throttler) set(window int) {
-	t.window = max(min(window, t.slots), t.least())
+// setWindow sets the window within its bounds and starts a new count of finished requests.
+func (t *Throttler) setWindow(window int) {
+	t.window = max(min(window, t.slots), t.minWindow())
 	t.finished = 0
 }
--- a/lib/throttler/throttler_test.go
+++ b/lib/throttler/throttler_test.go
@@ -9,14 +9,14 @@
 	"shallotkeel.example/lib/throttler"
 )
 
-// serve finishes requests at an engine that really runs batch at once, whatever
-// it announced: what is beyond waits for its turn.
+// serve simulates requests at an engine that actually runs batch requests at once, whatever it
+// announced: requests beyond that wait in its queue.
 func serve(t *throttler.Throttler, batch, requests int) {
 	const first, service = 50 * time.Millisecond, 2 * time.Second
 	for i := range requests {
 		wait := time.Duration(0)
-		if beyond := t.Window() - batch; beyond > 0 {
-			wait = service * time.Duration(beyond) / time.Duration(batch)
+		if excess := t.Window() - batch; excess > 0 {
+			wait = service * time.Duration(excess) / time.Duration(batch)
 		}
 		if i == 0 {
 			wait = 0
@@ -26,18 +26,18 @@
 }
 
 func TestWindowFollowsTheRealBatch(t *testing.T) {
-	tests := map[string]struct{ announced, batch, least, most int }{
-		"announced truly":        {announced: 8, batch: 8, least: 8, most: 8},
-		"announced four times":   {announced: 32, batch: 8, least: 8, most: 12},
-		"runs more than it says": {announced: 4, batch: 8, least: 4, most: 4},
+	tests := map[string]struct{ announced, batch, atLeast, atMost int }{
+		"announced correctly":            {announced: 8, batch: 8, atLeast: 8, atMost: 8},
+		"announced four times the batch": {announced: 32, batch: 8, atLeast: 8, atMost: 12},
+		"runs more than announced":       {announced: 4, batch: 8, atLeast: 4, atMost: 4},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var window throttler.Throttler
 			window.Resize(test.announced)
 			serve(&window, test.batch, 2000)
-			require.GreaterOrEqual(t, window.Window(), test.least)
-			require.LessOrEqual(t, window.Window(), test.most)
+			require.GreaterOrEqual(t, window.Window(), test.atLeast)
+			require.LessOrEqual(t, window.Window(), test.atMost)
 		})
 	}
 }
--- a/lib/versioner/bench_test.go
+++ b/lib/versioner/bench_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// BenchmarkNote notes streams as a keeper gets them, and tells what each costs in memory.
-func BenchmarkNote(b *testing.B) {
-	var before, behind runtime.MemStats
+// BenchmarkAdd records streams as a keeper does and reports the memory per record.
+func BenchmarkAdd(b *testing.B) {
+	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	m := &Memory{}
+	m := &Store{}
 	now := time.Unix(1000, 0)
-	noted := 0
+	added := 0
 	for b.Loop() {
-		if noted < most {
-			m.Note(now, uint64(noted)*0x9e3779b97f4a7c15, one)
-			noted++
+		if added < maxRecords {
+			m.Add(now, uint64(added)*0x9e3779b97f4a7c15, one)
+			added++
 			continue
 		}
-		m.Find(now, uint64(noted))
+		m.Find(now, uint64(added))
 	}
 	runtime.GC()
-	runtime.ReadMemStats(&behind)
-	b.ReportMetric(float64(behind.HeapAlloc-before.HeapAlloc)/float64(max(m.Size(), 1)), "B/record")
+	runtime.ReadMemStats(&after)
+	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(max(m.Size(), 1)), "B/record")
 }
--- a/lib/versioner/versioner.go
+++ b/lib/versioner/versioner.go
@@ -1,11 +1,12 @@
-// Package versioner remembers at which software version streams began.
+// Package versioner records the software version at which streams began.
 //
-// What two versions write does not fit together, so that a stream goes on only at the version that
-// began it. A stream is known by the request that brought its first event, and to clients that do not
-// name that one, by what it asks.
+// The outputs of two versions cannot be combined, so that a stream resumes only at the version that
+// began it. A stream is identified by the request that brought its first event or, for clients that
+// do not name that request, by the content of the request.
 //
-// Invariants: what is not remembered is not known, and never worked out from anything else; a
-// stream of which two origins are told is not known any more; memory is bounded.
+// Invariants: the origin of a stream that is not recorded is unknown and is never derived from
+// anything else; a stream for which two different origins are reported becomes unknown; memory is
+// bounded.
 package versioner
 
 import (
@@ -18,122 +19,123 @@
 )
 
 const (
-	// Span is for how long a stream is remembered at least, and up to twice as long: longer than
-	// streams last together with the patience of their clients.
-	Span = 15 * time.Second
-	// most bounds the records of one span, some 30 bytes each.
-	most = 1 << 19
+	// Retention is the minimum time for which a stream is recorded; the maximum is twice as long.
+	// It exceeds the duration of streams plus the time for which their clients keep retrying.
+	Retention = 15 * time.Second
+	// maxRecords bounds the records of one generation, some 30 bytes each.
+	maxRecords = 1 << 19
 )
 
-// Origin is where a stream began.
+// Origin is the service and version at which a stream began.
 type Origin struct {
 	Service string
-	// Version is that of the software, never empty.
+	// Version is the version of the software, never empty.
 	Version string
 }
 
-// Name is by what a stream is known.
-type Name struct {
-	// Request is the id of the request that brought its first event, empty if its client does not
-	// say.
+// StreamID identifies a stream.
+type StreamID struct {
+	// Request is the id of the request that brought the stream's first event, empty if the client
+	// does not name it.
 	Request string
-	// Content is a hash of what it asks. Streams that ask the same share it; where they began at
-	// several versions it names none.
+	// Content is a hash of the request's content. Streams of equal requests share it; if they began
+	// at several versions, it identifies none of them.
 	Content uint64
 }
 
-// Stream returns what a stream is looked up by.
-func (n Name) Stream() uint64 {
+// Hash returns the key under which the stream is looked up.
+func (n StreamID) Hash() uint64 {
 	if n.Request == "" {
 		return n.Content
 	}
 	return xxhash.Sum64String(n.Request)
 }
 
-// Streams returns all that it may be looked up by.
-func (n Name) Streams() []uint64 {
-	return []uint64{n.Stream(), n.Content}
+// Hashes returns all keys under which the stream may be looked up.
+func (n StreamID) Hashes() []uint64 {
+	return []uint64{n.Hash(), n.Content}
 }
 
-// Memory remembers streams. Its zero value remembers none. It is safe for concurrent use.
-type Memory struct {
-	mutex   sync.Mutex
-	present span
-	former  span
-	turned  time.Time // when the present span began
+// Store records the origins of streams. Its zero value is empty. It is safe for concurrent use.
+type Store struct {
+	mutex        sync.Mutex
+	current      generation
+	previous     generation
+	currentStart time.Time // time at which the current generation began
 }
 
-// span is the streams that were told in one span of time. Their origins are few and shared.
-type span struct {
+// generation holds the streams that were recorded during one period of Retention. Their origins are
+// few and shared.
+type generation struct {
 	streams map[uint64]*Origin
 	origins map[Origin]*Origin
 }
 
-// Note remembers a stream, and tells whether that is news.
-func (m *Memory) Note(now time.Time, stream uint64, origin Origin) bool {
+// Add records the origin of a stream, and reports whether this changed what is known of the stream.
+func (m *Store) Add(now time.Time, stream uint64, origin Origin) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.turn(now)
-	known, found := m.find(stream)
-	if found && (known == nil || *known == origin) {
-		m.present.keep(stream, known)
+	m.rotate(now)
+	existing, found := m.find(stream)
+	if found && (existing == nil || *existing == origin) {
+		m.current.put(stream, existing)
 		return false
 	}
 	if found {
-		m.present.keep(stream, nil) // nobody knows which of the two it is
+		m.current.put(stream, nil) // the origin is ambiguous from now on
 		return true
 	}
-	return m.present.keep(stream, &origin)
+	return m.current.put(stream, &origin)
 }
 
-// Find returns where a stream began, if that is known.
-func (m *Memory) Find(now time.Time, stream uint64) (Origin, bool) {
+// Find returns the origin of a stream, if it is known.
+func (m *Store) Find(now time.Time, stream uint64) (Origin, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.turn(now)
-	known, _ := m.find(stream)
-	if known == nil {
+	m.rotate(now)
+	origin, _ := m.find(stream)
+	if origin == nil {
 		return Origin{}, false
 	}
-	return *known, true
+	return *origin, true
 }
 
-// Size returns how many streams are remembered, those that were told in both spans twice.
-func (m *Memory) Size() int {
+// Size returns the number of records. Streams that are recorded in both generations count twice.
+func (m *Store) Size() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return len(m.present.streams) + len(m.former.streams)
+	return len(m.current.streams) + len(m.previous.streams)
 }
 
-func (m *Memory) find(stream uint64) (*Origin, bool) {
-	if known, found := m.present.streams[stream]; found {
-		return known, true
+func (m *Store) find(stream uint64) (*Origin, bool) {
+	if origin, found := m.current.streams[stream]; found {
+		return origin, true
 	}
-	known, found := m.former.streams[stream]
-	return known, found
+	origin, found := m.previous.streams[stream]
+	return origin, found
 }
 
-// turn begins another span when the present one is over.
-func (m *Memory) turn(now time.Time) {
-	passed := now.Sub(m.turned)
-	if passed < Span {
+// rotate begins a new generation when the current one is over.
+func (m *Store) rotate(now time.Time) {
+	passed := now.Sub(m.currentStart)
+	if passed < Retention {
 		return
 	}
-	if passed < 2*Span {
-		m.former = m.present
+	if passed < 2*Retention {
+		m.previous = m.current
 	} else {
-		m.former = span{}
+		m.previous = generation{}
 	}
-	m.present, m.turned = span{}, now
+	m.current, m.currentStart = generation{}, now
 }
 
-// keep notes a stream, nil for an origin that is not known any more, and tells whether there was
-// room for it.
-func (s *span) keep(stream uint64, origin *Origin) bool {
+// put records a stream, with a nil origin if it has become ambiguous, and reports whether there was
+// capacity for it.
+func (s *generation) put(stream uint64, origin *Origin) bool {
 	if s.streams == nil {
 		s.streams, s.origins = make(map[uint64]*Origin), make(map[Origin]*Origin)
 	}
-	if _, found := s.streams[stream]; !found && len(s.streams) >= most {
+	if _, found := s.streams[stream]; !found && len(s.streams) >= maxRecords {
 		return false
 	}
 	if origin != nil {
@@ -148,32 +150,32 @@
 	return true
 }
 
-// Record is one stream and its origin.
+// Record is a stream and its origin.
 type Record struct {
 	Stream uint64
 	Origin Origin
 }
 
-// ToWire groups records for a message.
+// ToWire groups records by origin for a message.
 func ToWire(records []Record) []*messenger.Begun {
-	groups := make(map[Origin]*messenger.Begun)
-	var told []*messenger.Begun
+	byOrigin := make(map[Origin]*messenger.Begun)
+	var groups []*messenger.Begun
 	for _, record := range records {
-		group, found := groups[record.Origin]
+		group, found := byOrigin[record.Origin]
 		if !found {
 			group = &messenger.Begun{Service: record.Origin.Service, Version: record.Origin.Version}
-			groups[record.Origin] = group
-			told = append(told, group)
+			byOrigin[record.Origin] = group
+			groups = append(groups, group)
 		}
 		group.Streams = append(group.Streams, record.Stream)
 	}
-	return told
+	return groups
 }
 
-// FromWire returns the records of a message. Groups without a version say nothing.
-func FromWire(told []*messenger.Begun) []Record {
+// FromWire returns the records of a message. Groups without a version are ignored.
+func FromWire(groups []*messenger.Begun) []Record {
 	var records []Record
-	for _, group := range told {
+	for _, group := range groups {
 		if group.GetVersion() == "" {
 			continue
 		}
--- a/lib/versioner/versioner_test.go
+++ b/lib/versioner/versioner_test.go
@@ -15,57 +15,57 @@
 	two   = Origin{Service: "desk", Version: "v2"}
 )
 
-// A stream was believed to have begun at another version, or was forgotten while it could still be
-// taken up.
+// Guards against a stream whose origin is reported wrongly, and against one that is dropped while
+// it could still be resumed.
 func TestStreamsAreRememberedOrUnknown(t *testing.T) {
-	type told struct {
+	type report struct {
 		at     time.Duration
 		origin Origin
 	}
 	for name, test := range map[string]struct {
-		told  []told
-		at    time.Duration
-		want  Origin
-		found bool
+		reports []report
+		at      time.Duration
+		want    Origin
+		found   bool
 	}{
-		"never told":                 {},
-		"told":                       {told: []told{{origin: one}}, want: one, found: true},
-		"told twice":                 {told: []told{{origin: one}, {origin: one}}, want: one, found: true},
-		"at the end of a span":       {told: []told{{origin: one}}, at: Span, want: one, found: true},
-		"long ago":                   {told: []told{{origin: one}}, at: 2 * Span},
-		"told again since":           {told: []told{{origin: one}, {at: Span, origin: one}}, at: 2*Span + 1, want: one, found: true},
-		"two origins":                {told: []told{{origin: one}, {origin: two}}},
-		"two origins, and one again": {told: []told{{origin: one}, {origin: two}, {origin: two}}},
-		"two origins, spans apart":   {told: []told{{origin: one}, {at: Span, origin: two}}, at: Span},
-		"clock steps back":           {told: []told{{at: time.Second, origin: one}}, want: one, found: true},
+		"never recorded":                  {},
+		"told":                            {reports: []report{{origin: one}}, want: one, found: true},
+		"recorded twice":                  {reports: []report{{origin: one}, {origin: one}}, want: one, found: true},
+		"at the end of a generation":      {reports: []report{{origin: one}}, at: Retention, want: one, found: true},
+		"long ago":                        {reports: []report{{origin: one}}, at: 2 * Retention},
+		"recorded again since":            {reports: []report{{origin: one}, {at: Retention, origin: one}}, at: 2*Retention + 1, want: one, found: true},
+		"two origins":                     {reports: []report{{origin: one}, {origin: two}}},
+		"two origins, and one again":      {reports: []report{{origin: one}, {origin: two}, {origin: two}}},
+		"two origins, in two generations": {reports: []report{{origin: one}, {at: Retention, origin: two}}, at: Retention},
+		"clock steps back":                {reports: []report{{at: time.Second, origin: one}}, want: one, found: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var m Memory
-			stream := Name{Request: "request"}.Stream()
-			for _, told := range test.told {
-				m.Note(start.Add(told.at), stream, told.origin)
+			var m Store
+			stream := StreamID{Request: "request"}.Hash()
+			for _, report := range test.reports {
+				m.Add(start.Add(report.at), stream, report.origin)
 			}
 			origin, found := m.Find(start.Add(test.at), stream)
 			require.Equal(t, test.found, found)
 			require.Equal(t, test.want, origin)
-			_, found = m.Find(start.Add(test.at), Name{Request: "another"}.Stream())
+			_, found = m.Find(start.Add(test.at), StreamID{Request: "another"}.Hash())
 			require.False(t, found)
 		})
 	}
 }
 
-func TestMemoryIsBounded(t *testing.T) {
-	var m Memory
-	for i := range most {
-		require.True(t, m.Note(start, uint64(i), one))
+func TestStoreIsBounded(t *testing.T) {
+	var m Store
+	for i := range maxRecords {
+		require.True(t, m.Add(start, uint64(i), one))
 	}
-	require.False(t, m.Note(start, most, one), "it cannot be remembered, and is not told on")
-	_, found := m.Find(start, most)
+	require.False(t, m.Add(start, maxRecords, one), "a stream that cannot be recorded is not reported as a change")
+	_, found := m.Find(start, maxRecords)
 	require.False(t, found)
-	require.Equal(t, most, m.Size())
+	require.Equal(t, maxRecords, m.Size())
 }
 
-// Whatever is told in which groups, a message says the same of each stream.
+// Records of any streams and origins survive the conversion to a message and back.
 func TestRecordsSurviveAMessage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []Record
--- a/router/internal/director/bounds.go
+++ b/router/internal/director/bounds.go
@@ -50,7 +50,7 @@
 // enters tells whether one more connection may be read while requests are refused, and takes it.
 func (d *Director) enters() bool {
 	now := d.clock.Now()
-	if !d.pacer.Entries.Room(now) {
+	if !d.pacer.Entries.Available(now) {
 		return false
 	}
 	d.pacer.Entries.Take(now, "")
--- a/router/internal/director/connections_test.go
+++ b/router/internal/director/connections_test.go
@@ -55,13 +55,13 @@
 	}
 	require.True(t, d.room())
 	for range 10 {
-		d.pacer.Look(time.Second)
+		d.pacer.Observe(time.Second)
 	}
 	require.False(t, d.room())
 	d.connected.change(conns[0], http.StateIdle)
 	require.True(t, d.room(), "idle connections cost no time")
 	for range 40 {
-		d.pacer.Look(0)
+		d.pacer.Observe(0)
 	}
 	add()
 	add()
@@ -79,7 +79,7 @@
 	primary, _ := d.waits(60, 60, 6)
 	require.Equal(t, subscriber.LeastWait, primary)
 	for range 20 {
-		d.pacer.Look(2 * pacer.Calm)
+		d.pacer.Observe(2 * pacer.OnTimeThreshold)
 	}
 	primary, others := d.waits(60, 60, 6)
 	require.Equal(t, subscriber.LateWait, primary)
--- a/router/internal/director/director.go
+++ b/router/internal/director/director.go
@@ -130,8 +130,8 @@
 		Host: d.reader, Clock: clock, Log: log, Dial: d.dial, Wait: subscriber.LeastWait,
 		Primary: &subscriber.Primary{Name: settings.Name, Zone: settings.Zone},
 	})
-	d.pacer.Starts = &pacer.Rate{Least: settings.Processors * leastStartsPerCore, Begin: settings.Processors * startsPerCore}
-	d.pacer.Entries = &pacer.Rate{Least: settings.Processors * leastEntriesPerCore, Begin: settings.Processors * refusalsPerCore}
+	d.pacer.Starts = &pacer.Rate{Min: settings.Processors * leastStartsPerCore, Initial: settings.Processors * startsPerCore}
+	d.pacer.Entries = &pacer.Rate{Min: settings.Processors * leastEntriesPerCore, Initial: settings.Processors * refusalsPerCore}
 	d.passer = passer.New(passer.Options{
 		Dialect: dialect, News: d.reader, Streams: d.streams, Balancer: d.balancer, Budget: d.budget, Shares: d.shares,
 		Client: d.client, Clock: clock, Log: log, Metrics: passer.NewMetrics(d.registry),
@@ -221,7 +221,7 @@
 // routers takes how many routers the fleet has.
 func (d *Director) routers(count int) {
 	d.shedder.routers.Store(int64(count))
-	d.budget.Share(count)
+	d.budget.SetRouters(count)
 	d.shares.SetRouterCount(count)
 	d.balancer.SetRouterCount(count)
 	rate := d.rate.take(d.clock.Now(), d.passer.Taken())
@@ -232,7 +232,7 @@
 // second, in a fleet of so many routers and keepers.
 func (d *Director) waits(requests float64, routers, keepers int) (primary, others time.Duration) {
 	primary, others = subscriber.ReportWaitFor(requests, routers, keepers), subscriber.BriefWaitFor(routers, keepers)
-	if d.pacer.Late() > pacer.Calm {
+	if d.pacer.Lateness() > pacer.OnTimeThreshold {
 		primary = max(primary, subscriber.LateWait)
 	}
 	return primary, others
--- a/router/internal/director/flooded_test.go
+++ b/router/internal/director/flooded_test.go
@@ -83,7 +83,7 @@
 		}
 		i.backlog = max(i.backlog-lookStep, 0)
 		latest = max(latest, i.backlog)
-		i.pacer.Look(i.backlog)
+		i.pacer.Observe(i.backlog)
 	}
 	return latest
 }
--- a/router/internal/director/metrics.go
+++ b/router/internal/director/metrics.go
@@ -24,7 +24,7 @@
 		open, _ := d.connected.counts()
 		return float64(open)
 	})
-	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_late_seconds", Help: "Mean time for which what is due waits: from 0.025 on the router refuses."}, func() float64 { return d.pacer.Late().Seconds() })
+	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_late_seconds", Help: "Mean time for which what is due waits: from 0.025 on the router refuses."}, func() float64 { return d.pacer.Lateness().Seconds() })
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_share_stretch", Help: "By how much shares are stretched, as this router sees it."}, func() float64 {
 		return d.shares.Stretch()
 	})
--- a/router/internal/director/pressure.go
+++ b/router/internal/director/pressure.go
@@ -76,7 +76,7 @@
 	if screened := d.screened.Load(); screened != nil {
 		waiting = screened.Waiting()
 	}
-	d.log.Info().Dur("late_ms", d.pacer.Late()).Float64("starts", d.pacer.Starts.Value()).Float64("entries", d.pacer.Entries.Value()).
+	d.log.Info().Dur("late_ms", d.pacer.Lateness()).Float64("starts", d.pacer.Starts.Value()).Float64("entries", d.pacer.Entries.Value()).
 		Int("running", d.passer.Running()).Int("open", open).Int("busy", busy).Int("waiting", waiting).
 		Dur("span_ms", span).Uint64("refused", came.full).Uint64("taken", came.taken).Uint64("connections", came.made).
 		Uint64("screened", came.refused).Uint64("left", came.left).Uint64("unread", came.unread).
--- a/router/internal/director/serving.go
+++ b/router/internal/director/serving.go
@@ -39,6 +39,6 @@
 func (d *Director) keepStarts() {
 	cost := d.serving.look(d.used(), d.passer.Started(), d.passer.Refused())
 	if cost > 0 {
-		d.pacer.Starts.Keep(keptShare * d.settings.Processors / cost)
+		d.pacer.Starts.SetFloor(keptShare * d.settings.Processors / cost)
 	}
 }
--- a/router/internal/newsreader/newsreader.go
+++ b/router/internal/newsreader/newsreader.go
@@ -91,7 +91,7 @@
 		options: options, silent: make(map[string]map[netip.AddrPort]bool), told: make(map[string]bool),
 		contacts: make(map[netip.AddrPort]bool), begun: make(chan struct{}), enforced: make(chan struct{}),
 		crashes: make(map[uint64]*crash), quarantined: make(map[uint64]time.Time),
-		asked: make(map[netip.AddrPort]time.Time), lines: damper.Damper{Most: mostLogged},
+		asked: make(map[netip.AddrPort]time.Time), lines: damper.Damper{LinesPerSecond: mostLogged},
 	}
 }
 
--- a/router/internal/newsreader/plan.go
+++ b/router/internal/newsreader/plan.go
@@ -65,7 +65,7 @@
 	if err == nil {
 		var table *resolver.Table
 		if table, err = resolver.Compile(decoded); err == nil {
-			table.Succeed(r.table.Load())
+			table.InheritRemovedKeys(r.table.Load())
 			r.options.Plan(table)
 			before := r.version()
 			if r.table.Swap(table) == nil {
--- a/router/internal/passer/admission.go
+++ b/router/internal/passer/admission.go
@@ -169,7 +169,7 @@
 	if p.options.Most == 0 {
 		return false
 	}
-	full := p.Running() > p.options.Most || p.options.Lags != nil && p.options.Lags() || !p.options.Starts.Room(now)
+	full := p.Running() > p.options.Most || p.options.Lags != nil && p.options.Lags() || !p.options.Starts.Available(now)
 	if full {
 		p.press(now)
 	}
@@ -178,7 +178,7 @@
 
 // crowds tells whether a workspace has its even part of a router that is full.
 func (p *Passer) crowds(now time.Time, workspace string) bool {
-	return p.options.Starts.Crowds(now, workspace) || p.drain.crowds(workspace, p.options.Most)
+	return p.options.Starts.ExceedsShare(now, workspace) || p.drain.crowds(workspace, p.options.Most)
 }
 
 // targetOf returns path and query exactly as the client wrote them.
@@ -190,7 +190,7 @@
 }
 
 func (p *Passer) identify(q *request) bool {
-	if !q.table.Guarded() {
+	if !q.table.RequiresKey() {
 		return true
 	}
 	workspace, found := q.table.Workspace(q.in.Key)
@@ -211,7 +211,7 @@
 		return
 	}
 	line := p.options.Log.Warn().Str("id", q.in.ID).Uint64("plan", q.table.Version()).Str("route", q.route.Name).Int("status", q.status)
-	if former, found := q.table.Former(q.in.Key); found {
+	if former, found := q.table.RemovedKey(q.in.Key); found {
 		line = line.Str("held_by", former.Workspace).Uint64("until", former.Since)
 	}
 	line.Msg("key refused")
--- a/router/internal/passer/harness_test.go
+++ b/router/internal/passer/harness_test.go
@@ -90,12 +90,12 @@
 }
 
 var routes = []resolver.Route{
-	{Name: "book", Prefix: "/book/", Kind: resolver.Once, Attempts: 1, Anonymous: true},
-	{Name: "bid", Prefix: "/bid/", Kind: resolver.Once, Attempts: 1, Anonymous: true, Target: 150 * time.Millisecond},
+	{Name: "book", Prefix: "/book/", Kind: resolver.AtMostOnce, Attempts: 1, Anonymous: true},
+	{Name: "bid", Prefix: "/bid/", Kind: resolver.AtMostOnce, Attempts: 1, Anonymous: true, Target: 150 * time.Millisecond},
 	{Name: "read", Prefix: "/read/", Kind: resolver.Repeatable, Attempts: 2, Anonymous: true},
 	{Name: "draft", Prefix: "/draft/", Kind: resolver.Stream, Attempts: 1},
 	{Name: "list", Prefix: "/list/", Kind: resolver.Stream, Resumable: true, Attempts: 2},
-	{Name: "brief", Prefix: "/brief/", Kind: resolver.Once, Attempts: 1, Anonymous: true, Timeout: 80 * time.Millisecond},
+	{Name: "brief", Prefix: "/brief/", Kind: resolver.AtMostOnce, Attempts: 1, Anonymous: true, Timeout: 80 * time.Millisecond},
 }
 
 func table(t *testing.T, version uint64) *resolver.Table {
--- a/router/internal/passer/key_test.go
+++ b/router/internal/passer/key_test.go
@@ -24,7 +24,7 @@
 		return compiled
 	}
 	after := holding(9)
-	after.Succeed(holding(7, "gone"))
+	after.InheritRemovedKeys(holding(7, "gone"))
 	tests := map[string]struct {
 		key       string
 		has, lack []string
@@ -35,7 +35,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var written bytes.Buffer
-			p := Passer{options: Options{Log: zerolog.New(&written)}, keys: damper.Damper{Most: mostKeyLines}}
+			p := Passer{options: Options{Log: zerolog.New(&written)}, keys: damper.Damper{LinesPerSecond: mostKeyLines}}
 			q := &request{table: after, route: &resolver.Route{Name: "draft"}, received: time.Unix(1000, 0)}
 			q.in.Key = test.key
 			for range 100 {
--- a/router/internal/passer/passer.go
+++ b/router/internal/passer/passer.go
@@ -67,9 +67,9 @@
 // Streams knows at which software version streams began.
 type Streams interface {
 	// Begun notes where a stream began or goes on.
-	Begun(name versioner.Name, origin versioner.Origin)
+	Begun(name versioner.StreamID, origin versioner.Origin)
 	// Find returns where a stream began, if that is known.
-	Find(ctx context.Context, name versioner.Name) (versioner.Origin, bool)
+	Find(ctx context.Context, name versioner.StreamID) (versioner.Origin, bool)
 	// Widen learns of endpoints where streams of an origin may go on, if there are any.
 	Widen(ctx context.Context, origin versioner.Origin)
 }
@@ -124,7 +124,7 @@
 
 // New returns a passer.
 func New(options Options) *Passer {
-	p := &Passer{options: options, holding: holding{most: options.HeldBytes}, keys: damper.Damper{Most: mostKeyLines}}
+	p := &Passer{options: options, holding: holding{most: options.HeldBytes}, keys: damper.Damper{LinesPerSecond: mostKeyLines}}
 	options.Client.OwnAnswer = options.Dialect.Own
 	return p
 }
@@ -274,7 +274,7 @@
 	if q.sends >= q.route.Attempts {
 		return false
 	}
-	if !e.notRun && !q.route.Repeats() {
+	if !e.notRun && !q.route.Retryable() {
 		return false
 	}
 	return q.prepaid.Swap(false) || p.options.Budget.Spend(p.options.Clock.Now(), q.service)
--- a/router/internal/passer/screen_test.go
+++ b/router/internal/passer/screen_test.go
@@ -27,7 +27,7 @@
 		Services: []resolver.Service{{Name: "engines", Engine: &resolver.Engine{}}, {Name: "desk"}},
 		Routes: []resolver.Route{
 			{Name: "draft", Host: "h", Prefix: "/draft/", Kind: resolver.Stream, Timeout: time.Second, Attempts: 1, Shares: []resolver.Share{{Service: "engines", Weight: 1}}},
-			{Name: "book", Host: "h", Prefix: "/book/", Kind: resolver.Once, Timeout: time.Second, Attempts: 1, Shares: []resolver.Share{{Service: "desk", Weight: 1}}},
+			{Name: "book", Host: "h", Prefix: "/book/", Kind: resolver.AtMostOnce, Timeout: time.Second, Attempts: 1, Shares: []resolver.Share{{Service: "desk", Weight: 1}}},
 		},
 		Workspaces: []resolver.Workspace{{Name: "flood", Keys: []string{"flood"}}, {Name: "small", Keys: []string{"small"}}},
 	}
@@ -57,7 +57,7 @@
 			news, shares := &stub{}, &apportioner.Apportioner{}
 			news.table.Store(compiled)
 			shares.SetCapacity(10_000)
-			starts := &pacer.Rate{Begin: 100, Least: 100}
+			starts := &pacer.Rate{Initial: 100, Min: 100}
 			p := New(Options{
 				Dialect: platform.Dialect{}, News: news, Shares: shares, Client: &forwarder.Client{Clock: clock},
 				Clock: clock, Log: zerolog.Nop(), Most: 100, Starts: starts,
--- a/router/internal/passer/stream_test.go
+++ b/router/internal/passer/stream_test.go
@@ -95,7 +95,7 @@
 		beginStream(conn, request, 3, 4)
 		endStream(conn)
 	})
-	b.passer.options.Streams.Begun(versioner.Name{Request: "first"}, versioner.Origin{Service: "desk", Version: "v1"})
+	b.passer.options.Streams.Begun(versioner.StreamID{Request: "first"}, versioner.Origin{Service: "desk", Version: "v1"})
 	body, err := b.fetch("POST", "/list/", "prompt", "Last-Event-Id", "2", resumesHeader, "first")
 	require.NoError(t, err)
 	require.Equal(t, event(3)+event(4), body)
--- a/router/internal/passer/takeup.go
+++ b/router/internal/passer/takeup.go
@@ -16,13 +16,13 @@
 	if q.route.Kind != resolver.Stream || q.in.Resume == "" && q.in.Resumes == "" {
 		return true
 	}
-	origin, found := p.options.Streams.Find(q.http.Context(), versioner.Name{Request: q.in.Resumes, Content: q.digest})
+	origin, found := p.options.Streams.Find(q.http.Context(), versioner.StreamID{Request: q.in.Resumes, Content: q.digest})
 	q.service, q.in.Work.Version = origin.Service, origin.Version
 	reason := ""
 	switch {
 	case !found:
 		reason = "nobody here knows which software began the stream; begin it anew"
-	case !q.route.Shared(origin.Service):
+	case !q.route.Includes(origin.Service):
 		reason = "the stream began at a service that has this route no more; begin it anew"
 	case !p.offers(q, origin):
 		reason = "no endpoint has the software any more that began the stream; begin it anew"
@@ -53,7 +53,7 @@
 	if slot.Version == "" || !q.route.Resumable {
 		return
 	}
-	name := versioner.Name{Request: q.in.Resumes, Content: q.digest}
+	name := versioner.StreamID{Request: q.in.Resumes, Content: q.digest}
 	if q.in.Resumes == "" {
 		name.Request = q.in.ID
 	}
--- a/router/internal/passer/versions_test.go
+++ b/router/internal/passer/versions_test.go
@@ -158,8 +158,10 @@
 	widen func()
 }
 
-func (w wider) Begun(versioner.Name, versioner.Origin) {}
+func (w wider) Begun(versioner.StreamID, versioner.Origin) {}
 
-func (w wider) Find(context.Context, versioner.Name) (versioner.Origin, bool) { return w.known, true }
+func (w wider) Find(context.Context, versioner.StreamID) (versioner.Origin, bool) {
+	return w.known, true
+}
 
 func (w wider) Widen(context.Context, versioner.Origin) { w.widen() }
--- a/router/internal/recaller/recaller.go
+++ b/router/internal/recaller/recaller.go
@@ -46,7 +46,7 @@
 // Recaller is safe for concurrent use.
 type Recaller struct {
 	options Options
-	memory  versioner.Memory
+	memory  versioner.Store
 	lines   damper.Damper
 
 	mutex  sync.Mutex
@@ -61,9 +61,9 @@
 }
 
 // Begun notes where a stream has begun or goes on.
-func (r *Recaller) Begun(name versioner.Name, origin versioner.Origin) {
-	for _, stream := range name.Streams() {
-		if r.memory.Note(r.options.Clock.Now(), stream, origin) {
+func (r *Recaller) Begun(name versioner.StreamID, origin versioner.Origin) {
+	for _, stream := range name.Hashes() {
+		if r.memory.Add(r.options.Clock.Now(), stream, origin) {
 			r.queue(versioner.Record{Stream: stream, Origin: origin})
 		}
 	}
@@ -106,14 +106,14 @@
 }
 
 // Find returns where a stream began, if this router or a keeper that answers knows it.
-func (r *Recaller) Find(ctx context.Context, name versioner.Name) (versioner.Origin, bool) {
-	stream := name.Stream()
+func (r *Recaller) Find(ctx context.Context, name versioner.StreamID) (versioner.Origin, bool) {
+	stream := name.Hash()
 	if origin, found := r.memory.Find(r.options.Clock.Now(), stream); found {
 		return origin, true
 	}
 	origin, found := r.ask(ctx, stream)
 	if found {
-		r.memory.Note(r.options.Clock.Now(), stream, origin)
+		r.memory.Add(r.options.Clock.Now(), stream, origin)
 	}
 	return origin, found
 }
--- a/router/internal/recaller/recaller_test.go
+++ b/router/internal/recaller/recaller_test.go
@@ -27,8 +27,8 @@
 )
 
 // nameOf returns the name of a stream whose content no other one has.
-func nameOf(request string) versioner.Name {
-	return versioner.Name{Request: request, Content: xxhash.Sum64String("content of " + request)}
+func nameOf(request string) versioner.StreamID {
+	return versioner.StreamID{Request: request, Content: xxhash.Sum64String("content of " + request)}
 }
 
 // fleet is keepers and which routers reach them.
@@ -36,15 +36,15 @@
 	clock *clockwork.FakeClock
 
 	mutex   sync.Mutex
-	keepers map[netip.AddrPort]*versioner.Memory
+	keepers map[netip.AddrPort]*versioner.Store
 	cut     map[string]bool // "router address"
 	listed  []*messenger.Listing
 }
 
 func newFleet(keepers int) *fleet {
-	f := &fleet{clock: clockwork.NewFakeClock(), keepers: make(map[netip.AddrPort]*versioner.Memory), cut: make(map[string]bool)}
+	f := &fleet{clock: clockwork.NewFakeClock(), keepers: make(map[netip.AddrPort]*versioner.Store), cut: make(map[string]bool)}
 	for i := range keepers {
-		f.keepers[address(i)] = &versioner.Memory{}
+		f.keepers[address(i)] = &versioner.Store{}
 	}
 	return f
 }
@@ -97,7 +97,7 @@
 func (f *fleet) restart(keeper int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.keepers[address(keeper)] = &versioner.Memory{}
+	f.keepers[address(keeper)] = &versioner.Store{}
 }
 
 // set cuts a router from a keeper, or joins them.
@@ -129,7 +129,7 @@
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
 		for _, record := range versioner.FromWire(begun) {
-			f.keepers[address(keeper)].Note(f.clock.Now(), record.Stream, record.Origin)
+			f.keepers[address(keeper)].Add(f.clock.Now(), record.Stream, record.Origin)
 		}
 	}
 	if answered {
@@ -168,12 +168,12 @@
 		}, false},
 		"a keeper on this side knows as well": {func(f *fleet, began *Recaller) {
 			f.report(began, 0, true, true)
-			f.keepers[address(1)].Note(f.clock.Now(), nameOf("first").Stream(), one)
+			f.keepers[address(1)].Add(f.clock.Now(), nameOf("first").Hash(), one)
 			f.set("other", 0, true)
 		}, true},
 		"long ago": {func(f *fleet, began *Recaller) {
 			f.report(began, 0, true, true)
-			f.clock.Advance(2 * versioner.Span)
+			f.clock.Advance(2 * versioner.Retention)
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -186,7 +186,7 @@
 			if found {
 				require.Equal(t, one, origin)
 			}
-			_, found = f.router("other").Find(t.Context(), versioner.Name{Content: 2})
+			_, found = f.router("other").Find(t.Context(), versioner.StreamID{Content: 2})
 			require.False(t, found, "a stream that nobody names")
 		})
 	}
@@ -210,7 +210,7 @@
 	r.Begun(nameOf("second"), two) // while the poll is under way
 	r.Told(address(0))
 	told := versioner.FromWire(r.Report(address(0)))
-	require.Equal(t, []versioner.Record{{Stream: nameOf("second").Stream(), Origin: two}, {Stream: nameOf("second").Content, Origin: two}}, told)
+	require.Equal(t, []versioner.Record{{Stream: nameOf("second").Hash(), Origin: two}, {Stream: nameOf("second").Content, Origin: two}}, told)
 	r.Told(address(0))
 	require.Empty(t, r.Report(address(0)))
 	r.Begun(nameOf("first"), one) // it goes on
@@ -287,7 +287,7 @@
 // A client that does not name its stream was refused though nothing else asks the same, or was taken
 // to another one's version.
 func TestStreamsAreKnownByWhatTheyAskWhereThatTellsThemApart(t *testing.T) {
-	ask := versioner.Name{Content: 7}
+	ask := versioner.StreamID{Content: 7}
 	for name, test := range map[string]struct {
 		begun map[string]versioner.Origin
 		found bool
@@ -301,7 +301,7 @@
 			f := newFleet(1)
 			for request, origin := range test.begun {
 				r := f.router(request)
-				r.Begun(versioner.Name{Request: request, Content: ask.Content}, origin)
+				r.Begun(versioner.StreamID{Request: request, Content: ask.Content}, origin)
 				f.report(r, 0, true, true)
 			}
 			origin, found := f.router("other").Find(t.Context(), ask)
@@ -310,7 +310,7 @@
 				require.Equal(t, one, origin)
 			}
 			for request, origin := range test.begun {
-				got, found := f.router("other").Find(t.Context(), versioner.Name{Request: request, Content: ask.Content})
+				got, found := f.router("other").Find(t.Context(), versioner.StreamID{Request: request, Content: ask.Content})
 				require.True(t, found, "by its request")
 				require.Equal(t, origin, got)
 			}
--- a/router/internal/screener/screener.go
+++ b/router/internal/screener/screener.go
@@ -100,7 +100,7 @@
 	l := &Listener{
 		Listener: inner, options: options,
 		passed: make(chan net.Conn, handed), failed: make(chan error, 1), done: make(chan struct{}),
-		lines: damper.Damper{Most: mostRoomLines},
+		lines: damper.Damper{LinesPerSecond: mostRoomLines},
 	}
 	go l.accept()
 	return l
