--- a/router/internal/director/bounds.go
+++ b/router/internal/director/bounds.go
@@ -31,7 +31,7 @@
 
 // room tells whether one more client may connect, and counts it.
 func (d *Director) room() bool {
-	return d.holds() && (!d.passer.Screens() || d.enters())
+	return d.holds() && (!d.passer.ScreeningActive() || d.enters())
 }
 
 // holds tells whether one more client may be connected. While the process lags
--- a/router/internal/director/director.go
+++ b/router/internal/director/director.go
@@ -133,17 +133,17 @@
 	d.pacer.Starts = &pacer.Rate{Min: settings.Processors * leastStartsPerCore, Initial: settings.Processors * startsPerCore}
 	d.pacer.Entries = &pacer.Rate{Min: settings.Processors * leastEntriesPerCore, Initial: settings.Processors * refusalsPerCore}
 	d.passer = passer.New(passer.Options{
-		Dialect: dialect, News: d.reader, Streams: d.streams, Balancer: d.balancer, Budget: d.budget, Shares: d.shares,
+		Dialect: dialect, FleetState: d.reader, Streams: d.streams, Balancer: d.balancer, Budget: d.budget, Shares: d.shares,
 		Client: d.client, Clock: clock, Log: log, Metrics: passer.NewMetrics(d.registry),
-		Crowded: d.crowded,
-		Away:    d.shedder.away.Load,
-		Gather:  time.Duration(gatherShare * float64(settings.Pass.Duration)),
+		Crowded:       d.crowded,
+		Diverting:     d.shedder.away.Load,
+		CoalesceDelay: time.Duration(gatherShare * float64(settings.Pass.Duration)),
 		// The bound on what is under way comes before the lag: a process lags only
 		// when it has taken too much already, and stays late for as long as that takes.
-		Most:      d.mostRunning(),
-		HeldBytes: passer.HeldBytes(settings.Memory),
-		Lags:      d.pacer.Lags,
-		Starts:    d.pacer.Starts,
+		MaxRequests:       d.mostRunning(),
+		MaxTotalBodyBytes: passer.MaxTotalBodyBytes(settings.Memory),
+		CPUStarved:        d.pacer.Lags,
+		StartRate:         d.pacer.Starts,
 	})
 	d.registerGauges()
 	return d
@@ -224,7 +224,7 @@
 	d.budget.SetRouters(count)
 	d.shares.SetRouterCount(count)
 	d.balancer.SetRouterCount(count)
-	rate := d.rate.take(d.clock.Now(), d.passer.Taken())
+	rate := d.rate.take(d.clock.Now(), d.passer.Received())
 	d.news.Pace(d.waits(rate, count, d.news.Keepers()))
 }
 
@@ -280,7 +280,7 @@
 	failures := make(chan error, 3)
 	go func() { failures <- figures.Serve(watched) }()
 	screened := screener.New(clients, screener.Options{
-		Room: d.room, Screens: d.passer.Screens, Judge: d.passer.Screen, Most: screenedMost, Clock: d.clock, Log: d.log,
+		Room: d.room, Screens: d.passer.ScreeningActive, Judge: d.passer.Screen, Most: screenedMost, Clock: d.clock, Log: d.log,
 	})
 	d.screened.Store(screened)
 	go func() { failures <- front.Serve(screened) }()
--- a/router/internal/director/pressure.go
+++ b/router/internal/director/pressure.go
@@ -55,8 +55,8 @@
 // counts returns what has come so far.
 func (d *Director) counts() counts {
 	return counts{
-		full:    d.passer.RefusedForRoom(),
-		taken:   d.passer.Taken(),
+		full:    d.passer.RefusedForCapacity(),
+		taken:   d.passer.Received(),
 		made:    d.connected.total(),
 		refused: d.screener((*screener.Listener).Refused)(),
 		left:    d.screener((*screener.Listener).Left)(),
--- a/router/internal/director/shedder.go
+++ b/router/internal/director/shedder.go
@@ -57,7 +57,7 @@
 // shed looks whether new clients had better go to other routers.
 func (d *Director) shed() {
 	now := d.clock.Now()
-	refused := d.passer.Crowding(now)
+	refused := d.passer.RefusalRatio(now)
 	own, fleet := d.shares.ShedRates(now)
 	if d.shedder.look(now, refused, own, fleet) {
 		d.log.Warn().Bool("away", d.shedder.away.Load()).Float64("refused", refused).Float64("own", own).Float64("fleet", fleet).
--- a/router/internal/passer/admission.go
+++ b/router/internal/passer/admission.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	// startWait is how long a request waits for the first configuration of a router that
-	// has just started: keepers that run bring it within some 0.1 s, and those that have
-	// started with it within 0.4 s. Most callers come back only once, and a whole fleet
-	// that has lost power has all of them before it at that moment.
-	startWait = 400 * time.Millisecond
-	// retryStart is when to come back to a router that still has none.
-	retryStart = 500 * time.Millisecond
-	// lateShare is the part of its target after which a request that comes again
-	// counts as late: engines with room answer within a third of the target.
-	lateShare = 0.6
-	// outputPrice is what a generated token counts against the tokens a second
-	// that a configuration states; a token of the prompt counts once.
-	outputPrice = 2
-	// tooMuch and noShare are what clients are told most often.
-	tooMuch = "this router has too much to do"
-	noRoom  = "the service is asked for more than it can answer in time"
-	noShare = "the workspace has used its share"
-	// defaultBody bounds a request's body where the configuration does not.
-	defaultBody = 4 << 20
+	// firstConfigurationWait is how long a request waits for the first configuration after the
+	// router has started. Running keepers deliver it within about 0.1 s, keepers that start
+	// together with the router within 0.4 s. Most clients retry only once, and after a power
+	// loss of the whole fleet all of them are waiting at that moment.
+	firstConfigurationWait = 400 * time.Millisecond
+	// noConfigurationRetryAfter is the Retry-After of a router that still has no configuration.
+	noConfigurationRetryAfter = 500 * time.Millisecond
+	// lateFraction is the fraction of its target after which a retried request counts as late:
+	// engines with free capacity answer within a third of the target.
+	lateFraction = 0.6
+	// outputTokenWeight is the cost of a generated token in the tokens per second that a
+	// configuration states. A prompt token costs 1.
+	outputTokenWeight = 2
+	// reasonRouterBusy, reasonServiceFull and reasonShareUsed are the most frequent reasons of refusals.
+	reasonRouterBusy  = "this router has too much to do"
+	reasonServiceFull = "the service is asked for more than it can answer in time"
+	reasonShareUsed   = "the workspace has used its share"
+	// defaultMaxBodyBytes limits a request's body if the configuration sets no limit.
+	defaultMaxBodyBytes = 4 << 20
 )
 
-// admit finds the request's route and workspace and reads its body. It answers
-// what cannot be passed on.
+// admit resolves the request's route and workspace, reads its body and applies the admission
+// rules. It answers a request that it does not admit, and returns false.
 func (p *Passer) admit(q *request) bool {
 	q.table = p.firstTable(q)
 	if q.table == nil {
-		p.refuse(q, byConfiguration, http.StatusServiceUnavailable, "no configuration yet", retryStart)
+		p.refuse(q, byConfiguration, http.StatusServiceUnavailable, "no configuration yet", noConfigurationRetryAfter)
 		return false
 	}
 	if !p.locate(q) {
@@ -49,33 +49,33 @@
 	}
 	if !p.identify(q) {
 		p.refuse(q, byKey, http.StatusUnauthorized, "no workspace holds the key", 0)
-		p.tellKey(q)
+		p.logRefusedKey(q)
 		return false
 	}
 	if p.busy(q) {
-		// Taking the request here would make it late, and every other one with it.
-		p.unheard(q)
-		p.refuse(q, byRouter, http.StatusServiceUnavailable, tooMuch, p.roomPause(q.received))
+		// Admitting the request to an overloaded router would delay it and every other request.
+		p.noteOverload(q)
+		p.refuse(q, byRouter, http.StatusServiceUnavailable, reasonRouterBusy, p.overloadRetryAfter(q.received))
 		return false
 	}
 	if !p.readBody(q) {
 		return false
 	}
-	q.until = q.received.Add(q.route.Timeout)
+	q.deadline = q.received.Add(q.route.Timeout)
 	if q.in.Deadline > 0 && q.in.Deadline < q.route.Timeout {
-		q.until = q.received.Add(q.in.Deadline)
+		q.deadline = q.received.Add(q.in.Deadline)
 	}
-	q.in.Work.Target, q.in.Work.Objective = q.left(), q.route.Target
+	q.in.Work.Target, q.in.Work.Objective = q.remainingTarget(), q.route.Target
 	q.in.Work.Late = q.late()
 	q.digest = fingerprint(q)
-	if p.options.News.Quarantined(q.digest) {
+	if p.options.FleetState.Quarantined(q.digest) {
 		p.refuse(q, byRule, http.StatusServiceUnavailable, "it has crashed the endpoints that ran it", 0)
 		return false
 	}
-	return p.takeUp(q) && p.withinShare(q)
+	return p.admitResume(q) && p.withinShare(q)
 }
 
-// locate finds the request's route and service, and when it came first.
+// locate resolves the request's route and service, and the time of its first arrival.
 func (p *Passer) locate(q *request) bool {
 	q.target = targetOf(q.http)
 	path, _, _ := strings.Cut(q.target, "?")
@@ -85,25 +85,25 @@
 	}
 	q.route = route
 	q.service = route.Pick(rand.Float64())
-	q.name = nameOf(q)
-	q.came = p.returns.first(q.received, q.name)
+	q.retryKey = retryKeyOf(q)
+	q.firstReceived = p.retries.firstReceived(q.received, q.retryKey)
 	return true
 }
 
-// firstTable returns the configuration in force. It waits for the first one.
+// firstTable returns the configuration in force. It waits up to firstConfigurationWait for the first one.
 func (p *Passer) firstTable(q *request) *resolver.Table {
-	if table := p.options.News.Table(); table != nil {
+	if table := p.options.FleetState.Table(); table != nil {
 		return table
 	}
 	select {
-	case <-p.options.News.Begun():
-	case <-p.options.Clock.After(startWait):
+	case <-p.options.FleetState.Begun():
+	case <-p.options.Clock.After(firstConfigurationWait):
 	case <-q.http.Context().Done():
 	}
-	return p.options.News.Table()
+	return p.options.FleetState.Table()
 }
 
-// withinShare tells whether the request's workspace may use engines now.
+// withinShare reports whether the request's workspace may use engines now. It answers the request if not.
 func (p *Passer) withinShare(q *request) bool {
 	if !p.sharesEngines(q) {
 		return true
@@ -111,77 +111,77 @@
 	tokens := float64(q.tokens())
 	d := p.options.Shares.Admit(q.received, q.workspace, tokens, q.late())
 	if !d.Admitted {
-		p.usedUp(q, d)
-		p.refuse(q, byShare, http.StatusTooManyRequests, noShare, max(d.RetryAfter, retrySoon))
+		p.noteShareUsed(q, d)
+		p.refuse(q, byShare, http.StatusTooManyRequests, reasonShareUsed, max(d.RetryAfter, minRetryAfter))
 		return false
 	}
-	q.spare = d.BestEffort
-	if !p.keepsOthersWaiting(q) {
+	q.beyondShare = d.BestEffort
+	if !p.wouldDelayOthers(q) {
 		return true
 	}
 	p.options.Shares.Refund(q.workspace, tokens, true)
-	p.refuse(q, byEngines, http.StatusTooManyRequests, "the workspace has used its share, and engines are busy", retryBusy)
+	p.refuse(q, byEngines, http.StatusTooManyRequests, "the workspace has used its share, and engines are busy", enginesBusyRetryAfter)
 	return false
 }
 
-// sharesEngines tells whether shares bound a request. Only engines are shared by
-// tokens; plain services take what comes.
+// sharesEngines reports whether workspace shares limit the request. Only engines are shared, by
+// tokens; plain services have no shares.
 func (p *Passer) sharesEngines(q *request) bool {
 	service, found := q.table.Service(q.service)
 	return found && service.Engine != nil
 }
 
-// usedUp notes a refusal for want of share, and on what it rests.
-func (p *Passer) usedUp(q *request, d apportioner.Decision) {
-	q.refused, q.told = byShare, true
-	p.press(q.received)
-	if p.quietly.Admit(q.received, p.options.Log) {
+// noteShareUsed records a refusal because the share is used up, and logs the figures it is based on.
+func (p *Passer) noteShareUsed(q *request, d apportioner.Decision) {
+	q.refusedBy, q.logged = byShare, true
+	p.notePressure(q.received)
+	if p.logDamper.Admit(q.received, p.options.Log) {
 		p.options.Log.Info().Str("id", q.in.ID).Str("workspace", q.workspace).Int("tokens", q.tokens()).
 			Float64("asked", d.Demand).Float64("share", d.Share).Float64("local", d.LocalShare).Float64("stretch", d.Stretch).
 			Dur("backlog_ms", d.Backlog).Dur("age_ms", d.Age).Dur("pause_ms", d.RetryAfter).Msg("share used up")
 	}
 }
 
-// tokens is what the request counts against its workspace's share.
+// tokens returns the cost of the request against its workspace's share.
 func (q *request) tokens() int {
-	return q.in.Work.Prompt + outputPrice*q.in.Work.Output
+	return q.in.Work.Prompt + outputTokenWeight*q.in.Work.Output
 }
 
-// left is what is left of the time within which the answer should begin. One that
-// is late already is in no less hurry than one that came now.
-func (q *request) left() time.Duration {
-	return max(q.route.Target-q.received.Sub(q.came), q.route.Target/4)
+// remainingTarget returns the time left within which the answer should begin, at least a quarter of the target:
+// a request that is already late is no less urgent than a new one.
+func (q *request) remainingTarget() time.Duration {
+	return max(q.route.Target-q.received.Sub(q.firstReceived), q.route.Target/4)
 }
 
-// late tells whether the request was refused here so long ago that its answer can
-// hardly be on time.
+// late reports whether the request was first refused here so long ago that its answer can
+// hardly meet the target.
 func (q *request) late() bool {
-	return q.route.Target > 0 && q.received.Sub(q.came) >= time.Duration(lateShare*float64(q.route.Target))
+	return q.route.Target > 0 && q.received.Sub(q.firstReceived) >= time.Duration(lateFraction*float64(q.route.Target))
 }
 
-// busy tells whether the router has no room for one more request of a workspace.
+// busy reports whether the router has no capacity for another request of the request's workspace.
 func (p *Passer) busy(q *request) bool {
-	return p.full(q.received) && (q.late() || p.crowds(q.received, q.workspace))
+	return p.full(q.received) && (q.late() || p.overFairShare(q.received, q.workspace))
 }
 
-// full tells whether the router has no room for one more request, whoever asks.
+// full reports whether the router has no capacity for another request of any workspace.
 func (p *Passer) full(now time.Time) bool {
-	if p.options.Most == 0 {
+	if p.options.MaxRequests == 0 {
 		return false
 	}
-	full := p.Running() > p.options.Most || p.options.Lags != nil && p.options.Lags() || !p.options.Starts.Available(now)
+	full := p.Running() > p.options.MaxRequests || p.options.CPUStarved != nil && p.options.CPUStarved() || !p.options.StartRate.Available(now)
 	if full {
-		p.press(now)
+		p.notePressure(now)
 	}
 	return full
 }
 
-// crowds tells whether a workspace has its even part of a router that is full.
-func (p *Passer) crowds(now time.Time, workspace string) bool {
-	return p.options.Starts.ExceedsShare(now, workspace) || p.drain.crowds(workspace, p.options.Most)
+// overFairShare reports whether a workspace uses at least its even part of a full router.
+func (p *Passer) overFairShare(now time.Time, workspace string) bool {
+	return p.options.StartRate.ExceedsShare(now, workspace) || p.inFlight.overFairShare(workspace, p.options.MaxRequests)
 }
 
-// targetOf returns path and query exactly as the client wrote them.
+// targetOf returns path and query exactly as the client sent them.
 func targetOf(h *http.Request) string {
 	if strings.HasPrefix(h.RequestURI, "/") {
 		return h.RequestURI
@@ -189,6 +189,8 @@
 	return h.URL.RequestURI()
 }
 
+// identify resolves the request's workspace by its key. It returns false if the configuration
+// requires keys, no workspace holds this one and the route does not allow anonymous requests.
 func (p *Passer) identify(q *request) bool {
 	if !q.table.RequiresKey() {
 		return true
@@ -200,14 +202,15 @@
 	return found || q.route.Anonymous
 }
 
-// mostKeyLines bounds the lines a second on keys that nobody holds: a workspace that has lost
-// its keys may go on as a flood.
-const mostKeyLines = 5
+// maxKeyLogLines limits the log lines per second about keys that no workspace holds: a workspace
+// that has lost its keys may keep sending at the rate of a flood.
+const maxKeyLogLines = 5
 
-// tellKey writes why a key is refused: which version decided, and who held the key before.
-func (p *Passer) tellKey(q *request) {
-	q.told = true
-	if !p.keys.Admit(q.received, p.options.Log) {
+// logRefusedKey logs why a key is refused: the version of the configuration that decided it, and
+// the workspace that held the key before.
+func (p *Passer) logRefusedKey(q *request) {
+	q.logged = true
+	if !p.keyLogDamper.Admit(q.received, p.options.Log) {
 		return
 	}
 	line := p.options.Log.Warn().Str("id", q.in.ID).Uint64("plan", q.table.Version()).Str("route", q.route.Name).Int("status", q.status)
@@ -217,7 +220,7 @@
 	line.Msg("key refused")
 }
 
-// fingerprint names a request that may come again under another id.
+// fingerprint returns a digest that identifies a request across retries under other ids.
 func fingerprint(q *request) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/router/internal/passer/answer.go
+++ b/router/internal/passer/answer.go
@@ -14,48 +14,48 @@
 	"shallotkeel.example/lib/framer"
 )
 
-// wholeBytes is up to which size an answer that is no stream is read to its
-// end before the client gets any of it. One that breaks off can then still be
-// sent again or be told as a failure.
-const wholeBytes = 64 << 10
+// maxBufferedAnswerBytes is the size below which an answer that is not a stream is read completely
+// before any of it is sent to the client. If such an answer is truncated, the request can still be
+// retried or answered with an error.
+const maxBufferedAnswerBytes = 64 << 10
 
-// whole is an answer that was read to its end.
-type whole struct {
-	exchange *forwarder.Exchange // closed by now
+// bufferedAnswer is an answer that has been read to its end.
+type bufferedAnswer struct {
+	exchange *forwarder.Exchange // already closed
 	framing  framer.Framing
 	body     []byte
 }
 
-// relayWhole passes on an answer that is no stream of events.
-func (p *Passer) relayWhole(ctx context.Context, q *request, slot *balancer.Slot, x *forwarder.Exchange) *ending {
-	body, err := io.ReadAll(io.LimitReader(x.Body, wholeBytes))
+// relayPlain relays an answer that is not an event stream.
+func (p *Passer) relayPlain(ctx context.Context, q *request, slot *balancer.Slot, x *forwarder.Exchange) *attemptFailure {
+	body, err := io.ReadAll(io.LimitReader(x.Body, maxBufferedAnswerBytes))
 	if err != nil {
 		return p.failed(ctx, q, merry.Errorf("%w: %w", forwarder.ErrBroken, err))
 	}
-	p.heard(q, slot)
-	q.first = p.options.Clock.Since(q.received)
-	if len(body) == wholeBytes {
-		return p.relayLong(ctx, q, x, body)
+	p.noteAnswerStarted(q, slot)
+	q.timeToFirst = p.options.Clock.Since(q.received)
+	if len(body) == maxBufferedAnswerBytes {
+		return p.relayUnbuffered(ctx, q, x, body)
 	}
-	read := &whole{exchange: x, framing: q.framing, body: body}
+	buffered := &bufferedAnswer{exchange: x, framing: q.framing, body: body}
 	if x.StatusCode >= http.StatusInternalServerError {
-		return &ending{outcome: balancer.Faulty, reason: "the endpoint failed with " + strconv.Itoa(x.StatusCode), kept: read}
+		return &attemptFailure{outcome: balancer.Faulty, reason: "the endpoint failed with " + strconv.Itoa(x.StatusCode), fallback: buffered}
 	}
-	p.answer(q, read)
+	p.sendAnswer(q, buffered)
 	return nil
 }
 
-// answer gives the client an endpoint's answer.
-func (p *Passer) answer(q *request, a *whole) {
+// sendAnswer sends a buffered answer of an endpoint to the client.
+func (p *Passer) sendAnswer(q *request, a *bufferedAnswer) {
 	q.framing = a.framing
 	length := int64(len(a.body))
 	switch {
 	case q.http.Method == http.MethodHead:
-		length = a.exchange.ContentLength // of what a GET would get
+		length = a.exchange.ContentLength // the length that a GET would get
 	case a.framing == framer.ByConnection:
 		length = unknownLength
 	}
-	err := p.begin(q, a.exchange, length)
+	err := p.sendHead(q, a.exchange, length)
 	if errors.Is(err, framer.ErrNoReset) {
 		p.fail(q, http.StatusBadGateway, err.Error())
 		return
@@ -71,14 +71,15 @@
 	}
 }
 
-// unknownLength is that of an answer whose begin is passed on before its end has come.
+// unknownLength is the length of an answer whose head is sent before its end has been read.
 const unknownLength = -1
 
-// begin sends the head of an answer, once: a stream that goes on at another endpoint keeps that
-// of its first. Without a length the answer is sent in chunks, unless its client knows none or
-// its endpoint's answer ends with its connection; then it ends with the client's.
-func (p *Passer) begin(q *request, x *forwarder.Exchange, length int64) error {
-	if q.begun {
+// sendHead sends the head of an answer, once: a stream that is resumed at another endpoint keeps the
+// head from the first one. An answer without a length is sent chunked, unless the client does not
+// support chunks or the endpoint's answer ends with its connection; then the answer ends with the
+// client's connection.
+func (p *Passer) sendHead(q *request, x *forwarder.Exchange, length int64) error {
+	if q.answerStarted {
 		return nil
 	}
 	if length == unknownLength && (q.framing == framer.ByConnection || !q.http.ProtoAtLeast(1, 1)) {
@@ -88,9 +89,9 @@
 		}
 		q.end = end
 	}
-	q.begun, q.status = true, x.StatusCode
-	if q.first == 0 {
-		q.first = p.options.Clock.Since(q.received)
+	q.answerStarted, q.status = true, x.StatusCode
+	if q.timeToFirst == 0 {
+		q.timeToFirst = p.options.Clock.Since(q.received)
 	}
 	copyHeader(q.writer.Header(), x.Header)
 	if length != unknownLength {
@@ -100,30 +101,30 @@
 	return nil
 }
 
-// relayLong passes on an answer piece by piece. Its length goes ahead of it, or it is sent in
-// chunks, so that its client sees whether it was cut; one that ends with its connection is passed
-// on as such, and reset where it breaks.
-func (p *Passer) relayLong(ctx context.Context, q *request, x *forwarder.Exchange, begin []byte) *ending {
-	err := p.begin(q, x, x.ContentLength)
+// relayUnbuffered relays an answer piece by piece. It is sent with its length or chunked, so that
+// the client can detect truncation. An answer that ends with its connection is relayed in the same
+// way, and the client's connection is reset if the answer is truncated.
+func (p *Passer) relayUnbuffered(ctx context.Context, q *request, x *forwarder.Exchange, head []byte) *attemptFailure {
+	err := p.sendHead(q, x, x.ContentLength)
 	if err == nil {
-		_, err = q.writer.Write(begin)
+		_, err = q.writer.Write(head)
 	}
 	if err != nil {
-		return &ending{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
+		return &attemptFailure{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
 	}
 	if _, err := io.Copy(q.writer, x.Body); err != nil {
 		e := p.failed(ctx, q, merry.Errorf("%w: %w", forwarder.ErrBroken, err))
 		e.reason = "the answer broke off"
-		q.sends = q.route.Attempts // it cannot go on elsewhere
+		q.sends = q.route.Attempts // the rest cannot come from another endpoint
 		return e
 	}
 	if err := q.end.Whole(http.NewResponseController(q.writer)); err != nil {
-		return &ending{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
+		return &attemptFailure{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
 	}
 	return nil
 }
 
-// connectionHeaders concern the connection to the endpoint only.
+// connectionHeaders apply only to the connection to the endpoint and are not relayed.
 var connectionHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Transfer-Encoding": true, "Content-Length": true, "Upgrade": true, "Trailer": true,
 }
--- a/router/internal/passer/backoff_test.go
+++ b/router/internal/passer/backoff_test.go
@@ -27,30 +27,30 @@
 	retryAfterHeader = "Retry-After"
 )
 
-// speaker is an endpoint that says of itself what a test wants, and counts what it gets.
-type speaker struct {
+// scriptedEndpoint is an endpoint that answers as a test sets it, and counts the requests that it gets.
+type scriptedEndpoint struct {
 	mutex    sync.Mutex
 	status   int
-	header   string // whole lines, each with its end
+	header   string // complete lines, each with its CRLF
 	stream   bool
 	arrivals int
 	release  chan struct{} // lets a stream end
 }
 
-// say sets what it answers from now on, and counts anew.
-func (s *speaker) say(status int, header string) {
+// setAnswer sets the answer from now on, and resets the count of requests.
+func (s *scriptedEndpoint) setAnswer(status int, header string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.status, s.header, s.arrivals = status, header, 0
 }
 
-func (s *speaker) got() int {
+func (s *scriptedEndpoint) received() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.arrivals
 }
 
-func (s *speaker) serve(conn net.Conn, request *http.Request) {
+func (s *scriptedEndpoint) serve(conn net.Conn, request *http.Request) {
 	s.mutex.Lock()
 	s.arrivals++
 	status, header, stream := s.status, s.header, s.stream && s.status == http.StatusOK
@@ -68,187 +68,189 @@
 		status, http.StatusText(status), idHeader, request.Header.Get(idHeader), header)
 }
 
-// list lists a speaker, or tells what a later heartbeat says of it.
-func (b *bed) list(address netip.AddrPort, sequence uint64, started time.Time) {
-	b.balance.Update(lister.Listing{
+// listScripted lists a scripted endpoint at an address, with the given heartbeat sequence and start time.
+func (f *fixture) listScripted(address netip.AddrPort, sequence uint64, started time.Time) {
+	f.balancer.Update(lister.Listing{
 		ID: "speaker", Service: "desk", State: lister.Ready, Slots: 6, Sequence: sequence, Started: started, Address: address,
 	})
 }
 
-// speak starts a speaker and lists it.
-func (b *bed) speak(s *speaker) netip.AddrPort {
-	b.t.Helper()
-	address := b.listen(s.serve)
-	b.list(address, 1, time.Time{})
+// startScripted starts a scripted endpoint and lists it.
+func (f *fixture) startScripted(s *scriptedEndpoint) netip.AddrPort {
+	f.t.Helper()
+	address := f.listen(s.serve)
+	f.listScripted(address, 1, time.Time{})
 	return address
 }
 
-// Guards against requests to an endpoint within the backoff that it has asked for.
-func TestEndpointThatAsksForBackoffGetsNothing(t *testing.T) {
+// Guards against requests to an endpoint during the backoff that it has asked for, with other
+// endpoints, without them, and while an earlier answer of the endpoint ends.
+func TestEndpointInBackoffGetsNoRequests(t *testing.T) {
 	const backoff, step = 3 * time.Second, 100 * time.Millisecond
 	tests := map[string]struct {
 		path   string
 		others []func(net.Conn, *http.Request)
-		before bool // an answer of before ends meanwhile
+		before bool // an answer that began before the backoff ends during it
 	}{
-		"others serve":                       {path: "/read/x", others: []func(net.Conn, *http.Request){answering("a"), answering("b")}},
-		"others serve what may not repeat":   {path: "/book/x", others: []func(net.Conn, *http.Request){answering("a")}},
-		"an answer of before ends meanwhile": {path: "/read/x", others: []func(net.Conn, *http.Request){answering("a")}, before: true},
-		"the others fail":                    {path: "/read/x", others: []func(net.Conn, *http.Request){shed, cut}},
-		"there is no other":                  {path: "/read/x"},
+		"other endpoints serve":                             {path: "/read/x", others: []func(net.Conn, *http.Request){answerWith("a"), answerWith("b")}},
+		"another endpoint serves what must not be repeated": {path: "/book/x", others: []func(net.Conn, *http.Request){answerWith("a")}},
+		"an earlier answer ends during the backoff":         {path: "/read/x", others: []func(net.Conn, *http.Request){answerWith("a")}, before: true},
+		"the other endpoints fail":                          {path: "/read/x", others: []func(net.Conn, *http.Request){decline, resetConn}},
+		"there is no other endpoint":                        {path: "/read/x"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			b := newBedAt(t, clock)
-			s := &speaker{status: http.StatusOK, stream: true, release: make(chan struct{})}
-			b.speak(s)
+			f := newFixtureAt(t, clock)
+			s := &scriptedEndpoint{status: http.StatusOK, stream: true, release: make(chan struct{})}
+			f.startScripted(s)
 			streamed := make(chan string, 1)
 			if test.before {
 				go func() {
-					got, _ := b.fetch("POST", "/draft/x", "") // what it holds is compared below
+					got, _ := f.fetch("POST", "/draft/x", "") // a truncated body fails the comparison below
 					streamed <- got
 				}()
-				require.Eventually(t, func() bool { return s.got() == 1 }, patience, tick)
+				require.Eventually(t, func() bool { return s.received() == 1 }, waitTimeout, pollInterval)
 			}
-			s.say(http.StatusServiceUnavailable, notRunHeader+": 1\r\n"+retryAfterHeader+": 3\r\n")
-			_, err := b.fetch("GET", test.path, "")
+			s.setAnswer(http.StatusServiceUnavailable, notRunHeader+": 1\r\n"+retryAfterHeader+": 3\r\n")
+			_, err := f.fetch("GET", test.path, "")
 			require.NoError(t, err)
-			require.Equal(t, 1, s.got())
+			require.Equal(t, 1, s.received())
 			for _, other := range test.others {
-				b.endpoint(other)
+				f.endpoint(other)
 			}
-			for passed := step; passed < backoff; passed += step {
+			for elapsed := step; elapsed < backoff; elapsed += step {
 				clock.Advance(step)
-				if passed == 5*step && test.before {
+				if elapsed == 5*step && test.before {
 					close(s.release)
-					require.Equal(t, events1to(1), <-streamed)
-					require.Eventually(t, func() bool { return b.passer.Running() == 0 }, patience, tick)
+					require.Equal(t, eventsUpTo(1), <-streamed)
+					require.Eventually(t, func() bool { return f.passer.Running() == 0 }, waitTimeout, pollInterval)
 				}
-				response := b.ask("GET", test.path, "")
-				_, err := text(response)
+				response := f.do("GET", test.path, "")
+				_, err := readText(response)
 				require.NoError(t, err)
-				require.Equal(t, 1, s.got(), "after %s", passed)
+				require.Equal(t, 1, s.received(), "after %s", elapsed)
 				if len(test.others) == 0 {
 					require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 					seconds, err := strconv.ParseFloat(response.Header.Get(retryAfterHeader), 64)
 					require.NoError(t, err)
-					require.GreaterOrEqual(t, seconds, (backoff - passed).Seconds(), "nothing can be served before")
+					require.GreaterOrEqual(t, seconds, (backoff - elapsed).Seconds(), "no endpoint accepts requests before the backoff ends")
 				}
 			}
 			clock.Advance(2 * step)
 			s.mutex.Lock()
 			s.stream = false
 			s.mutex.Unlock()
-			s.say(http.StatusOK, "")
+			s.setAnswer(http.StatusOK, "")
 			for range len(test.others) + 1 {
-				_, err := b.fetch("GET", test.path, "")
+				_, err := f.fetch("GET", test.path, "")
 				require.NoError(t, err)
 			}
-			require.Positive(t, s.got(), "its backoff is over")
+			require.Positive(t, s.received(), "the backoff is over")
 		})
 	}
 }
 
-// Guards against new work for an endpoint that says in its answers that it leaves.
-func TestEndpointThatSaysThatItLeavesGetsNothingNew(t *testing.T) {
+// Guards against new requests to an endpoint that announces in its answers that it is leaving.
+func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
 	tests := map[string]struct {
 		status int
 		header string
 	}{
-		"in a success":        {status: http.StatusOK},
-		"in a refusal":        {status: http.StatusServiceUnavailable, header: notRunHeader + ": 1\r\n"},
-		"in its own failure":  {status: http.StatusInternalServerError, header: stampHeader + ": stamp\r\n"},
-		"in an answer of 404": {status: http.StatusNotFound, header: stampHeader + ": stamp\r\n"},
+		"in a successful answer": {status: http.StatusOK},
+		"in a refusal":           {status: http.StatusServiceUnavailable, header: notRunHeader + ": 1\r\n"},
+		"in an error answer":     {status: http.StatusInternalServerError, header: stampHeader + ": stamp\r\n"},
+		"in an answer of 404":    {status: http.StatusNotFound, header: stampHeader + ": stamp\r\n"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			b := newBedAt(t, clock)
-			s := &speaker{}
-			address := b.speak(s)
-			s.say(test.status, test.header+leavingHeader+": 1\r\n")
-			_, err := b.fetch("GET", "/book/x", "")
+			f := newFixtureAt(t, clock)
+			s := &scriptedEndpoint{}
+			address := f.startScripted(s)
+			s.setAnswer(test.status, test.header+leavingHeader+": 1\r\n")
+			_, err := f.fetch("GET", "/book/x", "")
 			require.NoError(t, err)
-			s.say(http.StatusOK, "")
-			b.list(address, 2, time.Time{}) // a heartbeat that was late on its way
-			b.endpoint(answering("a"))
+			s.setAnswer(http.StatusOK, "")
+			f.listScripted(address, 2, time.Time{}) // a heartbeat that was delayed
+			f.endpoint(answerWith("a"))
 			for range 10 {
 				clock.Advance(250 * time.Millisecond)
-				_, err := b.fetch("GET", "/read/x", "")
+				_, err := f.fetch("GET", "/read/x", "")
 				require.NoError(t, err)
 			}
-			require.Zero(t, s.got())
-			b.list(address, 1, time.Unix(1000, 0))
-			_, err = b.fetch("GET", "/read/x", "")
+			require.Zero(t, s.received())
+			f.listScripted(address, 1, time.Unix(1000, 0))
+			_, err = f.fetch("GET", "/read/x", "")
 			require.NoError(t, err)
-			_, err = b.fetch("GET", "/read/x", "")
+			_, err = f.fetch("GET", "/read/x", "")
 			require.NoError(t, err)
-			require.Positive(t, s.got(), "it has started again")
+			require.Positive(t, s.received(), "the endpoint has restarted")
 		})
 	}
 }
 
-// Guards against an endpoint that is kept idle for what another instance at its address says.
-func TestAnotherInstanceSpeaksForItself(t *testing.T) {
+// Guards against an endpoint that gets no requests because of the hints of another instance at its
+// address.
+func TestHintsOfAnotherInstanceAreIgnored(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	b := newBedAt(t, clock)
-	s := &speaker{}
-	b.speak(s)
-	s.say(http.StatusMisdirectedRequest, retryAfterHeader+": 60\r\n"+leavingHeader+": 1\r\n")
-	_, err := b.fetch("GET", "/book/x", "")
+	f := newFixtureAt(t, clock)
+	s := &scriptedEndpoint{}
+	f.startScripted(s)
+	s.setAnswer(http.StatusMisdirectedRequest, retryAfterHeader+": 60\r\n"+leavingHeader+": 1\r\n")
+	_, err := f.fetch("GET", "/book/x", "")
 	require.NoError(t, err)
 	clock.Advance(time.Second)
-	s.say(http.StatusOK, "")
-	response := b.ask("GET", "/book/x", "")
+	s.setAnswer(http.StatusOK, "")
+	response := f.do("GET", "/book/x", "")
 	_, err = io.Copy(io.Discard, response.Body)
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
-	require.Equal(t, 1, s.got())
+	require.Equal(t, 1, s.received())
 }
 
-// Guards against a request that reaches an endpoint which has asked for backoff since it was
-// chosen, as while its connection was being made.
-func TestBackoffThatWasAskedForMeanwhileHoldsARequestBack(t *testing.T) {
+// Guards against a request that reaches an endpoint in backoff: the endpoint asks for it after it was
+// picked, for example during the dial.
+func TestBackoffAfterThePickWithdrawsTheRequest(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	b := newBedAt(t, clock)
-	s := &speaker{status: http.StatusOK}
-	b.speak(s)
-	slot := b.balance.Pick(clock.Now(), "desk", &balancer.Work{}, nil)
-	b.balance.Pick(clock.Now(), "desk", &balancer.Work{}, nil).BackOff(clock.Now(), time.Second)
+	f := newFixtureAt(t, clock)
+	s := &scriptedEndpoint{status: http.StatusOK}
+	f.startScripted(s)
+	slot := f.balancer.Pick(clock.Now(), "desk", &balancer.Work{}, nil)
+	f.balancer.Pick(clock.Now(), "desk", &balancer.Work{}, nil).BackOff(clock.Now(), time.Second)
 	q := &request{
 		http: httptest.NewRequest(http.MethodGet, "/read/x", nil), writer: httptest.NewRecorder(), route: &routes[1],
-		target: "/read/x", until: clock.Now().Add(time.Minute), table: b.news.Table(),
+		target: "/read/x", deadline: clock.Now().Add(time.Minute), table: f.fleetState.Table(),
 	}
 	ctx, cancel := context.WithCancelCause(t.Context())
 	defer cancel(nil)
-	next := b.passer.exchange(ctx, cancel, q, slot)
-	require.NotNil(t, next)
-	require.True(t, next.unsent)
-	require.Equal(t, balancer.Cancelled, next.outcome)
-	require.Zero(t, s.got())
+	failure := f.passer.exchange(ctx, cancel, q, slot)
+	require.NotNil(t, failure)
+	require.True(t, failure.unsent)
+	require.Equal(t, balancer.Cancelled, failure.outcome)
+	require.Zero(t, s.received())
 	clock.Advance(time.Second)
-	require.Nil(t, b.passer.exchange(ctx, cancel, q, slot))
-	require.Equal(t, 1, s.got())
+	require.Nil(t, f.passer.exchange(ctx, cancel, q, slot))
+	require.Equal(t, 1, s.received())
 }
 
-// Guards against a line of the log for each request of a flood while nothing takes work.
+// Guards against one log line per request of a flood while no endpoint accepts requests.
 func TestRefusalsWithoutAnEndpointAreLoggedSparingly(t *testing.T) {
 	const requests = 300
 	clock := clockwork.NewFakeClock()
-	b := newBedAt(t, clock)
+	f := newFixtureAt(t, clock)
 	var lines lineCounter
-	b.passer.options.Log = zerolog.New(&lines)
-	b.speak(&speaker{status: http.StatusServiceUnavailable, header: notRunHeader + ": 1\r\n" + retryAfterHeader + ": 3\r\n"})
+	f.passer.options.Log = zerolog.New(&lines)
+	f.startScripted(&scriptedEndpoint{status: http.StatusServiceUnavailable, header: notRunHeader + ": 1\r\n" + retryAfterHeader + ": 3\r\n"})
 	for range requests {
-		_, err := b.fetch("GET", "/read/x", "")
+		_, err := f.fetch("GET", "/read/x", "")
 		require.NoError(t, err)
 	}
-	require.Eventually(t, func() bool { return b.passer.Running() == 0 }, patience, tick)
+	require.Eventually(t, func() bool { return f.passer.Running() == 0 }, waitTimeout, pollInterval)
 	require.Less(t, lines.count.Load(), int64(requests/2))
 }
 
-// lineCounter counts the lines that are written to it.
+// lineCounter counts the lines written to it.
 type lineCounter struct{ count atomic.Int64 }
 
 func (l *lineCounter) Write(line []byte) (int, error) {
--- a/router/internal/passer/body.go
+++ b/router/internal/passer/body.go
@@ -9,12 +9,12 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// readBody reads the whole body, so that it can be sent again and so that no
-// endpoint waits for a slow client.
+// readBody reads the complete body, so that it can be sent again and so that no endpoint waits
+// for a slow client. It answers the request if that fails, and returns false.
 func (p *Passer) readBody(q *request) bool {
 	limit := q.table.Limits().BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBodyBytes
 	}
 	if q.http.ContentLength == 0 {
 		return true
@@ -28,9 +28,9 @@
 		q.body = body
 		return true
 	}
-	if errors.Is(err, errHeld) {
-		p.unheard(q)
-		p.refuse(q, byRouter, http.StatusServiceUnavailable, tooMuch, retrySoon)
+	if errors.Is(err, errBodyMemory) {
+		p.noteOverload(q)
+		p.refuse(q, byRouter, http.StatusServiceUnavailable, reasonRouterBusy, minRetryAfter)
 		return false
 	}
 	if tooLarge := new(http.MaxBytesError); errors.As(err, &tooLarge) {
@@ -41,29 +41,29 @@
 	panic(http.ErrAbortHandler)
 }
 
-// firstRoom is how many bytes are made room for before any has come, at the most. Beyond it
-// room is doubled when it is full: a client may name a length and send nothing.
-const firstRoom = 64 << 10
+// initialBodyBytes is the maximum that is reserved for a body before any of it arrives. The buffer is
+// doubled whenever it is full: a client may declare a length and send nothing.
+const initialBodyBytes = 64 << 10
 
-// errHeld means that there is no room for a body beside the others.
-var errHeld = merry.Sentinel("requests' bodies take all the room there is for them")
+// errBodyMemory means that the bodies of other requests leave too little memory for this one.
+var errBodyMemory = merry.Sentinel("the bodies of other requests hold all the memory reserved for bodies")
 
-// readAll reads a body, into one buffer where its length is known and small. The room that it
-// takes is given back with the request's end.
+// readAll reads a body, into one buffer if its length is known and small. The memory reserved
+// for it is released when the request ends.
 func (p *Passer) readAll(q *request, body io.Reader) ([]byte, error) {
 	length := q.http.ContentLength
-	room := int64(firstRoom)
+	size := int64(initialBodyBytes)
 	if length > 0 {
-		room = min(room, length)
+		size = min(size, length)
 	}
 	buffer := []byte(nil)
 	for {
-		if !p.holding.take(room - q.held) {
-			return nil, errHeld
+		if !p.bodyMemory.reserve(size - q.reserved) {
+			return nil, errBodyMemory
 		}
-		q.held = room
-		buffer = slices.Grow(buffer, int(room)-len(buffer))
-		n, err := io.ReadFull(body, buffer[len(buffer):room])
+		q.reserved = size
+		buffer = slices.Grow(buffer, int(size)-len(buffer))
+		n, err := io.ReadFull(body, buffer[len(buffer):size])
 		buffer = buffer[:len(buffer)+n]
 		switch {
 		case length > 0 && int64(len(buffer)) == length:
@@ -73,9 +73,9 @@
 		case err != nil:
 			return nil, err
 		}
-		room *= 2
+		size *= 2
 		if length > 0 {
-			room = min(room, length)
+			size = min(size, length)
 		}
 	}
 }
--- a/router/internal/passer/client.go
+++ b/router/internal/passer/client.go
@@ -7,13 +7,13 @@
 	"shallotkeel.example/lib/framer"
 )
 
-// gone tells whether the client has closed its connection.
+// clientGone reports whether the client has closed its connection.
 //
-// A connection may wait to be accepted, or a process may stand still, for
-// seconds. Its client has then left before its request is read, and the server
-// notices the end only after the request has been passed on: endpoints would work
-// for nobody. So the connection is looked at right before a request is sent.
-func gone(ctx context.Context) bool {
+// A connection may wait in the accept queue, or the process may be suspended, for seconds. The client may
+// then have disconnected before its request is read, and the server notices this only after the
+// request has been forwarded: endpoints would run requests that no client waits for. The
+// connection is therefore checked right before a request is sent.
+func clientGone(ctx context.Context) bool {
 	conn := framer.Conn(ctx)
 	return conn != nil && forwarder.Ended(conn)
 }
--- a/router/internal/passer/tries_test.go
+++ b/router/internal/passer/declined_test.go
@@ -11,21 +11,21 @@
 	"shallotkeel.example/lib/apportioner"
 )
 
-// Guards against a flood getting nearly all of the little that engines take while they decline most,
-// because what they declined was asked for again and again.
-func TestWhatEnginesDeclineCountsAgainstTheShare(t *testing.T) {
+// Guards against a flood that gets nearly all of the few requests that engines accept: retries of
+// declined requests were not charged to the share.
+func TestDeclinedRequestsCountAgainstTheShare(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Now())
-	b := newBedAt(t, clock)
-	b.news.table.Store(engineTable(t))
+	f := newFixtureAt(t, clock)
+	f.fleetState.table.Store(engineTable(t))
 	const capacity = 100_000
-	b.shares.SetCapacity(capacity)
-	b.shares.SetRouterCount(1)
+	f.shares.SetCapacity(capacity)
+	f.shares.SetRouterCount(1)
 	flood := apportioner.Use{Demand: 100 * capacity}
-	b.shares.SetFleetUse(clock.Now(), map[string]apportioner.Use{"club": flood, "other": flood}, 0)
-	_, tries := b.shedding()
+	f.shares.SetFleetUse(clock.Now(), map[string]apportioner.Use{"club": flood, "other": flood}, 0)
+	_, tries := f.decliningEndpoint()
 	const asked = 200
 	for range asked {
-		_, err := b.fetch(http.MethodPost, "/draft/x", "", "X-Shallotkeel-Token-Counts", "4000,500")
+		_, err := f.fetch(http.MethodPost, "/draft/x", "", "X-Shallotkeel-Token-Counts", "4000,500")
 		require.NoError(t, err)
 	}
 	require.Positive(t, tries.Load())
--- a/router/internal/passer/harness_test.go
+++ b/router/internal/passer/harness_test.go
@@ -38,15 +38,15 @@
 	instanceHeader = "X-Shallotkeel-Expect-Instance"
 )
 
-// patience is how long a condition may take to come true before a test fails, and
-// tick how often it is looked at; no test passes by waiting.
+// waitTimeout is how long a condition may take to become true before a test fails, and
+// pollInterval how often it is checked; no test passes by waiting.
 const (
-	patience = 10 * time.Second
-	tick     = time.Millisecond
+	waitTimeout  = 10 * time.Second
+	pollInterval = time.Millisecond
 )
 
-// stub is the fleet's news as a test sets it.
-type stub struct {
+// stubFleetState is a FleetState that tests set.
+type stubFleetState struct {
 	begun       chan struct{}
 	table       atomic.Pointer[resolver.Table]
 	mutex       sync.Mutex
@@ -54,39 +54,39 @@
 	quarantined map[uint64]bool
 }
 
-func (s *stub) Table() *resolver.Table { return s.table.Load() }
+func (s *stubFleetState) Table() *resolver.Table { return s.table.Load() }
 
-func (s *stub) Begun() <-chan struct{} { return s.begun }
+func (s *stubFleetState) Begun() <-chan struct{} { return s.begun }
 
-func (s *stub) Quarantined(digest uint64) bool {
+func (s *stubFleetState) Quarantined(digest uint64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.quarantined[digest]
 }
 
-func (s *stub) Crashed(digest uint64) {
+func (s *stubFleetState) Crashed(digest uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.crashed = append(s.crashed, digest)
 }
 
-func (s *stub) crashes() []uint64 {
+func (s *stubFleetState) crashes() []uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return append([]uint64(nil), s.crashed...)
 }
 
-// bed is a router's pipeline before endpoints that tests script.
-type bed struct {
-	t       *testing.T
-	news    *stub
-	passer  *Passer
-	balance *balancer.Balancer
-	shares  *apportioner.Apportioner
-	server  *http.Server
-	address string
-	client  *http.Client
-	next    int
+// fixture is a passer with its dependencies behind an HTTP server, in front of endpoints that tests script.
+type fixture struct {
+	t          *testing.T
+	fleetState *stubFleetState
+	passer     *Passer
+	balancer   *balancer.Balancer
+	shares     *apportioner.Apportioner
+	server     *http.Server
+	address    string
+	client     *http.Client
+	lastID     int
 }
 
 var routes = []resolver.Route{
@@ -98,7 +98,7 @@
 	{Name: "brief", Prefix: "/brief/", Kind: resolver.AtMostOnce, Attempts: 1, Anonymous: true, Timeout: 80 * time.Millisecond},
 }
 
-func table(t *testing.T, version uint64) *resolver.Table {
+func newTable(t *testing.T, version uint64) *resolver.Table {
 	t.Helper()
 	plan := resolver.Plan{
 		Version: version, Services: []resolver.Service{{Name: "desk"}},
@@ -117,7 +117,7 @@
 	return compiled
 }
 
-// engineTable has one route to a service of engines.
+// engineTable returns a table with one route to a service of engines.
 func engineTable(t *testing.T) *resolver.Table {
 	t.Helper()
 	compiled, err := resolver.Compile(resolver.Plan{
@@ -132,74 +132,74 @@
 	return compiled
 }
 
-func newBed(t *testing.T) *bed {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	return newBedAt(t, clockwork.NewRealClock())
+	return newFixtureAt(t, clockwork.NewRealClock())
 }
 
-// newBedAt returns a bed with a clock of the test.
-func newBedAt(t *testing.T, clock clockwork.Clock) *bed {
+// newFixtureAt returns a fixture that uses the test's clock.
+func newFixtureAt(t *testing.T, clock clockwork.Clock) *fixture {
 	t.Helper()
-	b := &bed{
-		t: t, news: &stub{begun: make(chan struct{}), quarantined: make(map[uint64]bool)}, balance: &balancer.Balancer{}, shares: &apportioner.Apportioner{},
+	f := &fixture{
+		t: t, fleetState: &stubFleetState{begun: make(chan struct{}), quarantined: make(map[uint64]bool)}, balancer: &balancer.Balancer{}, shares: &apportioner.Apportioner{},
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true}},
 	}
-	b.news.table.Store(table(t, 1))
-	b.passer = New(Options{
-		Dialect: platform.Dialect{}, News: b.news, Streams: recaller.New(recaller.Options{Clock: clock}), Balancer: b.balance, Shares: b.shares,
+	f.fleetState.table.Store(newTable(t, 1))
+	f.passer = New(Options{
+		Dialect: platform.Dialect{}, FleetState: f.fleetState, Streams: recaller.New(recaller.Options{Clock: clock}), Balancer: f.balancer, Shares: f.shares,
 		Budget: &budgeter.Budgeter{Bound: budgeter.Bound{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}},
 		Client: &forwarder.Client{Clock: clock}, Clock: clock, Log: zerolog.Nop(),
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b.address = listener.Addr().String()
-	b.server = &http.Server{Handler: b.passer, ConnContext: framer.WithConn, ReadHeaderTimeout: time.Minute}
-	go b.server.Serve(listener) //nolint:errcheck // it ends with the test
-	t.Cleanup(func() { b.server.Close() })
-	return b
+	f.address = listener.Addr().String()
+	f.server = &http.Server{Handler: f.passer, ConnContext: framer.WithConn, ReadHeaderTimeout: time.Minute}
+	go f.server.Serve(listener) //nolint:errcheck // it ends with the test
+	t.Cleanup(func() { f.server.Close() })
+	return f
 }
 
-// endpoint starts an endpoint with a script and lists it.
-func (b *bed) endpoint(serve func(conn net.Conn, request *http.Request)) string {
-	b.t.Helper()
-	return b.add(b.listen(serve))
+// endpoint starts an endpoint that runs a script for each request, and lists it.
+func (f *fixture) endpoint(serve func(conn net.Conn, request *http.Request)) string {
+	f.t.Helper()
+	return f.add(f.listen(serve))
 }
 
-// add lists a new endpoint at an address.
-func (b *bed) add(address netip.AddrPort) string {
-	b.next++
-	id := fmt.Sprint("i-", b.next)
-	b.balance.Update(lister.Listing{ID: id, Service: "desk", State: lister.Ready, Slots: 6, Address: address, Version: "v1"})
+// add lists a new endpoint at an address and returns its id.
+func (f *fixture) add(address netip.AddrPort) string {
+	f.lastID++
+	id := fmt.Sprint("i-", f.lastID)
+	f.balancer.Update(lister.Listing{ID: id, Service: "desk", State: lister.Ready, Slots: 6, Address: address, Version: "v1"})
 	return id
 }
 
-// remove takes endpoints off the list.
-func (b *bed) remove(ids ...string) {
+// remove marks endpoints as gone.
+func (f *fixture) remove(ids ...string) {
 	for _, id := range ids {
-		b.balance.Update(lister.Listing{ID: id, Service: "desk", State: lister.Gone})
+		f.balancer.Update(lister.Listing{ID: id, Service: "desk", State: lister.Gone})
 	}
 }
 
-// listen serves a script at an address that no list holds yet.
-func (b *bed) listen(serve func(conn net.Conn, request *http.Request)) netip.AddrPort {
-	b.t.Helper()
+// listen runs a script at an address that is not listed yet.
+func (f *fixture) listen(serve func(conn net.Conn, request *http.Request)) netip.AddrPort {
+	f.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(b.t, err)
-	b.t.Cleanup(func() { listener.Close() })
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go b.converse(conn, serve)
+			go f.serveConn(conn, serve)
 		}
 	}()
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// converse hands each request of a connection to a script, with its body read.
-func (b *bed) converse(conn net.Conn, serve func(conn net.Conn, request *http.Request)) {
+// serveConn calls a script for each request of a connection, with the body already read.
+func (f *fixture) serveConn(conn net.Conn, serve func(conn net.Conn, request *http.Request)) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -216,8 +216,8 @@
 	}
 }
 
-// answering answers as a sound endpoint does.
-func answering(body string) func(net.Conn, *http.Request) {
+// answerWith returns a script that answers as a healthy endpoint does.
+func answerWith(body string) func(net.Conn, *http.Request) {
 	return func(conn net.Conn, request *http.Request) {
 		reply(conn, request, http.StatusOK, body)
 	}
@@ -228,28 +228,28 @@
 		status, http.StatusText(status), idHeader, request.Header.Get(idHeader), stampHeader, len(body), body)
 }
 
-func shed(conn net.Conn, request *http.Request) {
+func decline(conn net.Conn, request *http.Request) {
 	fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n",
 		idHeader, request.Header.Get(idHeader), notRunHeader)
 }
 
-// cut ends the connection as a crash does.
-func cut(conn net.Conn, _ *http.Request) {
+// resetConn resets the connection, as after a crash.
+func resetConn(conn net.Conn, _ *http.Request) {
 	conn.(*net.TCPConn).SetLinger(0) //nolint:errcheck // it is a TCP connection
 	conn.Close()
 }
 
-// shedding starts an endpoint that turns everything away, and counts what reaches it.
-func (b *bed) shedding() (id string, arrivals *atomic.Int64) {
+// decliningEndpoint starts an endpoint that declines every request, and counts the requests.
+func (f *fixture) decliningEndpoint() (id string, arrivals *atomic.Int64) {
 	arrivals = &atomic.Int64{}
-	id = b.endpoint(func(conn net.Conn, request *http.Request) {
+	id = f.endpoint(func(conn net.Conn, request *http.Request) {
 		arrivals.Add(1)
-		shed(conn, request)
+		decline(conn, request)
 	})
 	return id, arrivals
 }
 
-// beginStream sends a stream's head and events from one number up to another.
+// beginStream sends a stream's head and the events numbered from..to.
 func beginStream(conn net.Conn, request *http.Request, from, to int) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: stamp\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		idHeader, request.Header.Get(idHeader), stampHeader)
@@ -267,7 +267,7 @@
 	return fmt.Sprintf("id: %d\ndata: piece %d\n\n", number, number)
 }
 
-func events1to(last int) string {
+func eventsUpTo(last int) string {
 	var all strings.Builder
 	for i := 1; i <= last; i++ {
 		all.WriteString(event(i))
@@ -279,16 +279,16 @@
 	fmt.Fprint(conn, "0\r\n\r\n")
 }
 
-// ask sends a client's request.
-func (b *bed) ask(method, path, body string, header ...string) *http.Response {
-	b.t.Helper()
-	response, err := b.try(b.t.Context(), method, path, body, header...)
-	require.NoError(b.t, err)
+// do sends a client's request and requires an answer.
+func (f *fixture) do(method, path, body string, header ...string) *http.Response {
+	f.t.Helper()
+	response, err := f.send(f.t.Context(), method, path, body, header...)
+	require.NoError(f.t, err)
 	return response
 }
 
-func (b *bed) try(ctx context.Context, method, path, body string, header ...string) (*http.Response, error) {
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+b.address+path, strings.NewReader(body))
+func (f *fixture) send(ctx context.Context, method, path, body string, header ...string) (*http.Response, error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+f.address+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -298,19 +298,19 @@
 	for i := 0; i+1 < len(header); i += 2 {
 		request.Header.Set(header[i], header[i+1])
 	}
-	return b.client.Do(request)
+	return f.client.Do(request)
 }
 
-// fetch sends a client's request and reads the answer to its end.
-func (b *bed) fetch(method, path, body string, header ...string) (string, error) {
-	b.t.Helper()
-	response := b.ask(method, path, body, header...)
+// fetch sends a client's request and returns the body of the answer.
+func (f *fixture) fetch(method, path, body string, header ...string) (string, error) {
+	f.t.Helper()
+	response := f.do(method, path, body, header...)
 	defer response.Body.Close()
-	return text(response)
+	return readText(response)
 }
 
-// text reads a response to its end.
-func text(response *http.Response) (string, error) {
+// readText returns the body of a response.
+func readText(response *http.Response) (string, error) {
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	return string(body), err
--- a/router/internal/passer/metrics.go
+++ b/router/internal/passer/metrics.go
@@ -9,14 +9,14 @@
 	"shallotkeel.example/lib/framer"
 )
 
-// Metrics counts what became of requests. A nil *Metrics counts nothing.
+// Metrics counts requests, refusals and sends, and measures durations. A nil *Metrics counts nothing.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	refusals *prometheus.CounterVec
-	sends    prometheus.Counter
-	unframed prometheus.Counter
-	first    prometheus.Histogram
-	took     prometheus.Histogram
+	requests    *prometheus.CounterVec
+	refusals    *prometheus.CounterVec
+	sends       prometheus.Counter
+	unframed    prometheus.Counter
+	timeToFirst prometheus.Histogram
+	duration    prometheus.Histogram
 }
 
 // NewMetrics registers the passer's metrics.
@@ -34,33 +34,33 @@
 		unframed: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "shallotkeel_passed_unframed_total", Help: "Requests whose last answer ended with its endpoint's connection.",
 		}),
-		first: prometheus.NewHistogram(prometheus.HistogramOpts{
+		timeToFirst: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "shallotkeel_passed_first_seconds", Help: "Time until the first part of an answer.",
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 12),
 		}),
-		took: prometheus.NewHistogram(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "shallotkeel_passed_whole_seconds", Help: "Time until the end of an answer.",
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 13),
 		}),
 	}
-	registry.MustRegister(m.requests, m.refusals, m.sends, m.unframed, m.first, m.took)
+	registry.MustRegister(m.requests, m.refusals, m.sends, m.unframed, m.timeToFirst, m.duration)
 	return m
 }
 
-func (m *Metrics) ended(q *request, took time.Duration) {
+func (m *Metrics) observe(q *request, took time.Duration) {
 	if m == nil {
 		return
 	}
 	m.requests.WithLabelValues(strconv.Itoa(q.status)).Inc()
-	if q.refused != passed {
-		m.refusals.WithLabelValues(labels[q.refused]).Inc()
+	if q.refusedBy != notRefused {
+		m.refusals.WithLabelValues(refusalLabels[q.refusedBy]).Inc()
 	}
 	m.sends.Add(float64(q.sends))
 	if q.framing == framer.ByConnection {
 		m.unframed.Inc()
 	}
-	if q.first > 0 {
-		m.first.Observe(q.first.Seconds())
+	if q.timeToFirst > 0 {
+		m.timeToFirst.Observe(q.timeToFirst.Seconds())
 	}
-	m.took.Observe(took.Seconds())
+	m.duration.Observe(took.Seconds())
 }
--- a/router/internal/passer/passer.go
+++ b/router/internal/passer/passer.go
@@ -1,19 +1,19 @@
-// Package passer passes clients' requests on to endpoints, byte for byte, and
-// their answers back.
+// Package passer proxies clients' requests to endpoints, and the answers back to the clients, byte
+// for byte.
 //
-// Each request runs in its own goroutine from its arrival to its one final
-// answer, under the configuration that was in force when it came.
+// Each request runs in its own goroutine from its arrival to its single final answer, under the
+// configuration that is in force when it arrives.
 //
 // Invariants:
-//   - a request that may not repeat is written to one endpoint at most, unless
-//     that endpoint said that it did not run it;
-//   - "not run" is told only if no byte of the request has left, or each endpoint
-//     that got it said so, and nothing of it is sent afterwards;
-//   - a client gets an answer whole, or sees it cut: one that ends early never
+//   - a request that must not be repeated is written to at most one endpoint, unless that
+//     endpoint answers that it did not run the request;
+//   - a client gets the answer "not run" only if no byte of the request has been sent, or if each
+//     endpoint that got any of it answers so, and nothing of the request is sent afterwards;
+//   - a client gets a complete answer or can see that it is truncated: a truncated answer never
 //     looks complete;
-//   - a stream holds events of one version of the endpoints' software;
-//   - nothing is sent for a client that has gone, and what runs for it is ended;
-//   - every request has its final answer when its route's timeout is over.
+//   - a stream contains events from one version of the endpoints' software;
+//   - nothing is sent for a client that has disconnected, and attempts that run for it are cancelled;
+//   - every request has its final answer by the timeout of its route.
 package passer
 
 import (
@@ -41,95 +41,98 @@
 )
 
 const (
-	// retrySoon is when a client may come back after a fault that is likely to
-	// pass at once, such as an endpoint that was lost.
-	retrySoon = 60 * time.Millisecond
-	// retrySpread is by which part a pause is lengthened at random. Those that were refused
-	// at one moment would else come back at one moment, and most be refused again.
-	retrySpread = 0.5
-	// maxUnsent bounds the endpoints that are tried for one request before any of
-	// them has got a byte of it. Each costs a dial's timeout if it is dark.
-	maxUnsent = 4
-	// writeGrace is for how long a client may still be sent its answer when the request's time
-	// is over. One that reads nothing would hold its request, and its endpoint's, for good.
+	// minRetryAfter is the Retry-After for a fault that is likely to pass at once, such as
+	// the loss of an endpoint.
+	minRetryAfter = 60 * time.Millisecond
+	// retryJitter is the maximum fraction by which a Retry-After is lengthened at random. Clients
+	// refused at the same moment would otherwise retry at the same moment, and most would be refused again.
+	retryJitter = 0.5
+	// maxUnsentAttempts limits the endpoints tried for one request before one of them gets any
+	// byte of it. Each unreachable endpoint costs a dial timeout.
+	maxUnsentAttempts = 4
+	// writeGrace is how long after the request's deadline its answer may still be written. A client
+	// that reads nothing would otherwise keep its request, and the endpoint's work for it, running indefinitely.
 	writeGrace = time.Second
 )
 
-// News is what the passer asks of the fleet's news.
-type News interface {
+// FleetState is the state of the fleet that the passer needs.
+type FleetState interface {
+	// Table returns the configuration in force, nil if there is none yet.
 	Table() *resolver.Table
-	// Begun is closed once there is a table.
+	// Begun returns a channel that is closed once there is a table.
 	Begun() <-chan struct{}
+	// Quarantined reports whether a request is refused because it has crashed endpoints.
 	Quarantined(digest uint64) bool
+	// Crashed reports a request that may have crashed an endpoint.
 	Crashed(digest uint64)
 }
 
-// Streams knows at which software version streams began.
+// Streams records the software versions at which streams began.
 type Streams interface {
-	// Begun notes where a stream began or goes on.
+	// Begun records the origin of a stream that begins or is resumed.
 	Begun(name versioner.StreamID, origin versioner.Origin)
-	// Find returns where a stream began, if that is known.
+	// Find returns the origin of a stream, if it is known.
 	Find(ctx context.Context, name versioner.StreamID) (versioner.Origin, bool)
-	// Widen learns of endpoints where streams of an origin may go on, if there are any.
+	// Widen looks up further endpoints where streams of the origin can be resumed, and adds those that exist.
 	Widen(ctx context.Context, origin versioner.Origin)
 }
 
-// Options are what a Passer is made of.
+// Options configures a Passer.
 type Options struct {
-	Dialect  forwarder.Dialect
-	News     News
-	Streams  Streams
-	Balancer *balancer.Balancer
-	Budget   *budgeter.Budgeter
-	Shares   *apportioner.Apportioner
-	Client   *forwarder.Client
-	Clock    clockwork.Clock
-	Log      zerolog.Logger
-	Metrics  *Metrics
-	// Crowded tells whether so many clients are connected that connections are
-	// closed behind their answers. It may be nil.
+	Dialect    forwarder.Dialect
+	FleetState FleetState
+	Streams    Streams
+	Balancer   *balancer.Balancer
+	Budget     *budgeter.Budgeter
+	Shares     *apportioner.Apportioner
+	Client     *forwarder.Client
+	Clock      clockwork.Clock
+	Log        zerolog.Logger
+	Metrics    *Metrics
+	// Crowded reports whether so many clients are connected that each connection is closed
+	// after its answer. It may be nil.
 	Crowded func() bool
-	// Away tells whether new clients are sent to other routers. It may be nil.
-	Away func() bool
-	// Most is how many requests may be under way, 0 for any number.
-	Most int
-	// HeldBytes is how many bytes of requests' bodies may be held, 0 for any number.
-	HeldBytes int64
-	// Gather is how long events of a stream may be gathered while there is much to
-	// do, 0 for not at all.
-	Gather time.Duration
-	// Lags tells whether the process gets too little processor time for its work.
+	// Diverting reports whether new clients are sent to other routers. It may be nil.
+	Diverting func() bool
+	// MaxRequests limits the requests in flight, 0 for no limit.
+	MaxRequests int
+	// MaxTotalBodyBytes limits the bytes of request bodies held at a time, 0 for no limit.
+	MaxTotalBodyBytes int64
+	// CoalesceDelay is how long a stream may wait for more events under high load, 0 to
+	// relay each event at once.
+	CoalesceDelay time.Duration
+	// CPUStarved reports whether the process gets too little processor time for its load.
 	// It may be nil.
-	Lags func() bool
-	// Starts paces how many requests begin. It may be nil.
-	Starts *pacer.Rate
+	CPUStarved func() bool
+	// StartRate paces the start of requests. It may be nil.
+	StartRate *pacer.Rate
 }
 
-// Passer is an http.Handler.
+// Passer is an http.Handler that proxies each request to an endpoint.
 type Passer struct {
-	options Options
-	drain   drain
-	holding holding
-	quietly damper.Damper
-	keys    damper.Damper // of lines on keys that nobody holds
-	returns returns
-	ledger  ledger
-	odds    odds
-	taken   atomic.Uint64 // requests that came
-	refused atomic.Uint64 // and were refused, those that were only screened included
-	started atomic.Uint64 // and were sent to endpoints
-	forRoom atomic.Uint64 // requests that were refused for want of room
-	pressed atomic.Int64  // when a request was refused last for want of room or share, in ns of the Unix time
+	options            Options
+	inFlight           inFlight
+	bodyMemory         bodyMemory
+	logDamper          damper.Damper // of log lines about requests that were not sent
+	keyLogDamper       damper.Damper // of log lines about keys that no workspace holds
+	retries            retryTracker
+	workspaces         workspaceStats
+	refusals           refusalRate
+	received           atomic.Uint64 // requests that have arrived
+	refused            atomic.Uint64 // requests refused, including those refused by Screen
+	started            atomic.Uint64 // requests forwarded to endpoints
+	refusedForCapacity atomic.Uint64 // requests refused for lack of router capacity
+	lastPressure       atomic.Int64  // Unix time in ns of the last refusal for lack of capacity or share
 }
 
-// New returns a passer.
+// New returns a Passer.
 func New(options Options) *Passer {
-	p := &Passer{options: options, holding: holding{most: options.HeldBytes}, keys: damper.Damper{LinesPerSecond: mostKeyLines}}
+	p := &Passer{options: options, bodyMemory: bodyMemory{limit: options.MaxTotalBodyBytes}, keyLogDamper: damper.Damper{LinesPerSecond: maxKeyLogLines}}
 	options.Client.OwnAnswer = options.Dialect.Own
 	return p
 }
 
-// request is one client's request under way.
+// request is the state of one client request in flight.
 type request struct {
 	http   *http.Request
 	writer http.ResponseWriter
@@ -137,139 +140,140 @@
 	route  *resolver.Route
 	table  *resolver.Table
 
-	service   string
-	workspace string
-	target    string
-	body      []byte
-	held      int64 // bytes that are held for it
-	digest    uint64
-	received  time.Time
-	came      time.Time // here for the first time, if it was refused before
-	name      uint64    // of this request and of those that repeat it, 0 if it has none
-	until     time.Time // the final answer is due
+	service       string
+	workspace     string
+	target        string // path and query as the client sent them
+	body          []byte
+	reserved      int64  // bytes of body memory reserved for it
+	digest        uint64 // identifies the request in reports of crashes
+	received      time.Time
+	firstReceived time.Time // its first arrival here; before received if it is a retry of a refused request
+	retryKey      uint64    // identifies the request across its retries, 0 if it cannot be identified
+	deadline      time.Time // of the final answer
 
-	sends    int              // endpoints that got a byte of it
-	unsent   int              // endpoints that could not be reached
-	ran      bool             // an endpoint may have run it
-	prepaid  atomic.Bool      // its next attempt has been taken off the budget
-	begun    bool             // the client has a part of the answer
-	end      *framer.End      // of an answer that ends with the client's connection
-	answered bool             // an endpoint has begun to answer
-	said     forwarder.Answer // what the last endpoint said of itself
-	framing  framer.Framing   // of the last endpoint's answer
-	tried    map[string]bool  // instances
-	endpoint string
-	spare    bool          // it is beyond what its workspace has a right to
-	reading  int           // tokens that the last endpoint probably had to read
-	queue    time.Duration // for which that one still read what it had been sent
-	expected time.Duration // until its first token
-	status   int
-	refused  verdict
-	reason   string
-	first    time.Duration // until the first part of the answer
-	stream   events
-	told     bool // a line of the log tells its story already
+	sends            int              // attempts that sent at least one byte of it
+	unsentAttempts   int              // attempts that sent nothing of it
+	mayHaveRun       bool             // an endpoint may have run it
+	retryPaid        atomic.Bool      // the budget has already been charged for its next attempt
+	answerStarted    bool             // the client has got a part of the answer
+	end              *framer.End      // of an answer that ends with the client's connection
+	endpointAnswered bool             // an endpoint has begun to answer
+	endpointAnswer   forwarder.Answer // hints that the last endpoint gave about itself
+	framing          framer.Framing   // of the last endpoint's answer
+	tried            map[string]bool  // ids of instances
+	endpoint         string
+	beyondShare      bool          // it exceeds its workspace's guaranteed share
+	prefillTokens    int           // tokens that the last endpoint probably had to prefill
+	queueWait        time.Duration // expected time until the endpoint finishes the prefills queued before it
+	expectedFirst    time.Duration // expected time until the first token
+	status           int
+	refusedBy        refusalCause
+	reason           string
+	timeToFirst      time.Duration // time until the first part of the answer
+	stream           eventSplitter
+	logged           bool // the request already has its log line
 }
 
 // ServeHTTP serves one request.
 func (p *Passer) ServeHTTP(w http.ResponseWriter, h *http.Request) {
 	q := &request{http: h, writer: w, received: p.options.Clock.Now()}
-	p.taken.Add(1)
-	p.drain.enter()
-	defer p.drain.leave()
-	if p.drain.stopping() || p.options.Crowded != nil && p.options.Crowded() {
+	p.received.Add(1)
+	p.inFlight.enter()
+	defer p.inFlight.leave()
+	if p.inFlight.stopping() || p.options.Crowded != nil && p.options.Crowded() {
 		w.Header().Set("Connection", "close")
 	}
 	q.in = p.options.Dialect.Read(h.Header)
 	defer p.record(q)
-	defer func() { p.holding.give(q.held) }()
+	defer func() { p.bodyMemory.release(q.reserved) }()
 	if p.admit(q) {
-		p.boundWrites(q, q.until.Add(writeGrace))
+		p.boundWrites(q, q.deadline.Add(writeGrace))
 		defer p.boundWrites(q, time.Time{})
-		p.drain.enterFor(q.workspace)
-		defer p.drain.leaveFor(q.workspace)
-		p.pass(q)
+		p.inFlight.enterWorkspace(q.workspace)
+		defer p.inFlight.leaveWorkspace(q.workspace)
+		p.forward(q)
 	}
 }
 
-// boundWrites sets until when the client may be written to. Writes wait for it to read.
+// boundWrites sets the deadline of writes to the client. A write blocks while the client does not read.
 func (p *Passer) boundWrites(q *request, until time.Time) {
 	err := http.NewResponseController(q.writer).SetWriteDeadline(until)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
-		p.options.Log.Debug().Err(err).Str("id", q.in.ID).Msg("writes to the client are not bounded")
+		p.options.Log.Debug().Err(err).Str("id", q.in.ID).Msg("write deadline could not be set; writes to the client have no time limit")
 	}
 }
 
-// Taken returns how many requests have come since the start.
-func (p *Passer) Taken() uint64 {
-	return p.taken.Load()
+// Received returns the number of requests received since the start.
+func (p *Passer) Received() uint64 {
+	return p.received.Load()
 }
 
-// Started returns how many requests were let in since the start, and Refused how many were not.
+// Started returns the number of requests admitted since the start.
 func (p *Passer) Started() uint64 {
 	return p.started.Load()
 }
 
-// Refused returns how many requests were refused since the start.
+// Refused returns the number of requests refused since the start.
 func (p *Passer) Refused() uint64 {
 	return p.refused.Load()
 }
 
-// RefusedForRoom returns how many requests were refused for want of room since the start.
-func (p *Passer) RefusedForRoom() uint64 {
-	return p.forRoom.Load()
+// RefusedForCapacity returns the number of requests refused for lack of router capacity since the start.
+func (p *Passer) RefusedForCapacity() uint64 {
+	return p.refusedForCapacity.Load()
 }
 
-// pass sends the request until it has its ending.
-func (p *Passer) pass(q *request) {
+// forward sends the request to endpoints until it has its final answer.
+func (p *Passer) forward(q *request) {
 	p.started.Add(1)
-	p.options.Starts.Take(q.received, q.workspace)
+	p.options.StartRate.Take(q.received, q.workspace)
 	p.options.Budget.Request(q.received, q.service)
-	ctx, cancel := context.WithTimeout(q.http.Context(), q.until.Sub(p.options.Clock.Now()))
+	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(p.options.Clock.Now()))
 	defer cancel()
 	q.tried = make(map[string]bool)
-	q.stream.last = q.in.Resume
+	q.stream.lastID = q.in.Resume
 	for {
-		next := p.attempt(ctx, q)
-		if next == nil {
+		failure := p.attempt(ctx, q)
+		if failure == nil {
 			return
 		}
-		q.ran = q.ran || !next.unsent && !next.notRun
-		if !p.again(ctx, q, *next) {
-			// What engines decline stays counted. While they take little, that goes by how often it is
-			// tried, and a flood would try many times as often as everybody else.
-			if !q.answered && !next.notRun && p.sharesEngines(q) {
-				p.options.Shares.Refund(q.workspace, float64(q.tokens()), q.spare)
+		q.mayHaveRun = q.mayHaveRun || !failure.unsent && !failure.notRun
+		if !p.mayRetry(ctx, q, *failure) {
+			// Requests that engines decline stay charged to the share. While engines accept few requests, the
+			// number accepted grows with the number of tries, and a flood would try many times more often than
+			// all other workspaces.
+			if !q.endpointAnswered && !failure.notRun && p.sharesEngines(q) {
+				p.options.Shares.Refund(q.workspace, float64(q.tokens()), q.beyondShare)
 			}
-			p.giveUp(ctx, q, *next)
+			p.giveUp(ctx, q, *failure)
 			return
 		}
 	}
 }
 
-// ending is how an attempt ended that has not answered the client.
-type ending struct {
-	outcome balancer.Outcome
-	unsent  bool // no byte left
-	nowhere bool // and there is no endpoint to try
-	pressed bool // those that there are have no room
-	notRun  bool // the endpoint said so
-	reason  string
-	// kept is an endpoint's own failure that is passed on if nothing better comes.
-	kept *whole
+// attemptFailure describes an attempt that has not answered the client, or not completely.
+type attemptFailure struct {
+	outcome    balancer.Outcome
+	unsent     bool // no byte was sent
+	noEndpoint bool // there is also no endpoint to try
+	overloaded bool // there are endpoints, but none has capacity
+	notRun     bool // the endpoint answered that it did not run the request
+	reason     string
+	// fallback is the endpoint's own error answer, which is relayed if no other attempt succeeds.
+	fallback *bufferedAnswer
 }
 
-// again tells whether the request may be sent to another endpoint.
-func (p *Passer) again(ctx context.Context, q *request, e ending) bool {
-	if ctx.Err() != nil || gone(q.http.Context()) {
-		return false // asked again for nobody, each endpoint would get a connection
+// mayRetry reports whether the request may be sent to another endpoint.
+func (p *Passer) mayRetry(ctx context.Context, q *request, e attemptFailure) bool {
+	if ctx.Err() != nil || clientGone(q.http.Context()) {
+		return false // each retry would open a connection for a client that is gone
 	}
-	if e.nowhere || q.begun && q.in.Work.Version == "" {
-		return false // of what began at a version that nobody knows, nobody knows where it may go on
+	if e.noEndpoint || q.answerStarted && q.in.Work.Version == "" {
+		return false // without the version of a begun stream, no endpoint is known to be able to resume it
 	}
 	if e.unsent {
-		q.unsent++
-		return q.unsent < maxUnsent
+		q.unsentAttempts++
+		return q.unsentAttempts < maxUnsentAttempts
 	}
 	if q.sends >= q.route.Attempts {
 		return false
@@ -277,25 +281,25 @@
 	if !e.notRun && !q.route.Retryable() {
 		return false
 	}
-	return q.prepaid.Swap(false) || p.options.Budget.Spend(p.options.Clock.Now(), q.service)
+	return q.retryPaid.Swap(false) || p.options.Budget.Spend(p.options.Clock.Now(), q.service)
 }
 
 // giveUp gives the final answer of a request that no endpoint has answered.
-func (p *Passer) giveUp(ctx context.Context, q *request, e ending) {
+func (p *Passer) giveUp(ctx context.Context, q *request, e attemptFailure) {
 	q.reason = e.reason
 	switch {
-	case q.http.Context().Err() != nil || gone(q.http.Context()):
+	case q.http.Context().Err() != nil || clientGone(q.http.Context()):
 		q.reason = "the client left"
 		panic(http.ErrAbortHandler)
-	case q.begun:
-		panic(http.ErrAbortHandler) // a part must not look like the whole
-	case e.kept != nil:
-		p.answer(q, e.kept)
-	case !q.ran && e.pressed:
-		p.refuse(q, byPressure, http.StatusServiceUnavailable, e.reason, p.pressurePause(q))
-	case !q.ran:
+	case q.answerStarted:
+		panic(http.ErrAbortHandler) // a truncated answer must not look complete
+	case e.fallback != nil:
+		p.sendAnswer(q, e.fallback)
+	case !q.mayHaveRun && e.overloaded:
+		p.refuse(q, byPressure, http.StatusServiceUnavailable, e.reason, p.pressureRetryAfter(q))
+	case !q.mayHaveRun:
 		left := p.options.Balancer.BackoffRemaining(p.options.Clock.Now(), q.service, &q.in.Work)
-		p.refuse(q, byEndpoints, http.StatusServiceUnavailable, e.reason, max(retrySoon, left))
+		p.refuse(q, byEndpoints, http.StatusServiceUnavailable, e.reason, max(minRetryAfter, left))
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		p.fail(q, http.StatusGatewayTimeout, "no answer in time")
 	default:
@@ -303,29 +307,29 @@
 	}
 }
 
-// refuse answers that the request has not run and will not.
-func (p *Passer) refuse(q *request, by verdict, status int, reason string, retry time.Duration) {
-	q.refused = by
-	if by == byRouter && p.options.Away != nil && p.options.Away() {
-		// Its client's next connection may reach a router that has room.
+// refuse answers that the request has not run and will not run.
+func (p *Passer) refuse(q *request, by refusalCause, status int, reason string, pause time.Duration) {
+	q.refusedBy = by
+	if by == byRouter && p.options.Diverting != nil && p.options.Diverting() {
+		// The client's next connection may reach a router that has capacity.
 		q.writer.Header().Set("Connection", "close")
 	}
-	if retry > 0 {
-		q.writer.Header().Set("Retry-After", strconv.FormatFloat(p.comeBack(q, retry).Seconds(), 'f', 3, 64))
+	if pause > 0 {
+		q.writer.Header().Set("Retry-After", strconv.FormatFloat(p.retryAfter(q, pause).Seconds(), 'f', 3, 64))
 	}
 	p.fail(q, status, reason)
 }
 
-// comeBack remembers a refused request whose client may come back after a pause, and
-// returns that pause, lengthened at random.
-func (p *Passer) comeBack(q *request, retry time.Duration) time.Duration {
-	if q.name != 0 {
-		p.returns.refused(q.received, q.name, q.came)
+// retryAfter remembers a refused request that its client may retry, and returns the
+// pause before the retry, lengthened at random.
+func (p *Passer) retryAfter(q *request, pause time.Duration) time.Duration {
+	if q.retryKey != 0 {
+		p.retries.remember(q.received, q.retryKey, q.firstReceived)
 	}
-	return retry + time.Duration(retrySpread*rand.Float64()*float64(retry))
+	return pause + time.Duration(retryJitter*rand.Float64()*float64(pause))
 }
 
-// fail answers with a status of the router's own.
+// fail answers with a status that the router itself sets.
 func (p *Passer) fail(q *request, status int, reason string) {
 	q.status, q.reason = status, reason
 	http.Error(q.writer, reason, status)
--- a/router/internal/passer/passer_test.go
+++ b/router/internal/passer/passer_test.go
@@ -19,15 +19,17 @@
 	"shallotkeel.example/lib/framer"
 )
 
-func TestRequestsArePassedOnAsTheyCame(t *testing.T) {
-	b := newBed(t)
+// Guards against a request that is altered on its way: target, host, body and headers reach the endpoint
+// unchanged, except for those that the router sets or removes.
+func TestRequestsAreForwardedUnchanged(t *testing.T) {
+	f := newFixture(t)
 	seen := make(chan *http.Request, 1)
-	id := b.endpoint(func(conn net.Conn, request *http.Request) {
+	id := f.endpoint(func(conn net.Conn, request *http.Request) {
 		seen <- request
 		reply(conn, request, http.StatusCreated, "booked")
 	})
-	response := b.ask("POST", "/book/a//b%2Fc?x=1&y", "the body", deadlineHeader, "4000", "X-Own", "kept", tenantHeader, "forged")
-	body, err := text(response)
+	response := f.do("POST", "/book/a//b%2Fc?x=1&y", "the body", deadlineHeader, "4000", "X-Own", "kept", tenantHeader, "forged")
+	body, err := readText(response)
 	require.NoError(t, err)
 	require.Equal(t, "booked", body)
 	require.Equal(t, http.StatusCreated, response.StatusCode)
@@ -48,80 +50,81 @@
 	require.Greater(t, left, 3000)
 }
 
-func TestRequestsThatAreNotPassedOn(t *testing.T) {
+// Guards against requests that reach an endpoint although a rule, the key or the missing configuration
+// forbids it, and against plain services being limited by shares.
+func TestRequestsThatAreNotForwarded(t *testing.T) {
 	tests := map[string]struct {
 		path   string
 		key    string
 		body   string
-		spoil  func(b *bed)
+		setUp  func(f *fixture)
 		status int
 	}{
 		"no route":          {path: "/nowhere/", status: http.StatusNotFound},
 		"no key":            {path: "/draft/", key: "none", status: http.StatusUnauthorized},
 		"no key, anonymous": {path: "/read/", key: "none", status: http.StatusOK},
 		"too large":         {path: "/book/", body: strings.Repeat("x", 1<<20+1), status: http.StatusRequestEntityTooLarge},
-		"no configuration":  {path: "/book/", spoil: func(b *bed) { b.news.table.Store(nil) }, status: http.StatusServiceUnavailable},
-		"share used up":     {path: "/book/", status: http.StatusOK}, // plain services know no shares
-		"crashes what runs it": {path: "/book/", status: http.StatusServiceUnavailable, spoil: func(b *bed) {
-			b.news.quarantined[fingerprint(&request{
+		"no configuration":  {path: "/book/", setUp: func(f *fixture) { f.fleetState.table.Store(nil) }, status: http.StatusServiceUnavailable},
+		"share used up":     {path: "/book/", status: http.StatusOK}, // plain services have no shares
+		"crashes endpoints": {path: "/book/", status: http.StatusServiceUnavailable, setUp: func(f *fixture) {
+			f.fleetState.quarantined[fingerprint(&request{
 				http: &http.Request{Host: "h"}, target: "/book/", in: forwarder.Incoming{Key: "key"}, body: []byte{},
 			})] = true
 		}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			b.endpoint(answering("served"))
-			if test.spoil != nil {
-				test.spoil(b)
+			f := newFixture(t)
+			f.endpoint(answerWith("served"))
+			if test.setUp != nil {
+				test.setUp(f)
 			}
 			key := test.key
 			if key == "" {
 				key = "key"
 			}
-			response := b.ask("POST", test.path, test.body, "Authorization", "Bearer "+key)
-			_, err := text(response)
+			response := f.do("POST", test.path, test.body, "Authorization", "Bearer "+key)
+			_, err := readText(response)
 			require.NoError(t, err)
 			require.Equal(t, test.status, response.StatusCode)
 		})
 	}
 }
 
-// Symptom: a booking is confirmed twice, or a caller is told "not run" of one that
-// ran. Sequence: an endpoint fails in each way that there is, with a second one
-// at hand.
-func TestWhatMustNotRepeatIsSentOnce(t *testing.T) {
+// Guards against a booking that is confirmed twice, and a client that is told "not run" about a request
+// that ran: an endpoint fails in each possible way while a second endpoint is available.
+func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
 	tests := map[string]struct {
 		serve  func(net.Conn, *http.Request)
 		status int
 	}{
-		"it crashes":        {serve: cut, status: http.StatusBadGateway},
-		"it sends nonsense": {serve: func(conn net.Conn, _ *http.Request) { fmt.Fprint(conn, "nonsense\r\n\r\n") }, status: http.StatusBadGateway},
-		"it breaks off": {serve: func(conn net.Conn, _ *http.Request) {
+		"it crashes":                 {serve: resetConn, status: http.StatusBadGateway},
+		"it sends an invalid answer": {serve: func(conn net.Conn, _ *http.Request) { fmt.Fprint(conn, "nonsense\r\n\r\n") }, status: http.StatusBadGateway},
+		"it truncates its answer": {serve: func(conn net.Conn, _ *http.Request) {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: s\r\nContent-Length: 9\r\n\r\npart", stampHeader)
 			conn.Close()
 		}, status: http.StatusBadGateway},
-		"it fails": {serve: func(conn net.Conn, r *http.Request) { reply(conn, r, 500, "no") }, status: http.StatusInternalServerError},
-		"a success unsigned": {serve: func(conn net.Conn, _ *http.Request) {
+		"it answers with an error": {serve: func(conn net.Conn, r *http.Request) { reply(conn, r, 500, "no") }, status: http.StatusInternalServerError},
+		"its success is not signed": {serve: func(conn net.Conn, _ *http.Request) {
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}, status: http.StatusBadGateway},
-		"it did not run it": {serve: shed, status: http.StatusServiceUnavailable},
-		"another has its place": {serve: func(conn net.Conn, _ *http.Request) {
+		"it declines": {serve: decline, status: http.StatusServiceUnavailable},
+		"another instance has its address": {serve: func(conn net.Conn, _ *http.Request) {
 			fmt.Fprint(conn, "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n")
 		}, status: http.StatusServiceUnavailable},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
+			f := newFixture(t)
 			var sent atomic.Int64
 			count := func(conn net.Conn, request *http.Request) {
 				sent.Add(1)
 				test.serve(conn, request)
 			}
-			b.endpoint(count)
-			b.endpoint(count)
-			response := b.ask("POST", "/book/", "bid")
-			_, err := text(response)
+			f.endpoint(count)
+			f.endpoint(count)
+			response := f.do("POST", "/book/", "bid")
+			_, err := readText(response)
 			require.NoError(t, err)
 			require.Equal(t, test.status, response.StatusCode)
 			require.EqualValues(t, 1, sent.Load())
@@ -129,28 +132,29 @@
 				require.NotEmpty(t, response.Header.Get("Retry-After"))
 			}
 			if test.status != http.StatusInternalServerError {
-				require.Empty(t, response.Header.Get(stampHeader), "the router's own failure bears no signature")
+				require.Empty(t, response.Header.Get(stampHeader), "the router's own error is not signed")
 			}
 		})
 	}
 }
 
-func TestWhatMayRepeatGoesToAnother(t *testing.T) {
+// Guards against a repeatable request that fails with its first endpoint while another one can serve it.
+func TestRepeatableRequestIsRetriedElsewhere(t *testing.T) {
 	for name, serve := range map[string]func(net.Conn, *http.Request){
-		"it crashes":        cut,
-		"it fails":          func(conn net.Conn, r *http.Request) { reply(conn, r, 500, "no") },
-		"it did not run it": shed,
-		"it breaks off": func(conn net.Conn, _ *http.Request) {
+		"it crashes":               resetConn,
+		"it answers with an error": func(conn net.Conn, r *http.Request) { reply(conn, r, 500, "no") },
+		"it declines":              decline,
+		"it truncates its answer": func(conn net.Conn, _ *http.Request) {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: s\r\nContent-Length: 9\r\n\r\npart", stampHeader)
 			conn.Close()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			b.endpoint(serve)
-			b.endpoint(answering("served"))
+			f := newFixture(t)
+			f.endpoint(serve)
+			f.endpoint(answerWith("served"))
 			for range 4 {
-				body, err := b.fetch("GET", "/read/", "")
+				body, err := f.fetch("GET", "/read/", "")
 				require.NoError(t, err)
 				require.Equal(t, "served", body)
 			}
@@ -158,74 +162,76 @@
 	}
 }
 
-// Symptom: endpoints that fail get twice the load. Cause: every failure was tried
-// again, whatever the fleet's bound.
-func TestRepeatsStayWithinTheBudget(t *testing.T) {
-	b := newBed(t)
+// Guards against failing endpoints that get twice the load because every failure is retried,
+// beyond the fleet's retry budget.
+func TestRetriesStayWithinTheBudget(t *testing.T) {
+	f := newFixture(t)
 	var sent atomic.Int64
 	for range 2 {
-		b.endpoint(func(conn net.Conn, request *http.Request) {
+		f.endpoint(func(conn net.Conn, request *http.Request) {
 			sent.Add(1)
 			reply(conn, request, 500, "no")
 		})
 	}
 	for range 100 {
-		response := b.ask("GET", "/read/", "")
-		_, err := text(response)
+		response := f.do("GET", "/read/", "")
+		_, err := readText(response)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusInternalServerError, response.StatusCode)
-		require.Equal(t, "stamp", response.Header.Get(stampHeader), "the endpoint's own failure is passed on")
+		require.Equal(t, "stamp", response.Header.Get(stampHeader), "the endpoint's own error is relayed")
 	}
 	require.LessOrEqual(t, sent.Load(), int64(100+100*0.2+20))
 	require.Greater(t, sent.Load(), int64(110))
 }
 
-// Symptom: a request is refused as not run and runs all the same. Cause: an
-// endpoint that cannot be reached was taken for one that refused.
-func TestUnreachableEndpointsAreNotRun(t *testing.T) {
-	b := newBed(t)
+// Guards against a request that is refused as not run and still runs: an endpoint that cannot be
+// reached must not count as one that declined the request.
+func TestRequestWithoutEndpointIsRefusedAsNotRun(t *testing.T) {
+	f := newFixture(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b.endpoint(answering("never"))
-	b.balance = nil
+	f.endpoint(answerWith("never"))
+	f.balancer = nil
 	listener.Close()
-	empty := newBed(t)
-	response := empty.ask("POST", "/book/", "bid")
-	_, err = text(response)
+	empty := newFixture(t)
+	response := empty.do("POST", "/book/", "bid")
+	_, err = readText(response)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	require.NotEmpty(t, response.Header.Get("Retry-After"))
 }
 
-func TestTimeoutHasItsFinalAnswer(t *testing.T) {
-	b := newBed(t)
+// Guards against a request without a final answer, and against an attempt that outlives it, when the
+// endpoint does not answer within the timeout of the route.
+func TestTimeoutIsAnsweredWithGatewayTimeout(t *testing.T) {
+	f := newFixture(t)
 	closed := make(chan struct{})
-	b.endpoint(func(conn net.Conn, _ *http.Request) {
-		io.Copy(io.Discard, conn) //nolint:errcheck // it waits for the end
+	f.endpoint(func(conn net.Conn, _ *http.Request) {
+		io.Copy(io.Discard, conn) //nolint:errcheck // blocks until the connection ends
 		close(closed)
 	})
 	begin := time.Now()
-	response := b.ask("POST", "/brief/", "")
-	_, err := text(response)
+	response := f.do("POST", "/brief/", "")
+	_, err := readText(response)
 	require.NoError(t, err)
-	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode, "it may have run: nothing is promised")
+	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode, "the request may have run, so it is not answered as not run")
 	require.Less(t, time.Since(begin), 5*time.Second)
 	<-closed
 }
 
-// Symptom: endpoints work for clients that have left. Sequence: the client closes
-// its connection while its request runs.
-func TestClientThatLeavesEndsTheWork(t *testing.T) {
+// Guards against endpoints that run requests of clients that have disconnected: the client closes its
+// connection while its request runs.
+func TestClientDisconnectEndsTheAttempt(t *testing.T) {
 	for name, path := range map[string]string{"a call": "/read/", "a stream": "/draft/"} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
+			f := newFixture(t)
 			running, closed := make(chan struct{}), make(chan struct{})
-			b.endpoint(func(conn net.Conn, request *http.Request) {
+			f.endpoint(func(conn net.Conn, request *http.Request) {
 				if path == "/draft/" {
 					beginStream(conn, request, 1, 1)
 				}
 				close(running)
-				io.Copy(io.Discard, conn) //nolint:errcheck // it waits for the end
+				io.Copy(io.Discard, conn) //nolint:errcheck // blocks until the connection ends
 				close(closed)
 			})
 			ctx, cancel := context.WithCancel(t.Context())
@@ -233,24 +239,24 @@
 				<-running
 				cancel()
 			}()
-			response, err := b.try(ctx, "GET", path, "")
+			response, err := f.send(ctx, "GET", path, "")
 			if err == nil {
-				_, err = text(response)
+				_, err = readText(response)
 			}
 			require.Error(t, err)
 			<-closed
-			require.Empty(t, b.news.crashes(), "nothing crashed")
+			require.Empty(t, f.fleetState.crashes(), "a disconnect is not a crash")
 		})
 	}
 }
 
-// Symptom: endpoints get requests of clients that left seconds ago. Sequence: a
-// connection waits to be accepted, its client sends, waits and leaves; then the
-// request is read and passed on before the end is noticed.
-func TestClientThatLeftBeforeItWasReadIsNotServed(t *testing.T) {
-	b := newBed(t)
+// Guards against endpoints that get requests of clients that disconnected seconds ago: a connection
+// waits in the accept queue while its client sends, waits and disconnects; then the request was
+// read and forwarded before the server noticed the end.
+func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
+	f := newFixture(t)
 	var sent atomic.Int64
-	b.endpoint(func(conn net.Conn, request *http.Request) {
+	f.endpoint(func(conn net.Conn, request *http.Request) {
 		sent.Add(1)
 		reply(conn, request, http.StatusOK, "")
 	})
@@ -263,28 +269,28 @@
 	accepted, err := listener.Accept()
 	require.NoError(t, err)
 
-	time.Sleep(20 * time.Millisecond) // the end stands behind the request, where nothing shows it
+	time.Sleep(20 * time.Millisecond) // lets the end of the connection arrive behind the request, where the server does not notice it
 	served := make(chan struct{})
 	server := &http.Server{ReadHeaderTimeout: time.Minute, ConnContext: framer.WithConn, Handler: http.HandlerFunc(func(w http.ResponseWriter, h *http.Request) {
 		defer close(served)
-		b.passer.ServeHTTP(w, h)
+		f.passer.ServeHTTP(w, h)
 	})}
-	one := &single{conns: make(chan net.Conn, 1), listener: listener}
-	one.conns <- accepted
-	go server.Serve(one) //nolint:errcheck // it ends with the test
+	accepting := &acceptedListener{conns: make(chan net.Conn, 1), listener: listener}
+	accepting.conns <- accepted
+	go server.Serve(accepting) //nolint:errcheck // it ends with the test
 	defer func() { require.NoError(t, server.Close()) }()
 	<-served
 	require.Zero(t, sent.Load())
 }
 
-// single is a listener of connections that were accepted before.
-type single struct {
+// acceptedListener is a listener that returns connections accepted before.
+type acceptedListener struct {
 	conns    chan net.Conn
 	once     sync.Once
 	listener net.Listener
 }
 
-func (s *single) Accept() (net.Conn, error) {
+func (s *acceptedListener) Accept() (net.Conn, error) {
 	conn, open := <-s.conns
 	if !open {
 		return nil, net.ErrClosed
@@ -292,47 +298,47 @@
 	return conn, nil
 }
 
-func (s *single) Close() error {
+func (s *acceptedListener) Close() error {
 	s.once.Do(func() { close(s.conns) })
 	return s.listener.Close()
 }
 
-func (s *single) Addr() net.Addr { return s.listener.Addr() }
+func (s *acceptedListener) Addr() net.Addr { return s.listener.Addr() }
 
-// Symptom: one request takes down one endpoint after the other. Its crashes are
-// told to the fleet under one name, whatever its id.
-func TestCrashesAreReportedUnderOneName(t *testing.T) {
-	b := newBed(t)
-	b.endpoint(cut)
-	b.endpoint(cut)
+// Guards against one request that crashes one endpoint after the other: its crashes are reported to
+// the fleet under one digest, whatever its id.
+func TestCrashesOfOneRequestShareADigest(t *testing.T) {
+	f := newFixture(t)
+	f.endpoint(resetConn)
+	f.endpoint(resetConn)
 	for range 2 {
-		_, err := b.fetch("POST", "/book/", "poison")
+		_, err := f.fetch("POST", "/book/", "poison")
 		require.NoError(t, err)
 	}
-	_, err := b.fetch("POST", "/book/", "another")
+	_, err := f.fetch("POST", "/book/", "another")
 	require.NoError(t, err)
-	crashes := b.news.crashes()
+	crashes := f.fleetState.crashes()
 	require.Len(t, crashes, 3)
 	require.Equal(t, crashes[0], crashes[1])
 	require.NotEqual(t, crashes[0], crashes[2])
 }
 
-// Symptom: a flood uses up descriptors and memory. Sequence: clients come back on
-// new connections and leave the old ones idle. In a crowd each is closed behind its
-// answer, whatever that is.
-func TestConnectionsAreClosedInACrowd(t *testing.T) {
+// Guards against a flood that uses up descriptors and memory: clients retry on new connections and
+// leave the old ones idle. When too many clients are connected, each connection is closed after its
+// answer, whatever the answer is.
+func TestConnectionsAreClosedWhenCrowded(t *testing.T) {
 	for name, crowded := range map[string]bool{"crowd": true, "room": false} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			b.passer.options.Crowded = func() bool { return crowded }
-			refused := b.ask("POST", "/book/", "")
-			_, err := text(refused)
+			f := newFixture(t)
+			f.passer.options.Crowded = func() bool { return crowded }
+			refused := f.do("POST", "/book/", "")
+			_, err := readText(refused)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusServiceUnavailable, refused.StatusCode)
 			require.Equal(t, crowded, refused.Close)
-			b.endpoint(answering("served"))
-			served := b.ask("POST", "/book/", "")
-			_, err = text(served)
+			f.endpoint(answerWith("served"))
+			served := f.do("POST", "/book/", "")
+			_, err = readText(served)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, served.StatusCode)
 			require.Equal(t, crowded, served.Close)
@@ -340,19 +346,20 @@
 	}
 }
 
+// Guards against requests that are lost during a planned stop: they are served, and their connections closed.
 func TestStoppingRouterServesAndCloses(t *testing.T) {
-	b := newBed(t)
-	b.endpoint(answering("served"))
-	b.passer.Stop()
-	response := b.ask("POST", "/book/", "")
-	body, err := text(response)
+	f := newFixture(t)
+	f.endpoint(answerWith("served"))
+	f.passer.Stop()
+	response := f.do("POST", "/book/", "")
+	body, err := readText(response)
 	require.NoError(t, err)
 	require.Equal(t, "served", body)
 	require.True(t, response.Close)
-	require.Eventually(t, func() bool { return b.passer.Running() == 0 }, patience, tick)
+	require.Eventually(t, func() bool { return f.passer.Running() == 0 }, waitTimeout, pollInterval)
 }
 
-// The answer to a HEAD told that there is nothing, whatever its endpoint said.
+// Guards against an answer to HEAD that claims an empty body, whatever length its endpoint stated.
 func TestAnswerToHeadKeepsItsLength(t *testing.T) {
 	for name, test := range map[string]struct {
 		header string
@@ -362,12 +369,12 @@
 		"not told": {length: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			b.endpoint(func(conn net.Conn, _ *http.Request) {
+			f := newFixture(t)
+			f.endpoint(func(conn net.Conn, _ *http.Request) {
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: stamp\r\n%s\r\n", stampHeader, test.header)
 			})
-			for range 2 { // the second one shows that the connection is still good
-				response := b.ask("HEAD", "/read/", "")
+			for range 2 { // the second one shows that the connection can be reused
+				response := f.do("HEAD", "/read/", "")
 				response.Body.Close()
 				require.Equal(t, http.StatusOK, response.StatusCode)
 				require.Equal(t, test.length, response.ContentLength)
--- a/router/internal/passer/record.go
+++ b/router/internal/passer/record.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// since is how long ago the request came for the first time, 0 if that was now.
-func (q *request) since() time.Duration {
-	if q.came.IsZero() {
+// sinceFirst returns how long ago the request first arrived, 0 if it is not a retry.
+func (q *request) sinceFirst() time.Duration {
+	if q.firstReceived.IsZero() {
 		return 0
 	}
-	return q.received.Sub(q.came)
+	return q.received.Sub(q.firstReceived)
 }
 
-// record writes the one line that tells a request's story, and counts it.
+// record counts a request that has ended and writes its log line.
 func (p *Passer) record(q *request) {
 	now := p.options.Clock.Now()
 	took := now.Sub(q.received)
-	p.options.Metrics.ended(q, took)
-	p.ledger.add(now, p.options.Log, p.options.Shares, q)
-	p.odds.add(now, q.refused == byRouter)
-	if q.refused != passed {
+	p.options.Metrics.observe(q, took)
+	p.workspaces.add(now, p.options.Log, p.options.Shares, q)
+	p.refusals.add(now, q.refusedBy == byRouter)
+	if q.refusedBy != notRefused {
 		p.refused.Add(1)
 	}
-	if q.told || q.sends == 0 && q.unsent == 0 && !p.quietly.Admit(now, p.options.Log) {
+	if q.logged || q.sends == 0 && q.unsentAttempts == 0 && !p.logDamper.Admit(now, p.options.Log) {
 		return
 	}
 	line := p.options.Log.Info()
@@ -35,9 +35,9 @@
 	}
 	line.Str("id", q.in.ID).Str("resumes", q.in.Resumes).Str("workspace", q.workspace).
 		Str("service", q.service).Str("endpoint", q.endpoint).Str("version", q.in.Work.Version).
-		Int("sends", q.sends).Int("unreached", q.unsent).Int("status", q.status).
+		Int("sends", q.sends).Int("unreached", q.unsentAttempts).Int("status", q.status).
 		Str("framing", q.framing.String()).Str("reason", q.reason).
-		Int("tokens", q.tokens()).Int("reading", q.reading).Bool("spare", q.spare).Dur("target_ms", q.in.Work.Target).
-		Dur("queue_ms", q.queue).Dur("expected_ms", q.expected).Dur("since_ms", q.since()).
-		Dur("first_ms", q.first).Dur("took_ms", took).Msg("request")
+		Int("tokens", q.tokens()).Int("reading", q.prefillTokens).Bool("spare", q.beyondShare).Dur("target_ms", q.in.Work.Target).
+		Dur("queue_ms", q.queueWait).Dur("expected_ms", q.expectedFirst).Dur("since_ms", q.sinceFirst()).
+		Dur("first_ms", q.timeToFirst).Dur("took_ms", took).Msg("request")
 }
--- /dev/null
+++ b/router/internal/passer/refusalrate_test.go
@@ -0,0 +1,75 @@
+package passer
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+	"github.com/stretchr/testify/require"
+
+	"shallotkeel.example/lib/forwarder"
+	"shallotkeel.example/platform"
+)
+
+// Guards against a flood that is repeatedly told to retry at once, at a router that admits one
+// request in twenty.
+func TestRetryAfterFollowsTheRefusalRate(t *testing.T) {
+	tests := map[string]struct {
+		asked, refused int
+		age            time.Duration // of the samples
+		want           time.Duration
+	}{
+		"no requests":        {want: minRetryAfter},
+		"too few samples":    {asked: minRefusalSamples - 1, refused: minRefusalSamples - 1, want: minRetryAfter},
+		"all are admitted":   {asked: 1000, want: minRetryAfter},
+		"half are refused":   {asked: 1000, refused: 500, want: 2 * minRetryAfter},
+		"nine in ten":        {asked: 1000, refused: 900, want: 10 * minRetryAfter},
+		"nineteen in twenty": {asked: 1000, refused: 950, want: maxRetryAfter},
+		"all are refused":    {asked: 1000, refused: 1000, want: maxRetryAfter},
+		"a span ago":         {asked: 1000, refused: 500, age: refusalRateSpan, want: 2 * minRetryAfter},
+		"long ago":           {asked: 1000, refused: 500, age: 2 * refusalRateSpan, want: minRetryAfter},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			clock := clockwork.NewFakeClock()
+			p := New(Options{Dialect: platform.Dialect{}, Client: &forwarder.Client{Clock: clock}, Clock: clock})
+			now := clock.Now()
+			for i := range test.asked {
+				p.refusals.add(now, i < test.refused)
+			}
+			require.InDelta(t, test.want.Seconds(), p.overloadRetryAfter(now.Add(test.age)).Seconds(), 1e-6)
+		})
+	}
+}
+
+// Guards against clients that keep their connections to a flooded router, while new clients reach
+// routers with free capacity.
+func TestDivertingRouterClosesRefusedConnections(t *testing.T) {
+	tests := map[string]struct {
+		diverting, full bool
+		status          int
+		closes          bool
+	}{
+		"full":                       {full: true, status: http.StatusServiceUnavailable},
+		"full and diverting":         {full: true, diverting: true, status: http.StatusServiceUnavailable, closes: true},
+		"diverting, not full":        {diverting: true, status: http.StatusOK},
+		"neither full nor diverting": {status: http.StatusOK},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(t)
+			f.endpoint(answerWith("served"))
+			f.passer.options.Diverting = func() bool { return test.diverting }
+			f.passer.options.MaxRequests = 1
+			f.passer.options.CPUStarved = func() bool { return test.full }
+			f.passer.inFlight.enterWorkspace("club")
+			f.passer.inFlight.enterWorkspace("club")
+			response, err := f.send(t.Context(), http.MethodPost, "/book/", "")
+			require.NoError(t, err)
+			defer response.Body.Close()
+			require.Equal(t, test.status, response.StatusCode)
+			require.Equal(t, test.closes, response.Close)
+		})
+	}
+}
--- a/router/internal/passer/restart_test.go
+++ b/router/internal/passer/restart_test.go
@@ -13,46 +13,45 @@
 	"shallotkeel.example/lib/lister"
 )
 
-// Symptom: requests wait for their whole time, or run twice. Sequence: an endpoint
-// that runs them is cut off, crashes behind the cut and starts again under its id;
-// their connections stay open and silent. Cause: nothing told the router that what
-// ran there had ended. What may not repeat must still not be sent again.
+// Guards against requests that wait until their deadline, or run twice, after an endpoint restarts: it
+// is partitioned, crashes behind the partition and starts again under its id, while its old connections
+// stay open and silent. Non-repeatable requests must still not be sent again.
 func TestRequestsAtARestartedEndpoint(t *testing.T) {
 	tests := map[string]struct {
 		path   string
-		begun  int // events that came before
+		begun  int // events that arrived before the restart
 		body   string
 		status int
-		cut    bool // the client sees that the answer broke off
-		again  bool // it is sent to another endpoint
+		cut    bool // the client sees that the answer is truncated
+		again  bool // the request is sent to another endpoint
 	}{
-		"a stream that may go on, begun": {path: "/list/", begun: 2, body: events1to(4), status: http.StatusOK, again: true},
-		"a stream that may go on":        {path: "/list/", body: events1to(4), status: http.StatusOK, again: true},
-		"a stream that may not, begun":   {path: "/draft/", begun: 2, body: events1to(2), status: http.StatusOK, cut: true},
-		"a stream that may not":          {path: "/draft/", status: http.StatusBadGateway},
-		"what may repeat":                {path: "/read/", body: "whole", status: http.StatusOK, again: true},
-		"what may not repeat":            {path: "/book/", status: http.StatusBadGateway},
+		"a resumable stream, begun":             {path: "/list/", begun: 2, body: eventsUpTo(4), status: http.StatusOK, again: true},
+		"a resumable stream":                    {path: "/list/", body: eventsUpTo(4), status: http.StatusOK, again: true},
+		"a stream that is not resumable, begun": {path: "/draft/", begun: 2, body: eventsUpTo(2), status: http.StatusOK, cut: true},
+		"a stream that is not resumable":        {path: "/draft/", status: http.StatusBadGateway},
+		"a repeatable request":                  {path: "/read/", body: "whole", status: http.StatusOK, again: true},
+		"a non-repeatable request":              {path: "/book/", status: http.StatusBadGateway},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
+			f := newFixture(t)
 			running, relayed, end := make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
 			defer close(end)
-			first := b.endpoint(func(conn net.Conn, request *http.Request) {
+			first := f.endpoint(func(conn net.Conn, request *http.Request) {
 				if test.begun > 0 {
 					beginStream(conn, request, 1, test.begun)
 				}
 				running <- struct{}{}
 				<-end
 			})
-			listing := b.listing(first)
+			listing := f.listing(first)
 			sent := make(chan struct{}, 4)
 			go func() {
 				<-running
 				if test.begun > 0 {
 					<-relayed
 				}
-				b.endpoint(func(conn net.Conn, request *http.Request) {
+				f.endpoint(func(conn net.Conn, request *http.Request) {
 					sent <- struct{}{}
 					if test.path == "/read/" {
 						reply(conn, request, http.StatusOK, "whole")
@@ -62,14 +61,14 @@
 					endStream(conn)
 				})
 				listing.Started = time.Unix(2000, 0)
-				b.balance.Update(listing)
+				f.balancer.Update(listing)
 			}()
-			response := b.ask("POST", test.path, "prompt")
-			begin := make([]byte, len(events1to(test.begun)))
+			response := f.do("POST", test.path, "prompt")
+			begin := make([]byte, len(eventsUpTo(test.begun)))
 			_, err := io.ReadFull(response.Body, begin)
 			require.NoError(t, err)
 			close(relayed)
-			body, err := text(response)
+			body, err := readText(response)
 			body = string(begin) + body
 			require.Equal(t, test.cut, err != nil)
 			require.Equal(t, test.status, response.StatusCode)
@@ -77,16 +76,16 @@
 				require.Equal(t, test.body, body)
 			}
 			require.Equal(t, test.again, len(sent) == 1)
-			require.Len(t, b.news.crashes(), 1, "it may be what the endpoint crashed of")
+			require.Len(t, f.fleetState.crashes(), 1, "the request may have crashed the endpoint")
 		})
 	}
 }
 
-// listing is how an endpoint of the bed is listed.
-func (b *bed) listing(id string) lister.Listing {
-	b.t.Helper()
-	slot := b.balance.Pick(time.Now(), "desk", &balancer.Work{}, func(other string) bool { return other != id })
-	require.NotNil(b.t, slot)
+// listing returns the listing of an endpoint of the fixture.
+func (f *fixture) listing(id string) lister.Listing {
+	f.t.Helper()
+	slot := f.balancer.Pick(time.Now(), "desk", &balancer.Work{}, func(other string) bool { return other != id })
+	require.NotNil(f.t, slot)
 	defer slot.End(time.Now(), balancer.Cancelled)
 	return lister.Listing{ID: id, Service: "desk", State: lister.Ready, Slots: 6, Address: slot.Address}
 }
--- a/router/internal/passer/takeup.go
+++ b/router/internal/passer/resume.go
@@ -8,11 +8,11 @@
 	"shallotkeel.example/lib/versioner"
 )
 
-// takeUp finds where a stream goes on that its client takes up: at the version of the software
-// that began it. What two versions write does not fit together and endpoints do not check it, so
-// that a stream which nobody knows, or of whose version nothing is left, is refused and never
-// sent to any other.
-func (p *Passer) takeUp(q *request) bool {
+// admitResume finds the service and software version at which a stream was begun that the client
+// resumes. Events of two versions are not compatible and endpoints do not check this, so a stream
+// whose origin is unknown, or of whose version no endpoint is left, is refused and never sent to
+// an endpoint of another version.
+func (p *Passer) admitResume(q *request) bool {
 	if q.route.Kind != resolver.Stream || q.in.Resume == "" && q.in.Resumes == "" {
 		return true
 	}
@@ -24,7 +24,7 @@
 		reason = "nobody here knows which software began the stream; begin it anew"
 	case !q.route.Includes(origin.Service):
 		reason = "the stream began at a service that has this route no more; begin it anew"
-	case !p.offers(q, origin):
+	case !p.canResume(q, origin):
 		reason = "no endpoint has the software any more that began the stream; begin it anew"
 	default:
 		return true
@@ -33,8 +33,8 @@
 	return false
 }
 
-// offers tells whether there is an endpoint where a stream of an origin may go on.
-func (p *Passer) offers(q *request, origin versioner.Origin) bool {
+// canResume reports whether there is an endpoint where a stream of the origin can be resumed.
+func (p *Passer) canResume(q *request, origin versioner.Origin) bool {
 	if p.options.Balancer.HasEligible(origin.Service, &q.in.Work) {
 		return true
 	}
@@ -42,13 +42,13 @@
 	return p.options.Balancer.HasEligible(origin.Service, &q.in.Work)
 }
 
-// noteVersion notes at which software version a stream begins or goes on, so that it goes on
-// nowhere else: within this answer, or where its client takes it up.
+// noteVersion records the software version at which a stream begins or is resumed, so that it is
+// resumed only at that version: within this answer, or in a later request of its client.
 func (p *Passer) noteVersion(q *request, slot *balancer.Slot) {
-	if q.stream.noted {
+	if q.stream.versionNoted {
 		return
 	}
-	q.stream.noted = true
+	q.stream.versionNoted = true
 	q.in.Work.Version = slot.Version
 	if slot.Version == "" || !q.route.Resumable {
 		return
--- a/router/internal/passer/screen.go
+++ b/router/internal/passer/screen.go
@@ -7,28 +7,28 @@
 	"shallotkeel.example/router/internal/screener"
 )
 
-// screenFor is how long requests on new connections are judged before the server takes
-// them, since one was refused for want of room or share. In a flood that is many times a
-// second.
-const screenFor = time.Second
+// screeningPeriod is how long requests on new connections are screened before the server accepts
+// them, counted from the last refusal for lack of capacity or share. In a flood there are many
+// such refusals per second.
+const screeningPeriod = time.Second
 
-// Screens tells whether requests on new connections are to be judged by Screen.
-func (p *Passer) Screens() bool {
-	return p.options.Clock.Now().Sub(time.Unix(0, p.pressed.Load())) < screenFor
+// ScreeningActive reports whether requests on new connections are to be checked by Screen.
+func (p *Passer) ScreeningActive() bool {
+	return p.options.Clock.Now().Sub(time.Unix(0, p.lastPressure.Load())) < screeningPeriod
 }
 
-// press notes that a request was refused for want of room or share.
-func (p *Passer) press(now time.Time) {
-	p.pressed.Store(now.UnixNano())
+// notePressure records a refusal for lack of capacity or share.
+func (p *Passer) notePressure(now time.Time) {
+	p.lastPressure.Store(now.UnixNano())
 }
 
-// Screen returns the refusal of a request of which only the head has been read, nil if it
-// is to be served. Refused are those for which the router has no room or their workspace
-// no share. A refusal here takes less of a flooded router's time than one behind the server
+// Screen returns the refusal of a request of which only the head has been read, nil if the request
+// is to be served. It refuses a request for which the router has no capacity or the workspace has no
+// share left. A refusal here takes less of a flooded router's processor time than one by the server
 // (BenchmarkRefusal of the screener).
 func (p *Passer) Screen(h *http.Request) *screener.Refusal {
 	now := p.options.Clock.Now()
-	q := &request{http: h, received: now, table: p.options.News.Table()}
+	q := &request{http: h, received: now, table: p.options.FleetState.Table()}
 	if q.table == nil {
 		return nil
 	}
@@ -41,17 +41,17 @@
 		return nil
 	}
 	q.status, q.reason = refusal.Status, refusal.Reason
-	refusal.Retry = p.comeBack(q, refusal.Retry)
+	refusal.Retry = p.retryAfter(q, refusal.Retry)
 	p.record(q)
 	return refusal
 }
 
-// screen returns the refusal of a request, with the shortest pause for its client.
+// screen returns the refusal of a request with its minimum Retry-After, nil if the request is to be served.
 func (p *Passer) screen(q *request) *screener.Refusal {
 	if p.busy(q) {
-		q.refused = byRouter
-		p.unheard(q)
-		return &screener.Refusal{Status: http.StatusServiceUnavailable, Reason: tooMuch, Retry: p.roomPause(q.received)}
+		q.refusedBy = byRouter
+		p.noteOverload(q)
+		return &screener.Refusal{Status: http.StatusServiceUnavailable, Reason: reasonRouterBusy, Retry: p.overloadRetryAfter(q.received)}
 	}
 	if !p.sharesEngines(q) {
 		return nil
@@ -60,14 +60,14 @@
 	if !refused {
 		return nil
 	}
-	p.usedUp(q, d)
-	return &screener.Refusal{Status: http.StatusTooManyRequests, Reason: noShare, Retry: max(d.RetryAfter, retrySoon)}
+	p.noteShareUsed(q, d)
+	return &screener.Refusal{Status: http.StatusTooManyRequests, Reason: reasonShareUsed, Retry: max(d.RetryAfter, minRetryAfter)}
 }
 
-// unheard counts a request that the router has no room for, and what it asks of its
-// workspace's share: the fleet must know that the workspace waits.
-func (p *Passer) unheard(q *request) {
-	p.forRoom.Add(1)
+// noteOverload counts a request for which the router has no capacity, and adds its tokens to the demand
+// of its workspace: the fleet must know that the workspace is waiting.
+func (p *Passer) noteOverload(q *request) {
+	p.refusedForCapacity.Add(1)
 	if p.sharesEngines(q) {
 		p.options.Shares.CountShed(q.received, q.workspace, float64(q.tokens()))
 	}
--- a/router/internal/passer/screen_test.go
+++ b/router/internal/passer/screen_test.go
@@ -16,12 +16,11 @@
 	"shallotkeel.example/platform"
 )
 
-// Symptom: all clients of one router are late by a second, and some of their requests
-// reach endpoints after they have left. Sequence: a workspace floods a small router; each
-// of its requests is taken, read and refused behind the server, or closed unread and sent
-// again at once. Cause: nothing was refused before the server took it, and what was had no
-// regard for who asked.
-func TestFloodIsScreenedAndNobodyElse(t *testing.T) {
+// Guards against all clients of one router being late by a second, and requests that reach endpoints after
+// their clients have disconnected. A workspace floods a small router; each of its requests is accepted,
+// read and refused by the server, or closed unread and retried at once. Requests must be refused
+// before the server accepts them, and only those of the workspace that floods.
+func TestScreenRefusesOnlyTheFlood(t *testing.T) {
 	plan := resolver.Plan{
 		Version:  1,
 		Services: []resolver.Service{{Name: "engines", Engine: &resolver.Engine{}}, {Name: "desk"}},
@@ -35,32 +34,32 @@
 	require.NoError(t, err)
 	tests := map[string]struct {
 		key, path string
-		full      bool // the flood has taken all starts
-		used      bool // the flood has used its share
-		status    int  // 0 is let in
-		by        verdict
+		full      bool // the flood has used up the start rate
+		used      bool // the flood has used up its share
+		status    int  // 0 if the request is admitted
+		by        refusalCause
 	}{
-		"nothing presses":                {key: "flood", path: "/draft/x"},
-		"no room, and it floods":         {key: "flood", path: "/draft/x", full: true, status: http.StatusServiceUnavailable, by: byRouter},
-		"no room, plain service":         {key: "flood", path: "/book/x", full: true, status: http.StatusServiceUnavailable, by: byRouter},
-		"no room, and another asks":      {key: "small", path: "/draft/x", full: true},
-		"share used up":                  {key: "flood", path: "/draft/x", used: true, status: http.StatusTooManyRequests, by: byShare},
-		"share used up, plain service":   {key: "flood", path: "/book/x", used: true},
-		"share used up, another asks":    {key: "small", path: "/draft/x", used: true},
-		"an unknown key is the server's": {key: "nobody", path: "/draft/x", full: true},
-		"an unknown route as well":       {key: "flood", path: "/none/x", full: true},
+		"neither full nor used up":                  {key: "flood", path: "/draft/x"},
+		"full, the flood":                           {key: "flood", path: "/draft/x", full: true, status: http.StatusServiceUnavailable, by: byRouter},
+		"full, plain service":                       {key: "flood", path: "/book/x", full: true, status: http.StatusServiceUnavailable, by: byRouter},
+		"full, another workspace":                   {key: "small", path: "/draft/x", full: true},
+		"share used up":                             {key: "flood", path: "/draft/x", used: true, status: http.StatusTooManyRequests, by: byShare},
+		"share used up, plain service":              {key: "flood", path: "/book/x", used: true},
+		"share used up, another workspace":          {key: "small", path: "/draft/x", used: true},
+		"full, unknown key is left to the server":   {key: "nobody", path: "/draft/x", full: true},
+		"full, unknown route is left to the server": {key: "flood", path: "/none/x", full: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			now := clock.Now()
-			news, shares := &stub{}, &apportioner.Apportioner{}
-			news.table.Store(compiled)
+			fleetState, shares := &stubFleetState{}, &apportioner.Apportioner{}
+			fleetState.table.Store(compiled)
 			shares.SetCapacity(10_000)
 			starts := &pacer.Rate{Initial: 100, Min: 100}
 			p := New(Options{
-				Dialect: platform.Dialect{}, News: news, Shares: shares, Client: &forwarder.Client{Clock: clock},
-				Clock: clock, Log: zerolog.Nop(), Most: 100, Starts: starts,
+				Dialect: platform.Dialect{}, FleetState: fleetState, Shares: shares, Client: &forwarder.Client{Clock: clock},
+				Clock: clock, Log: zerolog.Nop(), MaxRequests: 100, StartRate: starts,
 			})
 			if test.full {
 				for range 200 {
@@ -72,7 +71,7 @@
 				for shares.Admit(now, "flood", 1000, false).Admitted {
 				}
 			}
-			require.False(t, p.Screens())
+			require.False(t, p.ScreeningActive())
 			h, err := http.NewRequest(http.MethodPost, test.path, http.NoBody)
 			require.NoError(t, err)
 			h.Host, h.RequestURI = "h", test.path
@@ -86,14 +85,14 @@
 			}
 			require.Equal(t, test.status, refusal.Status)
 			require.Positive(t, refusal.Retry)
-			require.True(t, p.Screens(), "more of them come")
-			require.Equal(t, 1, len(p.ledger.entries))
-			require.Positive(t, p.ledger.entries["flood"].refused[test.by])
+			require.True(t, p.ScreeningActive(), "more requests of the flood are expected")
+			require.Equal(t, 1, len(p.workspaces.entries))
+			require.Positive(t, p.workspaces.entries["flood"].refused[test.by])
 			if test.path == "/draft/x" {
-				require.Greater(t, shares.Uses(now)["flood"].Demand, asked.Demand, "the fleet hears of it")
+				require.Greater(t, shares.Uses(now)["flood"].Demand, asked.Demand, "refused requests count as demand")
 			}
-			clock.Advance(screenFor + 1)
-			require.False(t, p.Screens(), "nobody was refused of late")
+			clock.Advance(screeningPeriod + 1)
+			require.False(t, p.ScreeningActive(), "no request was refused within the period")
 		})
 	}
 }
--- a/router/internal/passer/start_test.go
+++ b/router/internal/passer/start_test.go
@@ -12,16 +12,16 @@
 	"shallotkeel.example/lib/resolver"
 )
 
-// Symptom: after a loss of power every client is told to come back a second later, and
-// is late. Sequence: its router has started 0.1 s ago and has no configuration yet.
-// Cause: it refused at once what it could have served a moment later.
+// Guards against clients that are told after a power loss to retry later, and are late then. Their
+// router started 0.1 s ago and has no configuration yet: it must not refuse at once what it can
+// serve a moment later.
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
-	b := newBed(t)
-	b.endpoint(answering("served"))
-	first := b.news.table.Swap(nil)
+	f := newFixture(t)
+	f.endpoint(answerWith("served"))
+	first := f.fleetState.table.Swap(nil)
 	status := make(chan int, 1)
 	go func() {
-		response, err := b.try(t.Context(), "POST", "/book/", "")
+		response, err := f.send(t.Context(), "POST", "/book/", "")
 		if err != nil {
 			status <- 0
 			return
@@ -29,40 +29,40 @@
 		response.Body.Close()
 		status <- response.StatusCode
 	}()
-	require.Eventually(t, func() bool { return b.passer.Running() == 1 }, patience, tick)
-	b.news.table.Store(first)
-	close(b.news.begun)
+	require.Eventually(t, func() bool { return f.passer.Running() == 1 }, waitTimeout, pollInterval)
+	f.fleetState.table.Store(first)
+	close(f.fleetState.begun)
 	require.Equal(t, http.StatusOK, <-status)
 }
 
-// Symptom: a fifth of the tokens of a workspace that asks for little is late. Sequence:
-// engines read the prompts of a flood before its own. Cause: whatever engines bore was
-// admitted, whether anybody was owed it or not.
-func TestSpareRequestsKeepNobodyWaiting(t *testing.T) {
+// Guards against a fifth of the tokens of a workspace with little demand being late: engines prefill the
+// prompts of a flood before its own. Requests beyond their workspace's share must be refused if they
+// would delay others, even if engines could take them.
+func TestRequestsBeyondShareDoNotDelayOthers(t *testing.T) {
 	const target = 400 * time.Millisecond
 	tests := map[string]struct {
-		spare  bool
-		unread int // at the only engine
-		prompt int
-		want   bool
+		beyondShare bool
+		unread      int // tokens queued at the only engine
+		prompt      int
+		want        bool
 	}{
-		"owed, at a busy engine":     {false, 100_000, 1000, false},
-		"spare, at an idle engine":   {true, 0, 1000, false},
-		"spare, others come first":   {true, 10_000, 1000, true},
-		"spare, would be late":       {true, 0, 40_000, true},
-		"spare, a short queue":       {true, 3000, 1000, false},
-		"owed, and known to be late": {false, 0, 1_000_000, false},
+		"within the share, busy engine":      {false, 100_000, 1000, false},
+		"beyond the share, idle engine":      {true, 0, 1000, false},
+		"beyond the share, long queue":       {true, 10_000, 1000, true},
+		"beyond the share, would be late":    {true, 0, 40_000, true},
+		"beyond the share, short queue":      {true, 3000, 1000, false},
+		"within the share, known to be late": {false, 0, 1_000_000, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			id := b.endpoint(answering("served"))
+			f := newFixture(t)
+			id := f.endpoint(answerWith("served"))
 			now := time.Now()
-			b.balance.SetOtherLoads(now, map[uint64]int{balancer.Key(lister.Listing{ID: id}): test.unread})
-			q := &request{received: now, service: "desk", route: &resolver.Route{Target: target}, spare: test.spare}
+			f.balancer.SetOtherLoads(now, map[uint64]int{balancer.Key(lister.Listing{ID: id}): test.unread})
+			q := &request{received: now, service: "desk", route: &resolver.Route{Target: target}, beyondShare: test.beyondShare}
 			q.in.Work = balancer.Work{Model: "m", Prompt: test.prompt, Parts: []balancer.Part{{ID: 1, Tokens: test.prompt}}, Target: target}
-			require.Equal(t, test.want, b.passer.keepsOthersWaiting(q))
-			require.Empty(t, b.balance.UnreadTokens(), "nothing is noted of what is only asked")
+			require.Equal(t, test.want, f.passer.wouldDelayOthers(q))
+			require.Empty(t, f.balancer.UnreadTokens(), "an estimate changes no state")
 		})
 	}
 }
--- a/router/internal/passer/stream.go
+++ b/router/internal/passer/stream.go
@@ -15,36 +15,36 @@
 	"shallotkeel.example/lib/framer"
 )
 
-// maxEvent bounds an event that is held back until it is whole.
-const maxEvent = 256 << 10
+// maxEventBytes limits an event, which is held back until it is complete.
+const maxEventBytes = 256 << 10
 
-// events splits a stream, so that a resumed one goes on between two events. Its
-// zero value is a stream of which nothing has come.
-type events struct {
-	last  string // id of the last event that was passed on
-	held  []byte // the begin of an event whose end has not come
-	noted bool   // the version of the software that began it has been noted
+// eventSplitter splits a stream into events, so that the stream can be resumed between two events.
+// The zero value is a stream of which nothing has arrived.
+type eventSplitter struct {
+	lastID       string // id of the last event that was relayed
+	partial      []byte // the start of an event whose end has not arrived
+	versionNoted bool   // the software version at which the stream began has been recorded
 }
 
-// take returns the whole events that stand so far. What it returns is valid
+// split adds a piece of the stream and returns the events that are complete. The result is valid
 // until the next call.
-func (e *events) take(piece []byte) ([]byte, error) {
-	e.held = append(e.held, piece...)
-	end := lastEnd(e.held)
-	if end == 0 && len(e.held) > maxEvent {
+func (e *eventSplitter) split(piece []byte) ([]byte, error) {
+	e.partial = append(e.partial, piece...)
+	end := lastEnd(e.partial)
+	if end == 0 && len(e.partial) > maxEventBytes {
 		return nil, merry.New("an event of the stream is too long")
 	}
-	whole := e.held[:end:end]
-	e.held = append([]byte(nil), e.held[end:]...)
-	for _, line := range bytes.Split(whole, []byte("\n")) {
+	complete := e.partial[:end:end]
+	e.partial = append([]byte(nil), e.partial[end:]...)
+	for _, line := range bytes.Split(complete, []byte("\n")) {
 		if id, found := bytes.CutPrefix(line, []byte("id:")); found {
-			e.last = string(bytes.TrimSpace(id))
+			e.lastID = string(bytes.TrimSpace(id))
 		}
 	}
-	return whole, nil
+	return complete, nil
 }
 
-// lastEnd returns where the last whole event ends: behind an empty line.
+// lastEnd returns the offset at which the last complete event ends: after an empty line.
 func lastEnd(text []byte) int {
 	end := 0
 	if at := bytes.LastIndex(text, []byte("\n\n")); at >= 0 {
@@ -56,80 +56,81 @@
 	return end
 }
 
-// errInside means that a stream ended where none ends: its endpoint broke it off, however
-// cleanly its connection or its framing says so.
-var errInside = merry.Sentinel("the stream ended inside an event")
+// errPartialEvent means that a stream ended inside an event: its endpoint truncated it, even if
+// its connection or its framing ended cleanly.
+var errPartialEvent = merry.Sentinel("the stream ended inside an event")
 
-// hasEvents tells whether an answer is a stream of events, as it is unless it says otherwise.
-func hasEvents(header http.Header) bool {
+// isEventStream reports whether an answer is an event stream. An answer without a content type is one.
+func isEventStream(header http.Header) bool {
 	kind := header.Get("Content-Type")
 	media, _, err := mime.ParseMediaType(kind)
 	return kind == "" || err == nil && media == "text/event-stream"
 }
 
-// relayStream passes a stream on as it comes, by whole events.
-func (p *Passer) relayStream(ctx context.Context, q *request, slot *balancer.Slot, x *forwarder.Exchange, watch *watch) *ending {
-	buffer := make([]byte, readSize)
+// relayStream relays a stream as it arrives, in complete events.
+func (p *Passer) relayStream(ctx context.Context, q *request, slot *balancer.Slot, x *forwarder.Exchange, watch *watch) *attemptFailure {
+	buffer := make([]byte, streamBufferBytes)
 	flusher := http.NewResponseController(q.writer)
-	q.stream.held = nil
-	split := hasEvents(x.Header)
+	q.stream.partial = nil
+	inEvents := isEventStream(x.Header)
 	for {
 		n, readErr := x.Body.Read(buffer)
 		if n > 0 {
 			watch.touch()
-			p.heard(q, slot)
+			p.noteAnswerStarted(q, slot)
 			piece := buffer[:n]
-			if split {
+			if inEvents {
 				var err error
-				if piece, err = q.stream.take(piece); err != nil {
-					return &ending{outcome: balancer.ConnectionBroken, reason: err.Error()}
+				if piece, err = q.stream.split(piece); err != nil {
+					return &attemptFailure{outcome: balancer.ConnectionBroken, reason: err.Error()}
 				}
 			}
-			if split && len(piece) > 0 {
+			if inEvents && len(piece) > 0 {
 				p.noteVersion(q, slot)
 			}
 			if err := p.relayPiece(q, flusher, x, piece); err != nil {
-				q.sends = q.route.Attempts // what it would go on behind may not have arrived
-				return &ending{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
+				q.sends = q.route.Attempts // the events before the resume point may not have reached the client
+				return &attemptFailure{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
 			}
 		}
 		if readErr == nil {
-			p.gather(q)
+			p.coalesce(q)
 			continue
 		}
-		if errors.Is(readErr, io.EOF) && len(q.stream.held) == 0 {
+		if errors.Is(readErr, io.EOF) && len(q.stream.partial) == 0 {
 			return p.endStream(q, flusher, x)
 		}
 		if errors.Is(readErr, io.EOF) {
-			readErr = errInside
+			readErr = errPartialEvent
 		}
-		if !split && q.begun {
-			q.sends = q.route.Attempts // it cannot go on elsewhere
+		if !inEvents && q.answerStarted {
+			q.sends = q.route.Attempts // the rest cannot come from another endpoint
 		}
 		return p.failed(ctx, q, merry.Errorf("%w: %w", forwarder.ErrBroken, readErr))
 	}
 }
 
-// gather waits while there is much to do, so that the next read brings several
-// events. Passed on one by one, each costs two system calls and two wake-ups.
-func (p *Passer) gather(q *request) {
-	if p.options.Gather == 0 || !q.begun || 2*p.Running() < p.options.Most {
+// coalesce waits under high load, so that the next read returns several events. Each event that is
+// relayed alone costs two system calls and two wake-ups.
+func (p *Passer) coalesce(q *request) {
+	if p.options.CoalesceDelay == 0 || !q.answerStarted || 2*p.Running() < p.options.MaxRequests {
 		return
 	}
 	select {
 	case <-q.http.Context().Done():
-	case <-p.options.Clock.After(p.options.Gather):
+	case <-p.options.Clock.After(p.options.CoalesceDelay):
 	}
 }
 
-// readSize is a stream's buffer; an event has some 100 bytes.
-const readSize = 4 << 10
+// streamBufferBytes is the size of a stream's read buffer; an event has about 100 bytes.
+const streamBufferBytes = 4 << 10
 
+// relayPiece writes a piece of the stream to the client and flushes it.
 func (p *Passer) relayPiece(q *request, flusher *http.ResponseController, x *forwarder.Exchange, piece []byte) error {
 	if len(piece) == 0 {
 		return nil
 	}
-	if err := p.begin(q, x, unknownLength); err != nil {
+	if err := p.sendHead(q, x, unknownLength); err != nil {
 		return err
 	}
 	if _, err := q.writer.Write(piece); err != nil {
@@ -138,18 +139,19 @@
 	return flusher.Flush()
 }
 
-// endStream ends the stream as its endpoint did. A stream that began with framing and whose last
-// endpoint gave none is cut: its end would say that it is whole, and nobody knows.
-func (p *Passer) endStream(q *request, flusher *http.ResponseController, x *forwarder.Exchange) *ending {
-	if q.begun && q.end == nil && q.framing == framer.ByConnection {
-		return &ending{outcome: balancer.Served, reason: "the stream went on at an endpoint whose end tells nothing"}
+// endStream ends the client's stream in the way its endpoint ended it. A stream that began with
+// framing is truncated if its last endpoint used none: a framed end would claim that the stream is
+// complete, which is unknown.
+func (p *Passer) endStream(q *request, flusher *http.ResponseController, x *forwarder.Exchange) *attemptFailure {
+	if q.answerStarted && q.end == nil && q.framing == framer.ByConnection {
+		return &attemptFailure{outcome: balancer.Served, reason: "the stream was resumed at an endpoint whose answer has no framing, so its end does not show whether it is complete"}
 	}
-	err := p.begin(q, x, unknownLength)
+	err := p.sendHead(q, x, unknownLength)
 	if err == nil {
 		err = q.end.Whole(flusher)
 	}
 	if err != nil {
-		return &ending{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
+		return &attemptFailure{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
 	}
 	return nil
 }
--- a/router/internal/passer/unsent_test.go
+++ b/router/internal/passer/unsent_test.go
@@ -13,29 +13,29 @@
 	"shallotkeel.example/lib/forwarder"
 )
 
-// Symptom: a router under a flood leaves out endpoints and whole zones that are well.
-// Sequence: its dials are not done in time, because it is late itself, or its clients leave
-// while it dials. Cause: whatever was not sent was taken for the endpoint's fault.
-func TestUnsentRequestTellsOfTheEndpointWhatIsItsFault(t *testing.T) {
+// Guards against a flooded router that leaves out healthy endpoints and zones: its dials time out because
+// it is starved of processor time itself, or its clients disconnect during the dial. Neither
+// may count as a fault of the endpoint.
+func TestUnsentRequestBlamesTheEndpointOnlyForItsFaults(t *testing.T) {
 	unsent := func(err error) error { return merry.Errorf("%w: %w", forwarder.ErrUnsent, err) }
 	timeout := unsent(&net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded})
 	refused := unsent(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)})
 	tests := map[string]struct {
-		err  error
-		lags bool
-		want balancer.Outcome
+		err     error
+		starved bool
+		want    balancer.Outcome
 	}{
-		"refused":                     {refused, false, balancer.ConnectFailed},
-		"refused, at a late router":   {refused, true, balancer.ConnectFailed},
-		"not in time":                 {timeout, false, balancer.ConnectFailed},
-		"not in time, a late router":  {timeout, true, balancer.ConnectLate},
-		"its client left":             {unsent(forwarder.ErrWithdrawn), false, balancer.Cancelled},
-		"its client left, late there": {unsent(forwarder.ErrWithdrawn), true, balancer.Cancelled},
+		"refused":                             {refused, false, balancer.ConnectFailed},
+		"refused, starved router":             {refused, true, balancer.ConnectFailed},
+		"timed out":                           {timeout, false, balancer.ConnectFailed},
+		"timed out, starved router":           {timeout, true, balancer.ConnectLate},
+		"client disconnected":                 {unsent(forwarder.ErrWithdrawn), false, balancer.Cancelled},
+		"client disconnected, starved router": {unsent(forwarder.ErrWithdrawn), true, balancer.Cancelled},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := &Passer{options: Options{Lags: func() bool { return test.lags }}}
-			require.Equal(t, test.want, p.unsent(test.err))
+			p := &Passer{options: Options{CPUStarved: func() bool { return test.starved }}}
+			require.Equal(t, test.want, p.unsentOutcome(test.err))
 		})
 	}
 }
--- a/router/internal/passer/watch.go
+++ b/router/internal/passer/watch.go
@@ -11,36 +11,36 @@
 	"shallotkeel.example/lib/resolver"
 )
 
-// stall is how long an endpoint may send nothing before a request that may be
-// resumed goes on elsewhere. Clients leave a stream after two seconds.
-const stall = 1200 * time.Millisecond
+// stallTimeout is how long an endpoint may send nothing before a request that can be
+// resumed is moved to another endpoint. Clients abandon a stream after two seconds.
+const stallTimeout = 1200 * time.Millisecond
 
-// watch ends an attempt whose endpoint has gone dark.
+// watch cancels an attempt whose endpoint no longer sends anything.
 type watch struct {
 	timer clockwork.Timer
 	done  atomic.Bool
 }
 
-// watch starts a watch over a stream that may go on elsewhere. Others wait for
-// as long as their time lasts: ending them would lose them.
+// watch starts a watch over a stream that can be resumed elsewhere. Other requests wait
+// until their deadline: cancelling them would lose them.
 //
-// An endpoint that is only slow is left alone. Ending its streams would make it
-// read the same prompts elsewhere while all endpoints are busy, and a stream that
-// cannot go on, because repeats are used up, would be lost.
+// An endpoint that is only slow is not abandoned. Cancelling its streams would cause the
+// same prompts to be prefilled elsewhere while all endpoints are busy, and a stream that cannot
+// be resumed, because its attempts or the retry budget are used up, would be lost.
 func (p *Passer) watch(q *request, slot *balancer.Slot, cancel context.CancelCauseFunc) *watch {
 	w := &watch{}
 	if q.route.Kind != resolver.Stream || !q.route.Resumable || q.sends+1 >= q.route.Attempts {
 		return w
 	}
-	w.timer = p.options.Clock.AfterFunc(stall, func() {
+	w.timer = p.options.Clock.AfterFunc(stallTimeout, func() {
 		now := p.options.Clock.Now()
 		switch {
 		case w.done.Load():
-		case slot.EndpointSilent(now, stall) && p.options.Budget.Spend(now, q.service):
-			q.prepaid.Store(true)
+		case slot.EndpointSilent(now, stallTimeout) && p.options.Budget.Spend(now, q.service):
+			q.retryPaid.Store(true)
 			cancel(errStalled)
 		default:
-			w.timer.Reset(stall / 2)
+			w.timer.Reset(stallTimeout / 2)
 		}
 	})
 	return w
@@ -48,7 +48,7 @@
 
 func (w *watch) touch() {
 	if w.timer != nil {
-		w.timer.Reset(stall)
+		w.timer.Reset(stallTimeout)
 	}
 }
 
