--- a/keeper/internal/server/archiving.go
+++ b/keeper/internal/server/archiving.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		if err := archiver.Write(s.files, s.clock.Now(), listings); err != nil {
-			if s.unwritten.Admit(s.clock.Now(), s.log) {
+			if s.archiveDamper.Admit(s.clock.Now(), s.log) {
 				s.log.Warn().Err(err).Msg("the copy of the endpoints was not written; it is tried again")
 			}
 			continue
--- a/keeper/internal/server/archiving_test.go
+++ b/keeper/internal/server/archiving_test.go
@@ -19,13 +19,13 @@
 // as their heartbeats arrive, over more than a second. Cause: the list was in memory only.
 func TestRestartedKeeperKnowsTheEndpoints(t *testing.T) {
 	address := freeAddress()
-	p := newSeeded(t, "keeper-1", address, []netip.AddrPort{address})
+	p := newSeededKeeper(t, "keeper-1", address, []netip.AddrPort{address})
 	p.start(t)
 	p.served.Beat(endpointAt("a", 4, lister.Ready))
 	require.Eventually(t, func() bool {
 		_, err := os.Stat(filepath.Join(p.settings.Data, "endpoints"))
 		return err == nil
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	p.stop(t)
 	p.start(t)
 	var news *messenger.FollowResponse
@@ -33,7 +33,7 @@
 		var err error
 		news, err = p.planning.Follow(t.Context(), &messenger.FollowRequest{Node: "router"})
 		return err == nil
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	require.Len(t, news.GetListings(), 1)
 	require.Equal(t, "a", news.GetListings()[0].GetId())
 }
--- a/keeper/internal/server/bench_test.go
+++ b/keeper/internal/server/bench_test.go
@@ -12,9 +12,9 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// BenchmarkClaims measures claims through three keepers on loopback, each with
-// its files in a temporary folder, from so many callers at once. A lone caller
-// pays one sync a claim; many share them.
+// BenchmarkClaims measures claims through three keepers on loopback, each with its files in a
+// temporary folder, with different numbers of concurrent callers. A single caller needs one disk
+// sync per claim; concurrent callers share syncs.
 func BenchmarkClaims(b *testing.B) {
 	for _, callers := range []int{1, 8, 64, 512} {
 		b.Run(fmt.Sprint("callers=", callers), func(b *testing.B) { benchmarkClaims(b, callers) })
@@ -60,8 +60,8 @@
 	b.ReportMetric(float64(all[len(all)*99/100].Microseconds())/1000, "p99-ms")
 }
 
-// BenchmarkChanges measures changes, which are validated and replicated one
-// after another, on a configuration of the size of two years from now.
+// BenchmarkChanges measures sequential changes, each of them validated and replicated, on a
+// large configuration of 320 workspaces and 27 services, the size expected in two years.
 func BenchmarkChanges(b *testing.B) {
 	g := startGroup(b, 3)
 	g.ready()
--- a/keeper/internal/server/counting.go
+++ b/keeper/internal/server/counting.go
@@ -8,39 +8,41 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Kinds of calls, as the metrics count them.
+// Kinds of calls, the values of the label "kind" in the metrics.
 const (
-	kindReport    = "report"    // a router's poll that carries its report, answered with the sums
-	kindBrief     = "brief"     // a router's poll that carries none
+	kindReport    = "report"    // a router's poll with its report, answered with the sums over all routers
+	kindBrief     = "brief"     // a router's poll without a report
 	kindExchange  = "exchange"  // another keeper's poll
 	kindAgreement = "agreement" // messages of the replicated log
-	kindPlatform  = "platform"  // endpoints and operators
+	kindPlatform  = "platform"  // calls of endpoints and operators
 	kindOther     = "other"
 )
 
 var kinds = []string{kindReport, kindBrief, kindExchange, kindAgreement, kindPlatform, kindOther}
 
-// traffic counts calls and their bytes by kind.
+// traffic counts calls and the bytes of their bodies by kind.
 type traffic struct {
 	calls, read, written *prometheus.CounterVec
 }
 
+// callKey is the context key of a *call.
 type callKey struct{}
 
-// call is one call while it is counted.
+// call holds the counts of a call in progress.
 type call struct {
 	kind          string
 	read, written int
 }
 
-// setKind sets the kind of the call that a context belongs to, where only the message tells.
+// setKind sets the kind of the call that a context belongs to. Handlers use it if the kind
+// depends on the request message.
 func setKind(ctx context.Context, kind string) {
 	if c, counted := ctx.Value(callKey{}).(*call); counted {
 		c.kind = kind
 	}
 }
 
-// count counts the calls that a handler answers.
+// count wraps a handler to count its calls under a kind, unless the handler sets another kind.
 func (t *traffic) count(kind string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := &call{kind: kind}
@@ -53,6 +55,7 @@
 	})
 }
 
+// countedBody counts the bytes read from a request body.
 type countedBody struct {
 	io.ReadCloser
 	call *call
@@ -64,6 +67,7 @@
 	return n, err
 }
 
+// countedWriter counts the bytes written to a response body.
 type countedWriter struct {
 	http.ResponseWriter
 	call *call
@@ -75,8 +79,8 @@
 	return n, err
 }
 
-// kindOf returns the kind of a poll.
-func kindOf(keeper, brief bool) string {
+// pollKind returns the kind of a poll by its caller and by whether it is brief.
+func pollKind(keeper, brief bool) string {
 	switch {
 	case keeper:
 		return kindExchange
--- a/keeper/internal/server/directory.go
+++ b/keeper/internal/server/directory.go
@@ -38,7 +38,7 @@
 	followers map[string]*follower
 	direct    sums // of the routers that report here
 	whole     sums // these, and what the other keepers add up
-	taker     taker
+	taker     routerSummaryCache
 	lessor    rationer.Lessor // of this keeper's parts of cold endpoints
 	parts     []part
 	divided   time.Time // when the parts were worked out
@@ -46,7 +46,7 @@
 	convicted uint64            // rises with every quarantined fingerprint
 	zones     map[string]string // of the other keepers, by their control addresses
 	sources   sources
-	fleet     fleet
+	fleet     fleetSize
 	subset    subset
 	streams   streams
 }
@@ -117,7 +117,7 @@
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	for name, f := range d.followers {
-		if now.Sub(f.at) > reportMemory {
+		if now.Sub(f.at) > reportTTL {
 			d.account(f, -1)
 			f.report.Loads, f.report.Uses = nil, nil
 		}
@@ -130,7 +130,7 @@
 			delete(d.crashes, digest)
 		}
 	}
-	d.taker = taker{}
+	d.taker = routerSummaryCache{}
 	d.lessor.DropExpired(now)
 	widened := d.subset.count(d.list.Services())
 	for _, service := range widened {
@@ -205,7 +205,7 @@
 // place notes the zone of another keeper. It is remembered when that one follows no more: the
 // group is told anew to all routers when anything of it changes.
 func (d *directory) place(address, zone string) {
-	if d.zones == nil || len(d.zones) >= maxKeepers {
+	if d.zones == nil || len(d.zones) >= maxPeerClients {
 		d.zones = make(map[string]string)
 	}
 	d.zones[address] = zone
@@ -306,14 +306,14 @@
 		response.Listings = append(response.Listings, lister.ToWire(listing, now))
 	}
 	if !request.GetKeeper() {
-		census := d.taker.take(now, d.followers)
+		census := d.taker.get(now, d.followers)
 		response.Routers, response.Expected, response.Reporting = census.routers, census.routers, census.reporting
 		if request.GetPartial() {
-			response.Routers, response.Expected = d.fleet.sizes(now, census.fleet())
+			response.Routers, response.Expected = d.fleet.observe(now, census.total())
 		}
 		if !request.GetBrief() {
-			response.Uses = d.whole.uses.told()
-			response.Loads = d.whole.loads.others(request.GetLoads())
+			response.Uses = d.whole.uses.toWire()
+			response.Loads = d.whole.loads.excluding(request.GetLoads())
 			response.BacklogMs = census.backlog
 			response.Homes = d.subset.homes()
 		}
@@ -353,9 +353,9 @@
 func (d *directory) summary(now time.Time, report *messenger.FollowRequest) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	census := d.taker.take(now, d.followers)
+	census := d.taker.get(now, d.followers)
 	report.Reporting, report.BacklogMs = census.direct, census.directBacklog
-	report.Uses, report.Loads = d.direct.uses.told(), d.direct.loads.others(nil)
+	report.Uses, report.Loads = d.direct.uses.toWire(), d.direct.loads.excluding(nil)
 	for digest, c := range d.crashes {
 		for node := range c.direct {
 			report.Crashes = append(report.Crashes, &messenger.Crash{Digest: digest, Count: c.by[node], Node: node})
@@ -374,7 +374,7 @@
 func (d *directory) routers(now time.Time) int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return int(d.taker.take(now, d.followers).fleet())
+	return int(d.taker.get(now, d.followers).total())
 }
 
 // recent returns the direct heartbeats since a time, of the last intervals at most.
--- a/keeper/internal/server/directory_test.go
+++ b/keeper/internal/server/directory_test.go
@@ -78,9 +78,9 @@
 	require.Equal(t, map[uint64]uint32{7: 2500}, told(own))
 	require.Equal(t, map[uint64]uint32{7: 500, 9: 100}, told(report("b", 7, 3000)))
 	require.Empty(t, told(&messenger.FollowRequest{Node: "keeper", Keeper: true}))
-	d.pass(began.Add(reportMemory + 1))
+	d.pass(began.Add(reportTTL + 1))
 	require.Empty(t, d.whole.loads, "what is old is believed no more")
-	d.follow(began.Add(reportMemory+2), &messenger.FollowRequest{Node: "a"})
+	d.follow(began.Add(reportTTL+2), &messenger.FollowRequest{Node: "a"})
 	require.Empty(t, d.whole.loads, "and is taken off once")
 }
 
@@ -134,7 +134,7 @@
 	uses := d.news(now, &messenger.FollowRequest{Node: "reached"}, 1).GetUses()
 	require.Len(t, uses, 1)
 	require.Equal(t, uint64(1_000_000), uses[0].GetAsked())
-	require.Equal(t, uint32(2), count(now, d.followers).routers, "it still counts as a router")
+	require.Equal(t, uint32(2), summarizeRouters(now, d.followers).routers, "it still counts as a router")
 }
 
 // Symptom: a workspace whose clients all reach one router gets half of what another one
@@ -162,8 +162,8 @@
 				return d.news(now, &messenger.FollowRequest{Node: "a"}, epoch).GetBacklogMs()
 			}
 			require.Equal(t, test.want, told(began))
-			require.Equal(t, test.want, told(began.Add(censusAge-1)))
-			require.Zero(t, told(began.Add(reportMemory+1)), "silent routers count no more")
+			require.Equal(t, test.want, told(began.Add(routerSummaryTTL-1)))
+			require.Zero(t, told(began.Add(reportTTL+1)), "silent routers count no more")
 		})
 	}
 }
--- a/keeper/internal/server/evacuating.go
+++ b/keeper/internal/server/evacuating.go
@@ -18,7 +18,7 @@
 // SetEvacuated takes an order for a zone. What it was given after is what this keeper knew
 // when it arrived, however long it is on its way from here.
 func (p planning) SetEvacuated(ctx context.Context, zone string, evacuated bool) error {
-	base := p.view.Load().zones.Changed(zone)
+	base := p.view.Load().evacuations.Changed(zone)
 	if !p.knowsZone(zone) {
 		return twirp.NotFoundError("there is no zone " + zone + "; name one of the platform's")
 	}
@@ -45,7 +45,7 @@
 			result, err := keeping(p).propose(ctx, &messenger.Command{Evacuation: order})
 			return &messenger.EvacuateResponse{Overtaken: result.Overtaken}, err
 		},
-		func(ctx context.Context, leader colleague) (*messenger.EvacuateResponse, error) {
+		func(ctx context.Context, leader peerClient) (*messenger.EvacuateResponse, error) {
 			return leader.Evacuate(ctx, order)
 		})
 }
--- a/keeper/internal/server/evacuating_test.go
+++ b/keeper/internal/server/evacuating_test.go
@@ -14,27 +14,27 @@
 )
 
 // order sends an order for a zone until it is acknowledged, as operators do.
-func order(t *testing.T, p *seeded, zone string, evacuated bool) {
+func order(t *testing.T, p *seededKeeper, zone string, evacuated bool) {
 	t.Helper()
-	require.Eventually(t, func() bool { return p.served.SetEvacuated(t.Context(), zone, evacuated) == nil }, patience, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return p.served.SetEvacuated(t.Context(), zone, evacuated) == nil }, waitTimeout, 20*time.Millisecond)
 }
 
 // news asks a keeper until it tells of a revision of the evacuated zones.
-func news(t *testing.T, p *seeded, revision uint64) *messenger.FollowResponse {
+func news(t *testing.T, p *seededKeeper, revision uint64) *messenger.FollowResponse {
 	t.Helper()
 	var told *messenger.FollowResponse
 	require.Eventually(t, func() bool {
 		var err error
 		told, err = p.planning.Follow(t.Context(), &messenger.FollowRequest{Node: "router-1", Evacuations: revision - 1, WaitMs: 50})
 		return err == nil && told.GetEvacuations() == revision
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	return told
 }
 
 // Guards against an acknowledged order for a zone that is not told to those who follow another
 // keeper, is undone by a late one, or is gone after all keepers have started again.
 func TestOrdersForZonesLast(t *testing.T) {
-	group := seededGroup(t, 3)
+	group := startSeededGroup(t, 3)
 	for _, p := range group {
 		p.settings.Platform.Zones = map[string]string{"hall": "here", "barn": "here"}
 	}
@@ -70,7 +70,7 @@
 // Guards against an order that is taken for a zone that nobody has, or that is acknowledged
 // without a quorum.
 func TestOrdersThatAreRefused(t *testing.T) {
-	group := seededGroup(t, 3)
+	group := startSeededGroup(t, 3)
 	p := group[0]
 	p.settings.Platform.Zones = map[string]string{"hall": "here"}
 	order(t, p, "hall", true)
@@ -92,10 +92,10 @@
 // Guards against a cold endpoint that more than one of a keeper's routers send to, and against
 // one that none may: the keeper's part goes to one router that reports to it.
 func TestPartOfAColdEndpointGoesToOneRouter(t *testing.T) {
-	group := seededGroup(t, 1)
+	group := startSeededGroup(t, 1)
 	p := group[0]
 	submit(t, p.served, version(1, "desk=17"))
-	require.Eventually(t, func() bool { return p.served.(planning).view.Load().plan.GetVersion() == 1 }, patience, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return p.served.(planning).view.Load().plan.GetVersion() == 1 }, waitTimeout, 20*time.Millisecond)
 	cold := endpointAt("a", 1, lister.Ready)
 	cold.ColdUntil = time.Now().Add(time.Hour)
 	p.served.Beat(cold)
@@ -116,7 +116,7 @@
 			}
 		}
 		return holder != ""
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	for _, router := range []string{"router-1", "router-2", "router-3"} {
 		require.Equal(t, router == holder, len(ask(router, false).GetRations()) == 1, router)
 	}
@@ -126,10 +126,10 @@
 // Guards against all routers sending at once to the endpoints of a zone that is taken back:
 // they may be cold and have not said so.
 func TestEndpointsOfAZoneThatIsTakenBackAreCold(t *testing.T) {
-	group := seededGroup(t, 1)
+	group := startSeededGroup(t, 1)
 	p := group[0]
 	submit(t, p.served, version(1, "desk=17"))
-	require.Eventually(t, func() bool { return p.served.(planning).view.Load().plan.GetVersion() == 1 }, patience, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return p.served.(planning).view.Load().plan.GetVersion() == 1 }, waitTimeout, 20*time.Millisecond)
 	p.served.Beat(endpointAt("a", 1, lister.Ready))
 	require.Zero(t, news(t, p, 0).GetListings()[0].GetColdMs())
 	order(t, p, "zone", true)
--- a/keeper/internal/server/handlers.go
+++ b/keeper/internal/server/handlers.go
@@ -9,20 +9,23 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// maxControlBody bounds a call from another process: a snapshot is the largest.
+// maxControlBody bounds the body of a call from another process, in bytes. Snapshots are the
+// largest.
 const maxControlBody = 256 << 20
 
+// controlHandler returns the handler for calls of routers and other keepers.
 func (s *Server) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	keeper := messenger.NewKeepingServer(keeping{s})
 	mux.Handle(keeper.PathPrefix(), s.metrics.traffic.count(kindOther, markForwarded(keeper)))
 	planning := messenger.NewPlanningServer(planning{s})
-	mux.Handle(planning.PathPrefix(), s.metrics.traffic.count(kindOther, withTurns(markForwarded(planning))))
+	mux.Handle(planning.PathPrefix(), s.metrics.traffic.count(kindOther, withPollSlots(markForwarded(planning))))
 	agreement := messenger.NewReplicationServer(replication{s})
 	mux.Handle(agreement.PathPrefix(), s.metrics.traffic.count(kindAgreement, agreement))
 	return http.MaxBytesHandler(mux, maxControlBody)
 }
 
+// publicHandler returns the handler for health checks and metrics.
 func (s *Server) publicHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", s.healthz)
@@ -31,7 +34,7 @@
 	return mux
 }
 
-// healthz tells that the control loop is alive.
+// healthz reports whether the control loop is running.
 func (s *Server) healthz(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-s.stopped:
@@ -41,7 +44,8 @@
 	}
 }
 
-// readyz tells that this keeper reaches a quorum and is not being stopped.
+// readyz reports whether this keeper has contact with a quorum, free space on its disk, and is
+// not shutting down.
 func (s *Server) readyz(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-s.stopping:
@@ -51,7 +55,7 @@
 	}
 	now := s.view.Load()
 	switch {
-	case now.full:
+	case now.diskFull:
 		http.Error(w, "the disk is full; free space on it", http.StatusServiceUnavailable)
 	case !now.status.Quorum:
 		http.Error(w, "no contact with a quorum of keepers; check the network and the other keepers", http.StatusServiceUnavailable)
--- a/keeper/internal/server/keeping.go
+++ b/keeper/internal/server/keeping.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// maxWait bounds a long poll.
-	maxWait = time.Minute
-	// maxBatch bounds the claims or records of one call.
-	maxBatch = 1024
-	// maxHistory bounds one answer of the history.
+	// maxPollWait bounds the duration of a long poll.
+	maxPollWait = time.Minute
+	// maxBatchEntries bounds the number of claims or records in one call.
+	maxBatchEntries = 1024
+	// maxHistory bounds the number of revisions in one answer of the history.
 	maxHistory = 500
-	// statusTimeout is for asking the other keepers which routers they see.
+	// statusTimeout is the timeout for querying the status of the other keepers.
 	statusTimeout = 300 * time.Millisecond
 )
 
@@ -48,12 +48,12 @@
 			})
 			return configurer.ResultToWire(result), err
 		},
-		func(ctx context.Context, leader colleague) (*messenger.ApplyResponse, error) {
+		func(ctx context.Context, leader peerClient) (*messenger.ApplyResponse, error) {
 			return leader.Apply(ctx, request)
 		})
 }
 
-// Claim takes idempotency keys.
+// Claim replicates claims of idempotency keys and returns the result of each.
 func (k keeping) Claim(ctx context.Context, request *messenger.ClaimRequest) (*messenger.ClaimResponse, error) {
 	if err := checkClaims(request.GetClaims()); err != nil {
 		return nil, err
@@ -63,13 +63,14 @@
 			result, err := k.propose(ctx, &messenger.Command{Claim: request})
 			return &messenger.ClaimResponse{Results: result.Claims}, err
 		},
-		func(ctx context.Context, leader colleague) (*messenger.ClaimResponse, error) {
+		func(ctx context.Context, leader peerClient) (*messenger.ClaimResponse, error) {
 			return leader.Claim(ctx, request)
 		})
 }
 
+// checkClaims returns an error for a batch that is too large or contains an invalid claim.
 func checkClaims(claims []*messenger.ClaimEntry) error {
-	if len(claims) > maxBatch {
+	if len(claims) > maxBatchEntries {
 		return twirp.InvalidArgumentError("claims", "are too many for one call; split them")
 	}
 	for _, entry := range claims {
@@ -80,9 +81,10 @@
 	return nil
 }
 
-// Record stores outcomes of claimed requests.
+// Record replicates the outcomes of claimed requests. Bodies above the size limit are omitted
+// from the record.
 func (k keeping) Record(ctx context.Context, request *messenger.RecordRequest) (*messenger.RecordResponse, error) {
-	if len(request.GetEntries()) > maxBatch {
+	if len(request.GetEntries()) > maxBatchEntries {
 		return nil, twirp.InvalidArgumentError("entries", "are too many for one call; split them")
 	}
 	for _, entry := range request.GetEntries() {
@@ -95,12 +97,12 @@
 			_, err := k.propose(ctx, &messenger.Command{Record: request})
 			return &messenger.RecordResponse{}, err
 		},
-		func(ctx context.Context, leader colleague) (*messenger.RecordResponse, error) {
+		func(ctx context.Context, leader peerClient) (*messenger.RecordResponse, error) {
 			return leader.Record(ctx, request)
 		})
 }
 
-// Quarantine publishes fingerprints.
+// Quarantine replicates fingerprints of requests that crash endpoints.
 func (k keeping) Quarantine(ctx context.Context, request *messenger.QuarantineRequest) (*messenger.QuarantineResponse, error) {
 	if len(request.GetFingerprints()) > applier.MaxQuarantined {
 		return nil, twirp.InvalidArgumentError("fingerprints", "are too many for one call; split them")
@@ -110,18 +112,20 @@
 			_, err := k.propose(ctx, &messenger.Command{Quarantine: request})
 			return &messenger.QuarantineResponse{}, err
 		},
-		func(ctx context.Context, leader colleague) (*messenger.QuarantineResponse, error) {
+		func(ctx context.Context, leader peerClient) (*messenger.QuarantineResponse, error) {
 			return leader.Quarantine(ctx, request)
 		})
 }
 
+// propose replicates a command and returns the result of its application.
 func (k keeping) propose(ctx context.Context, command *messenger.Command) (applier.Result, error) {
 	return await(ctx, k.Server, func(now time.Time, d *driver.Driver, done func(applier.Result, error)) {
 		d.Propose(now, command, done)
 	})
 }
 
-// Alter changes the group.
+// Alter adds a member to the group or removes one. A refused membership change is returned
+// in the response and not as an error.
 func (k keeping) Alter(ctx context.Context, request *messenger.AlterRequest) (*messenger.AlterResponse, error) {
 	return lead(ctx, k.Server,
 		func(ctx context.Context) (*messenger.AlterResponse, error) {
@@ -133,11 +137,13 @@
 			}
 			return &messenger.AlterResponse{}, err
 		},
-		func(ctx context.Context, leader colleague) (*messenger.AlterResponse, error) {
+		func(ctx context.Context, leader peerClient) (*messenger.AlterResponse, error) {
 			return leader.Alter(ctx, request)
 		})
 }
 
+// alter starts a membership change in the control loop. Removing a keeper that was removed
+// before succeeds without a change.
 func (s *Server) alter(now time.Time, d *driver.Driver, request *messenger.AlterRequest, done driver.Done) {
 	if add := request.GetAdd(); add != nil {
 		role := replicator.Joining
@@ -155,14 +161,14 @@
 		return
 	}
 	if len(named) == 0 {
-		named = []replicator.Replica{{}} // which is refused as unknown
+		named = []replicator.Replica{{}} // refused as unknown
 	}
 	d.Remove(now, named[0].ID, done)
 }
 
-// History lists accepted changes, or the objects as of a revision.
+// History returns the accepted changes, or the objects as of a revision.
 func (k keeping) History(ctx context.Context, request *messenger.HistoryRequest) (*messenger.HistoryResponse, error) {
-	answer, err := ask(ctx, k.Server, func(_ time.Time, d *driver.Driver) outcome[*messenger.HistoryResponse] {
+	answer, err := callLoop(ctx, k.Server, func(_ time.Time, d *driver.Driver) outcome[*messenger.HistoryResponse] {
 		return historyOf(d.State().Configuration(), request)
 	})
 	if err != nil {
@@ -174,6 +180,7 @@
 	return answer.value, nil
 }
 
+// historyOf reads the history that a request asks for from the configuration.
 func historyOf(machine *configurer.Machine, request *messenger.HistoryRequest) outcome[*messenger.HistoryResponse] {
 	if at := request.GetAt(); at > 0 {
 		snapshot, err := machine.At(at)
@@ -191,6 +198,7 @@
 	}}
 }
 
+// sortedObjects returns the objects of a snapshot in their canonical order.
 func sortedObjects(snapshot describer.Snapshot) []describer.Object {
 	objects := make([]describer.Object, 0, len(snapshot.Objects))
 	for _, object := range snapshot.Objects {
@@ -200,44 +208,48 @@
 	return objects
 }
 
-// Watch is answered from what this keeper has applied, also without a quorum:
-// a router in a cut-off zone then gets the best that there is, and is told that
-// it may be stale.
+// Watch is a long poll for configuration and quarantined fingerprints. It is answered from
+// the state that this keeper has applied, also without a quorum: a router in a partitioned
+// zone then gets the latest available state, marked as possibly stale.
 func (k keeping) Watch(ctx context.Context, request *messenger.WatchRequest) (*messenger.WatchResponse, error) {
 	select {
 	case <-k.stopping:
-		// Answering at once would make the router ask again and again.
+		// An immediate regular answer would make the router poll in a busy loop.
 		return nil, unavailable(ErrStopping)
 	default:
 	}
-	k.routers.hear(k.clock.Now(), request)
-	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, maxWait)
+	k.routers.observe(k.clock.Now(), request)
+	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, maxPollWait)
 	timer := k.clock.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		changed := k.watch.next()
-		if k.hasNews(request) {
-			return k.news(ctx, request)
+		changed := k.configurationChanged.next()
+		if k.hasUpdate(request) {
+			return k.watchResponse(ctx, request)
 		}
 		select {
 		case <-ctx.Done():
 			return nil, twirp.NewError(twirp.Canceled, "the caller went away")
 		case <-k.stopping:
-			return k.news(ctx, request)
+			return k.watchResponse(ctx, request)
 		case <-timer.Chan():
-			return k.news(ctx, request)
+			return k.watchResponse(ctx, request)
 		case <-changed:
 		}
 	}
 }
 
-func (s *Server) hasNews(request *messenger.WatchRequest) bool {
+// hasUpdate reports whether there is a newer configuration or quarantine list than the
+// router has.
+func (s *Server) hasUpdate(request *messenger.WatchRequest) bool {
 	now := s.view.Load()
-	return now.revision > request.GetAfter() || !s.routers.quarantine(request.GetRouter(), now.quarantine)
+	return now.revision > request.GetAfter() || !s.routers.hasQuarantine(request.GetRouter(), now.quarantineRevision)
 }
 
-func (s *Server) news(ctx context.Context, request *messenger.WatchRequest) (*messenger.WatchResponse, error) {
-	response, err := ask(ctx, s, func(now time.Time, d *driver.Driver) *messenger.WatchResponse {
+// watchResponse returns the configuration changes since the revision of a request and the
+// quarantined fingerprints.
+func (s *Server) watchResponse(ctx context.Context, request *messenger.WatchRequest) (*messenger.WatchResponse, error) {
+	response, err := callLoop(ctx, s, func(now time.Time, d *driver.Driver) *messenger.WatchResponse {
 		difference := d.State().Configuration().Since(request.GetAfter())
 		fingerprints, revision := d.State().Quarantined(d.Clock(now))
 		return &messenger.WatchResponse{
@@ -255,10 +267,10 @@
 	return response, nil
 }
 
-// Status tells what this keeper knows and, unless asked for local knowledge
-// only, which routers the other keepers see.
+// Status returns the state of this keeper and, unless the request is for local state only,
+// the routers that poll the other keepers.
 func (k keeping) Status(ctx context.Context, request *messenger.KeeperStatusRequest) (*messenger.KeeperStatusResponse, error) {
-	disk, err := ask(ctx, k.Server, func(_ time.Time, d *driver.Driver) replicator.ID { return d.Identity() })
+	disk, err := callLoop(ctx, k.Server, func(_ time.Time, d *driver.Driver) replicator.ID { return d.Identity() })
 	if err != nil {
 		return nil, unavailable(err)
 	}
@@ -266,8 +278,8 @@
 	response := &messenger.KeeperStatusResponse{
 		Name: k.settings.Name, Zone: k.settings.Zone, Disk: uint64(disk),
 		Leader: nameOf(now.status.Group, now.status.Leader), Term: now.status.Term,
-		Commit: now.status.Commit, Applied: now.applied, Revision: now.revision,
-		Quorum: now.status.Quorum, Full: now.full, Claims: uint64(now.claims),
+		Commit: now.status.Commit, Applied: now.appliedIndex, Revision: now.revision,
+		Quorum: now.status.Quorum, Full: now.diskFull, Claims: uint64(now.claims),
 		DiskBytes: uint64(now.diskBytes), Routers: k.routers.list(k.clock.Now()),
 	}
 	for _, replica := range now.status.Known() {
@@ -279,6 +291,7 @@
 	return response, nil
 }
 
+// keeperToWire converts a replica to its message.
 func keeperToWire(replica replicator.Replica) *messenger.Keeper {
 	role := messenger.Role_ROLE_LEARNER
 	if replica.Role == replicator.Voter {
@@ -289,9 +302,9 @@
 	}
 }
 
-// gatherRouters asks the other keepers which routers poll them. One that does
-// not answer in time is left out: its routers then look as if they lagged,
-// which is the safe side.
+// gatherRouters queries the other keepers for the routers that poll them. It leaves out a
+// keeper that does not answer in time: the routers of that keeper then appear to lag behind,
+// which errs on the safe side.
 func (k keeping) gatherRouters(ctx context.Context, status replicator.Status) []*messenger.RouterSeen {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -303,7 +316,7 @@
 			continue
 		}
 		group.Go(func() {
-			response, err := k.keepers.at(replica.Address).Status(ctx, &messenger.KeeperStatusRequest{Local: true})
+			response, err := k.peers.forAddress(replica.Address).Status(ctx, &messenger.KeeperStatusRequest{Local: true})
 			if err != nil {
 				return
 			}
@@ -316,7 +329,8 @@
 	return seen
 }
 
-// mergeRouters keeps the newest row of each router: it may have changed keepers.
+// mergeRouters keeps only the newest entry of each router, because a router may have changed
+// keepers.
 func mergeRouters(seen []*messenger.RouterSeen) []*messenger.RouterSeen {
 	slices.SortFunc(seen, func(a, b *messenger.RouterSeen) int {
 		return cmp.Or(cmp.Compare(a.GetRouter(), b.GetRouter()), cmp.Compare(a.GetAgeMs(), b.GetAgeMs()))
@@ -327,8 +341,8 @@
 // replication implements messenger.Replication.
 type replication struct{ *Server }
 
-// Deliver takes messages of the agreement. They are answered by messages in
-// the other direction, never here.
+// Deliver passes messages of the replication protocol to the control loop. Replies are sent
+// as separate messages in the other direction, never in the response.
 func (r replication) Deliver(ctx context.Context, request *messenger.DeliverRequest) (*messenger.DeliverResponse, error) {
 	messages, err := replicator.DecodeMessages(request.GetMessage())
 	if err != nil {
@@ -337,7 +351,7 @@
 	for _, message := range messages {
 		r.sender.Learn(message.From, request.GetFrom())
 	}
-	err = r.post(ctx, func(now time.Time, d *driver.Driver) { d.Receive(now, messages) })
+	err = r.enqueue(ctx, func(now time.Time, d *driver.Driver) { d.Receive(now, messages) })
 	if err != nil {
 		return nil, unavailable(err)
 	}
--- a/keeper/internal/server/leading.go
+++ b/keeper/internal/server/leading.go
@@ -54,9 +54,9 @@
 func lead[T any](
 	ctx context.Context, s *Server,
 	here func(context.Context) (T, error),
-	there func(context.Context, colleague) (T, error),
+	there func(context.Context, peerClient) (T, error),
 ) (T, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.bound)
+	ctx, cancel := context.WithTimeout(ctx, s.callTimeout)
 	defer cancel()
 	for {
 		answer, err := attempt(ctx, s, here, there)
@@ -94,12 +94,12 @@
 func attempt[T any](
 	ctx context.Context, s *Server,
 	here func(context.Context) (T, error),
-	there func(context.Context, colleague) (T, error),
+	there func(context.Context, peerClient) (T, error),
 ) (T, error) {
 	var none T
 	ctx, cancel := context.WithTimeout(ctx, attemptElections*s.timing.Election)
 	defer cancel()
-	changed := s.leadership.next()
+	changed := s.leadershipChanged.next()
 	status := s.view.Load().status
 	if status.State == replicator.Leader {
 		return here(ctx)
@@ -126,7 +126,7 @@
 	if err != nil {
 		return none, err
 	}
-	return there(forwarded, s.keepers.at(leader.Address))
+	return there(forwarded, s.peers.forAddress(leader.Address))
 }
 
 // unavailable converts an error of the control loop for callers.
--- a/keeper/internal/server/leading_test.go
+++ b/keeper/internal/server/leading_test.go
@@ -59,7 +59,7 @@
 		Election:  loader.Duration{Duration: time.Minute}, // the timeout of an attempt would be later than that of the call
 	}}, zerolog.Nop(), clockwork.NewRealClock())
 	defer s.sender.Close()
-	s.bound = time.Minute // a busy machine is no reason to give up
+	s.callTimeout = time.Minute // a busy machine is no reason to give up
 	s.view.Store(leaderAt(2, frozen.Addr().String()))
 	answered := make(chan error, 1)
 	go func() {
@@ -72,7 +72,7 @@
 	require.NoError(t, err)
 	require.True(t, sends(conn, headersFrame))
 	s.view.Store(leaderAt(3, next.Listener.Addr().String()))
-	s.leadership.wake()
+	s.leadershipChanged.notify()
 	require.NoError(t, <-answered)
 	require.True(t, sends(conn, resetFrame), "the attempt was not cancelled: it ended as the connection was given up")
 }
--- a/keeper/internal/server/leasing.go
+++ b/keeper/internal/server/leasing.go
@@ -31,7 +31,7 @@
 				Permits: uint32(answer.Permits), HeldBy: answer.HeldBy,
 			}, err
 		},
-		func(ctx context.Context, leader colleague) (*messenger.LeaseResponse, error) {
+		func(ctx context.Context, leader peerClient) (*messenger.LeaseResponse, error) {
 			return leader.Lease(ctx, request)
 		})
 }
--- a/keeper/internal/server/loads.go
+++ b/keeper/internal/server/loads.go
@@ -6,30 +6,30 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// reportMemory is how long a router's report counts without a further one, twice the
-// longest pause between two: what it had has ended or is on its way to its end. Demand
-// that is counted for longer takes the share away from the routers that clients reach
-// meanwhile, when another has become silent.
-const reportMemory = time.Second
+// reportTTL is how long a router's report counts if no newer one arrives. It is twice the
+// longest pause between two reports: after that time the router's requests have ended or are
+// about to end. If the demand of a silent router counted for longer, it would reduce the share
+// of the routers that its clients reach meanwhile.
+const reportTTL = time.Second
 
-// sums is what some routers report, added up. Its zero value is empty.
+// sums holds the sums of the reports of some routers. Its zero value is empty.
 type sums struct {
 	loads loads
 	uses  uses
 }
 
-// add adds a report, or takes it off.
+// add adds a report if sign is 1, and subtracts it if sign is -1.
 func (s *sums) add(report *messenger.FollowRequest, sign int64) {
 	s.loads.add(report.GetLoads(), sign)
 	s.uses.add(report.GetUses(), sign)
 }
 
-// loads is how many unread tokens all routers have at each engine. Each report replaces its
-// router's former one in the sums, so that an answer takes time by the endpoints and
-// not by the routers. Its zero value is empty.
+// loads holds, for each engine, the number of unread input tokens over all routers. Each report
+// replaces the previous report of its router in the sums, so that the cost of an answer depends
+// on the number of endpoints and not on the number of routers. Its zero value is empty.
 type loads map[uint64]int64
 
-// add adds a report, or takes it off.
+// add adds a report if sign is 1, and subtracts it if sign is -1.
 func (l *loads) add(report []*messenger.Load, sign int64) {
 	if *l == nil {
 		*l = make(loads)
@@ -42,54 +42,55 @@
 	}
 }
 
-// others returns what all routers but one have.
-func (l loads) others(own []*messenger.Load) []*messenger.Load {
+// excluding returns the loads without a router's own part, as messages.
+func (l loads) excluding(own []*messenger.Load) []*messenger.Load {
 	ours := make(map[uint64]int64, len(own))
 	for _, at := range own {
 		ours[at.GetEndpoint()] = int64(at.GetUnread())
 	}
-	var told []*messenger.Load
+	var rest []*messenger.Load
 	for endpoint, sum := range l {
 		if unread := sum - ours[endpoint]; unread > 0 {
-			told = append(told, &messenger.Load{Endpoint: endpoint, Unread: uint32(unread)})
+			rest = append(rest, &messenger.Load{Endpoint: endpoint, Unread: uint32(unread)})
 		}
 	}
-	return told
+	return rest
 }
 
-// uses is what the workspaces ask for and get at all routers, in tokens a second, summed
-// as loads are. Its zero value is empty.
+// uses holds, for each workspace, the demand and the throughput over all routers, in tokens per
+// second. It is summed like loads. Its zero value is empty.
 type uses map[string]use
 
+// use is the sum of one workspace, with the fields of messenger.Use.
 type use struct {
 	asked, got, unheard int64
 }
 
-// add adds a report, or takes it off.
+// add adds a report if sign is 1, and subtracts it if sign is -1.
 func (u *uses) add(report []*messenger.Use, sign int64) {
 	if *u == nil {
 		*u = make(uses)
 	}
-	for _, told := range report {
-		sum := (*u)[told.GetWorkspace()]
-		sum.asked += sign * int64(told.GetAsked())
-		sum.got += sign * int64(told.GetGot())
-		sum.unheard += sign * int64(told.GetUnheard())
+	for _, reported := range report {
+		sum := (*u)[reported.GetWorkspace()]
+		sum.asked += sign * int64(reported.GetAsked())
+		sum.got += sign * int64(reported.GetGot())
+		sum.unheard += sign * int64(reported.GetUnheard())
 		if sum == (use{}) {
-			delete(*u, told.GetWorkspace())
+			delete(*u, reported.GetWorkspace())
 			continue
 		}
-		(*u)[told.GetWorkspace()] = sum
+		(*u)[reported.GetWorkspace()] = sum
 	}
 }
 
-// told returns the sums for a message.
-func (u uses) told() []*messenger.Use {
-	told := make([]*messenger.Use, 0, len(u))
+// toWire converts the sums to messages. Negative sums are sent as 0.
+func (u uses) toWire() []*messenger.Use {
+	wire := make([]*messenger.Use, 0, len(u))
 	for workspace, sum := range u {
-		told = append(told, &messenger.Use{
+		wire = append(wire, &messenger.Use{
 			Workspace: workspace, Asked: uint64(max(sum.asked, 0)), Got: uint64(max(sum.got, 0)), Unheard: uint64(max(sum.unheard, 0)),
 		})
 	}
-	return told
+	return wire
 }
--- a/keeper/internal/server/maintaining.go
+++ b/keeper/internal/server/maintaining.go
@@ -42,7 +42,7 @@
 type maintenance struct {
 	blankSince time.Time // since when all keepers have said that they are blank
 	quorumAt   time.Time // when this keeper last had contact with a quorum
-	guests     guests
+	guests     blankKeepers
 }
 
 func (s *Server) look(ctx context.Context, m *maintenance) error {
@@ -96,7 +96,7 @@
 	var group sync.WaitGroup
 	for i, address := range addresses {
 		group.Go(func() {
-			response, err := s.keepers.at(address).Status(ctx, &messenger.KeeperStatusRequest{Local: true})
+			response, err := s.peers.forAddress(address).Status(ctx, &messenger.KeeperStatusRequest{Local: true})
 			if err == nil {
 				found[i] = answer{KeeperStatusResponse: response, address: address}
 			}
@@ -137,7 +137,7 @@
 // foundOrJoin brings a newcomer into a group. Any keeper that has heard of one
 // shows that the group exists, and then a blank disk may have lost what it held.
 func (s *Server) foundOrJoin(ctx context.Context, status replicator.Status, m *maintenance) {
-	answers, guests := s.others(ctx), s.guests(ctx)
+	answers, guests := s.others(ctx), s.queryUnlistedFollowers(ctx)
 	blank := len(status.Group) == 0 && len(answers) == len(s.peerAddresses())
 	for _, answer := range slices.Concat(answers, guests) {
 		if len(answer.GetKeepers()) > 0 {
@@ -147,7 +147,7 @@
 		}
 	}
 	now := s.clock.Now()
-	patient := m.guests.note(now, guests, s.timing.Election)
+	patient := m.guests.observe(now, guests, s.timing.Election)
 	switch {
 	case !blank || !s.founds():
 		m.blankSince = time.Time{}
@@ -172,7 +172,7 @@
 			ID: replicator.ID(other.GetDisk()), Name: other.GetName(), Address: other.address, Role: replicator.Voter,
 		})
 	}
-	failure, err := ask(ctx, s, func(now time.Time, d *driver.Driver) error { return d.Found(now, group) })
+	failure, err := callLoop(ctx, s, func(now time.Time, d *driver.Driver) error { return d.Found(now, group) })
 	if err == nil {
 		err = failure
 	}
@@ -209,7 +209,7 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
-		response, err := s.keepers.at(other.address).Alter(ctx, request)
+		response, err := s.peers.forAddress(other.address).Alter(ctx, request)
 		cancel()
 		if err == nil && response.GetError() == "" {
 			s.log.Info().Str("through", other.GetName()).Msg("asked to join the group")
--- a/keeper/internal/server/naming.go
+++ b/keeper/internal/server/naming.go
@@ -49,5 +49,5 @@
 	if s.platform.Services == nil {
 		return nil
 	}
-	return s.naming.services(s.view.Load().plan, s.platform, s.log)
+	return s.serviceCache.services(s.view.Load().plan, s.platform, s.log)
 }
--- a/keeper/internal/server/naming_test.go
+++ b/keeper/internal/server/naming_test.go
@@ -14,7 +14,7 @@
 // another process announces an instance of a service that nobody named, at the
 // endpoint's address. Cause: it was believed to have that address now.
 func TestOnlyNamedServicesAreListed(t *testing.T) {
-	group := seededGroup(t, 1)
+	group := startSeededGroup(t, 1)
 	p := group[0].served
 	listed := func(id string) lister.State {
 		d := &p.(planning).directory
@@ -30,7 +30,7 @@
 	p.Leave("x", other.Started)
 
 	submit(t, p, version(1, "desk lounge"))
-	require.Eventually(t, func() bool { return p.(planning).view.Load().plan.GetVersion() == 1 }, patience, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return p.(planning).view.Load().plan.GetVersion() == 1 }, waitTimeout, 20*time.Millisecond)
 	p.Beat(endpointAt("a", 1, lister.Ready))
 	forged := endpointAt("y", 1, lister.Ready)
 	forged.Service = "nobody's"
@@ -47,7 +47,7 @@
 	lounge.Address = netip.MustParseAddrPort("10.0.0.10:80")
 	p.Beat(lounge)
 	submit(t, p, version(2, "desk"))
-	require.Eventually(t, func() bool { return p.(planning).view.Load().plan.GetVersion() == 2 }, patience, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return p.(planning).view.Load().plan.GetVersion() == 2 }, waitTimeout, 20*time.Millisecond)
 	lounge.Sequence, lounge.State = 2, lister.Leaving
 	p.Beat(lounge)
 	require.Equal(t, lister.Leaving, listed("b"), "one that is listed may always say that it leaves")
--- /dev/null
+++ b/keeper/internal/server/peers.go
@@ -0,0 +1,145 @@
+package server
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"net/netip"
+	"sync"
+	"time"
+
+	"github.com/ansel1/merry/v2"
+
+	"shallotkeel.example/keeper/internal/settings"
+	"shallotkeel.example/lib/loader"
+	"shallotkeel.example/lib/messenger"
+	"shallotkeel.example/lib/reloader"
+	"shallotkeel.example/lib/subscriber"
+)
+
+// directoryInterval is the interval at which the directory checks for silent endpoints. It is
+// a fraction of the interval between heartbeats, which is a second or more.
+const directoryInterval = 300 * time.Millisecond
+
+// peerSubscription implements subscriber.Host for following the other keepers: an endpoint's
+// heartbeat and a router's report each reach one keeper only, and all keepers need them.
+type peerSubscription struct {
+	*Server
+	deliveries *deliveryTimes
+}
+
+// deliveryTimes records up to which time each peer has received the heartbeats that arrived
+// here. Sending all heartbeats of the last seconds with each poll would cost time proportional
+// to the endpoints times the polls.
+type deliveryTimes struct {
+	mutex        sync.Mutex
+	pending      map[netip.AddrPort]time.Time // start of the poll in flight
+	acknowledged map[netip.AddrPort]time.Time // start of the last poll that was answered
+}
+
+// begin records the start of a poll of a peer. It returns the start of the last poll that
+// the peer answered: heartbeats since then may be unknown to it.
+func (t *deliveryTimes) begin(now time.Time, keeper netip.AddrPort) time.Time {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.pending == nil {
+		t.pending = make(map[netip.AddrPort]time.Time)
+		t.acknowledged = make(map[netip.AddrPort]time.Time)
+	}
+	t.pending[keeper] = now
+	return t.acknowledged[keeper]
+}
+
+// acknowledge records that a peer has received the content of the poll in flight.
+func (t *deliveryTimes) acknowledge(keeper netip.AddrPort) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.acknowledged[keeper] = t.pending[keeper]
+}
+
+// Report returns the recent heartbeats of endpoints that reached this keeper, and the sums of
+// the reports of the routers that report to it.
+func (c peerSubscription) Report(keeper netip.AddrPort, _ bool) *messenger.FollowRequest {
+	now := c.clock.Now()
+	since := c.deliveries.begin(now, keeper)
+	report := &messenger.FollowRequest{
+		Node: c.settings.Name, Zone: c.settings.Zone, Keeper: true, Address: c.settings.Address().String(),
+		Plan: c.view.Load().plan.GetVersion(), Heard: c.directory.recent(now, since),
+		Unheard: c.subscriber.Unheard(), Begun: c.directory.streams.since(now, since),
+	}
+	c.directory.summary(now, report)
+	return report
+}
+
+// News merges the listings of a peer's answer into the directory.
+func (c peerSubscription) News(_ context.Context, keeper netip.AddrPort, response *messenger.FollowResponse) {
+	c.deliveries.acknowledge(keeper)
+	m := c.directory.merge(c.clock.Now(), keeper.String(), response.GetListings())
+	if m.unread != nil && c.heartbeatDamper.Admit(c.clock.Now(), c.log) {
+		c.log.Warn().Err(m.unread).Stringer("keeper", keeper).Msg("peer sent a listing that cannot be decoded; ignoring it")
+	}
+	if m.any {
+		c.updates.notify(m.urgent)
+	}
+}
+
+// Lost does nothing: the listings of an unreachable peer are kept until other keepers
+// update them.
+func (c peerSubscription) Lost(netip.AddrPort, error) {}
+
+// runDirectory follows the other keepers, and expires silent endpoints and followers until
+// the context ends.
+func (s *Server) runDirectory(ctx context.Context) {
+	go s.pacer.Run(ctx, s.clock)
+	go func() {
+		late := false
+		for s.pause(ctx, directoryInterval) == nil {
+			late = s.tellLateness(late)
+			if s.directory.pass(s.clock.Now()) {
+				s.updates.notify(true)
+			}
+			s.subscriber.Know(s.memberAddresses()...)
+			wait := subscriber.ExchangeWaitFor(s.directory.routers(s.clock.Now()), len(s.view.Load().status.Group))
+			s.subscriber.Pace(wait, wait)
+		}
+	}()
+	go s.archive(ctx)
+	go reloader.Watch(ctx, s.settings.File, s.clock, s.log, s.reload)
+	s.subscriber.Run(ctx, *s.seeds.Load()...)
+}
+
+// reload applies the settings that may change while the keeper runs: the seeds.
+func (s *Server) reload(text []byte) error {
+	var read settings.Settings
+	if err := loader.Decode(s.settings.File, text, &read); err != nil {
+		return err
+	}
+	seeds := read.SeedAddresses()
+	s.seeds.Store(&seeds)
+	s.subscriber.Know(seeds...)
+	return nil
+}
+
+// memberAddresses returns the control addresses of the group's members. It skips
+// addresses that cannot be parsed.
+func (s *Server) memberAddresses() []netip.AddrPort {
+	var addresses []netip.AddrPort
+	for _, replica := range s.view.Load().status.Known() {
+		if address, err := netip.ParseAddrPort(replica.Address); err == nil {
+			addresses = append(addresses, address)
+		}
+	}
+	return addresses
+}
+
+// servePlatform starts the HTTP server for the platform's operators and endpoints. Its error
+// after the start is sent to failures.
+func (s *Server) servePlatform(failures chan<- error) (*http.Server, error) {
+	listener, err := net.Listen("tcp", s.settings.Platform.Listen.String())
+	if err != nil {
+		return nil, merry.Errorf("platform address: %w; set \"platform\" to a free address of this instance", err)
+	}
+	server := &http.Server{Handler: s.metrics.traffic.count(kindPlatform, s.platform.Handler(planning{s})), ReadHeaderTimeout: stopGrace, IdleTimeout: time.Minute}
+	go func() { failures <- server.Serve(listener) }()
+	return server, nil
+}
--- a/keeper/internal/server/planning.go
+++ b/keeper/internal/server/planning.go
@@ -11,40 +11,40 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// MaxPlan bounds a whole configuration, in bytes. It leaves room for the rest of
-// a command of the log.
-const MaxPlan = driver.MaxCommand - 64<<10
+// MaxPlanBytes bounds the size of a configuration. It leaves space for the other fields of
+// a log command.
+const MaxPlanBytes = driver.MaxCommand - 64<<10
 
-// Planner is what the platform's operators and endpoints may ask of a keeper.
-// Its errors are twirp's; Unavailable means to ask again, anywhere.
+// Planner is the interface of a keeper for the platform's operators and endpoints.
+// Its errors are twirp errors; Unavailable means that the call may be retried at any keeper.
 type Planner interface {
-	// Submit accepts a valid configuration. It returns once the version in force
-	// is durable and at least as high.
+	// Submit replicates a valid configuration. It returns once the version in force is
+	// durable and not lower than the submitted one.
 	Submit(ctx context.Context, plan *messenger.Plan) (*messenger.SubmitResponse, error)
-	// Current returns the newest accepted configuration, or an error if this
-	// keeper cannot be sure which that is. A plan of version 0 means that there
-	// is none.
+	// Current returns the newest accepted configuration, or an error if this keeper cannot
+	// confirm with a quorum that it is the newest. A plan of version 0 means that no
+	// configuration exists.
 	Current(ctx context.Context, request *messenger.CurrentRequest) (*messenger.Plan, error)
-	// Beat takes a heartbeat. Followers are told what it changed before it returns.
+	// Beat processes a heartbeat of an endpoint. The followers are notified of a change of the
+	// list, at once or after the coalescing pause.
 	Beat(beat lister.Listing)
-	// Leave notes that an instance gets no new work. Started is the start of the life
-	// that ends, zero if the instance did not tell it.
+	// Leave records that an instance gets no new work. Started is the start time of the
+	// instance's process that leaves, zero if the instance did not send it.
 	Leave(id string, started time.Time)
-	// Unusable counts a heartbeat that names no endpoint to use.
+	// Unusable counts a heartbeat that contains no usable endpoint.
 	Unusable(id string, fault lister.Unusable)
-	// SetEvacuated keeps new work away from the endpoints of a zone, or ends that. It returns
-	// once that is durable. NotFound means that there is no such zone.
+	// SetEvacuated starts or ends the evacuation of a zone, during which its endpoints get no
+	// new work. It returns once the order is durable. NotFound means that the zone is unknown.
 	SetEvacuated(ctx context.Context, zone string, evacuated bool) error
 }
 
 // planning implements messenger.Planning and Planner.
 type planning struct{ *Server }
 
-// Submit replicates a plan. A version that is not higher than what has been
-// committed changes nothing, and needs no quorum to be acknowledged: the higher
-// one is durable already.
+// Submit replicates a plan. A version that is not higher than the committed one changes
+// nothing, and is acknowledged without a quorum: the higher version is durable already.
 func (p planning) Submit(ctx context.Context, plan *messenger.Plan) (*messenger.SubmitResponse, error) {
-	if len(plan.GetText()) > MaxPlan {
+	if len(plan.GetText()) > MaxPlanBytes {
 		return nil, twirp.InvalidArgumentError("text", "is too large; split the configuration into fewer routes")
 	}
 	if known := p.view.Load().plan; known.GetVersion() >= plan.GetVersion() {
@@ -55,42 +55,44 @@
 			result, err := keeping(p).propose(ctx, &messenger.Command{Plan: plan})
 			return &messenger.SubmitResponse{Version: result.Plan}, err
 		},
-		func(ctx context.Context, leader colleague) (*messenger.SubmitResponse, error) {
+		func(ctx context.Context, leader peerClient) (*messenger.SubmitResponse, error) {
 			return leader.Submit(ctx, plan)
 		})
 }
 
-// Current commits an empty command before it answers. A leader that was frozen
-// or cut off believes in its lease for longer than the others do, because its
-// clock stood still; the command shows that a quorum still follows it.
+// Current commits an empty command before it answers. A leader that was suspended or
+// partitioned considers its lease valid for longer than the other keepers do, because its
+// clock stood still; the committed command proves that a quorum still follows it.
 func (p planning) Current(ctx context.Context, request *messenger.CurrentRequest) (*messenger.Plan, error) {
 	return lead(ctx, p.Server,
 		func(ctx context.Context) (*messenger.Plan, error) {
 			if _, err := keeping(p).propose(ctx, &messenger.Command{}); err != nil {
 				return nil, err
 			}
-			return ask(ctx, p.Server, func(_ time.Time, d *driver.Driver) *messenger.Plan {
-				return orNone(d.State().Plan())
+			return callLoop(ctx, p.Server, func(_ time.Time, d *driver.Driver) *messenger.Plan {
+				return planOrEmpty(d.State().Plan())
 			})
 		},
-		func(ctx context.Context, leader colleague) (*messenger.Plan, error) {
+		func(ctx context.Context, leader peerClient) (*messenger.Plan, error) {
 			return leader.Current(ctx, request)
 		})
 }
 
-func orNone(plan *messenger.Plan) *messenger.Plan {
+// planOrEmpty returns an empty plan, of version 0, for nil.
+func planOrEmpty(plan *messenger.Plan) *messenger.Plan {
 	if plan == nil {
 		return &messenger.Plan{}
 	}
 	return plan
 }
 
-// Fetch returns what this keeper has seen committed.
+// Fetch returns the newest plan that this keeper has applied, without contacting a quorum.
 func (p planning) Fetch(context.Context, *messenger.CurrentRequest) (*messenger.Plan, error) {
-	return orNone(p.view.Load().plan), nil
+	return planOrEmpty(p.view.Load().plan), nil
 }
 
-// Follow answers as soon as there is news, or after a wait.
+// Follow is a long poll of a router or another keeper for changes of endpoints, of the plan and
+// of evacuations. It answers as soon as there is an update, or when the wait ends.
 func (p planning) Follow(ctx context.Context, request *messenger.FollowRequest) (*messenger.FollowResponse, error) {
 	select {
 	case <-p.stopping:
@@ -100,33 +102,33 @@
 	if request.GetNode() == "" {
 		return nil, twirp.RequiredArgumentError("node")
 	}
-	setKind(ctx, kindOf(request.GetKeeper(), request.GetBrief()))
+	setKind(ctx, pollKind(request.GetKeeper(), request.GetBrief()))
 	if p.directory.follow(p.clock.Now(), request) {
-		p.bulletin.wake(true)
+		p.updates.notify(true)
 	}
 	arrived := p.clock.Now()
-	held, gathered := p.hold(request)
-	timer := p.clock.NewTimer(held)
+	wait, coalesce := p.hold(request)
+	timer := p.clock.NewTimer(wait)
 	defer timer.Stop()
 	for last := false; ; {
-		changed := p.bulletin.next()
-		turn, taken := p.turns.take(ctx)
-		if !taken {
+		changed := p.updates.next()
+		slot, acquired := p.pollSlots.acquire(ctx)
+		if !acquired {
 			return nil, twirp.NewError(twirp.Canceled, "the caller went away")
 		}
-		if last || p.newer(request) || !gathered && p.directory.fresh(request, p.epoch) {
-			leaveTurn(ctx, turn)
+		if last || p.hasNewer(request) || !coalesce && p.directory.fresh(request, p.epoch) {
+			releaseOnWrite(ctx, slot)
 			now := p.clock.Now()
-			shown := p.view.Load() // first: the list is then at least as new
+			shown := p.view.Load() // loaded before the list, so that the list is at least as new
 			response := p.directory.news(now, request, p.epoch)
 			response.Plan, response.Zone = shown.plan.GetVersion(), p.settings.Zone
-			response.Evacuations, response.Evacuated = shown.zones.Revision, shown.zones.Zones
+			response.Evacuations, response.Evacuated = shown.evacuations.Revision, shown.evacuations.Zones
 			response.Rations = p.rations(arrived, request)
-			p.nameKeepers(now, request, response)
+			p.addMembers(now, request, response)
 			response.Isolated = p.isolated(now)
 			return response, nil
 		}
-		turn.end()
+		slot.release()
 		select {
 		case <-ctx.Done():
 			return nil, twirp.NewError(twirp.Canceled, "the caller went away")
@@ -139,15 +141,17 @@
 	}
 }
 
-// newer tells whether something is committed here that a router does not know of.
-func (p planning) newer(request *messenger.FollowRequest) bool {
+// hasNewer reports whether this keeper has applied a plan or an evacuation that is newer than
+// the router's. It is false for keepers, which replicate both through the log.
+func (p planning) hasNewer(request *messenger.FollowRequest) bool {
 	shown := p.view.Load()
 	return !request.GetKeeper() &&
-		(shown.plan.GetVersion() > request.GetPlan() || shown.zones.Revision > request.GetEvacuations())
+		(shown.plan.GetVersion() > request.GetPlan() || shown.evacuations.Revision > request.GetEvacuations())
 }
 
-// Beat takes a heartbeat. One of a service that nobody named is left out, unless it
-// is of a listed instance: that one may always say that it leaves.
+// Beat processes a heartbeat. It ignores a heartbeat of a service that the configuration does not
+// contain, unless the instance is listed already: a listed instance may always announce that it
+// leaves.
 func (p planning) Beat(beat lister.Listing) {
 	services := p.services()
 	service, named := services[beat.Service]
@@ -160,24 +164,24 @@
 		p.log.Info().Str("endpoint", beat.ID).Str("service", beat.Service).Stringer("address", beat.Address).
 			Uint8("state", uint8(beat.State)).Uint64("sequence", beat.Sequence).Time("started", beat.Started).Str("version", beat.Version).
 			Msg("endpoint changed")
-		p.bulletin.wake(urgent)
+		p.updates.notify(urgent)
 	}
 }
 
-// Leave notes that an instance gets no new work.
+// Leave records that an instance gets no new work, and notifies the followers.
 func (p planning) Leave(id string, started time.Time) {
 	if p.directory.leave(p.clock.Now(), id, started) {
 		p.log.Info().Str("endpoint", id).Time("started", started).Msg("endpoint leaves")
-		p.bulletin.wake(true)
+		p.updates.notify(true)
 	}
 }
 
-// Unusable counts a heartbeat that names no endpoint to use. Other processes than
-// endpoints may send them, in any number, so that the lines of the log are bounded.
+// Unusable counts a heartbeat that contains no usable endpoint. Processes other than endpoints
+// may send any number of such heartbeats, so that their log lines are rate-limited.
 func (p planning) Unusable(id string, fault lister.Unusable) {
 	p.metrics.unusable.WithLabelValues(string(fault.Reason)).Inc()
-	if p.unusable.Admit(p.clock.Now(), p.log) {
+	if p.heartbeatDamper.Admit(p.clock.Now(), p.log) {
 		p.log.Warn().Err(fault).Str("endpoint", id).Str("reason", string(fault.Reason)).Str("field", fault.Field).
-			Msg("heartbeat left out")
+			Msg("heartbeat contains no usable endpoint; ignoring it")
 	}
 }
--- a/keeper/internal/server/planning_test.go
+++ b/keeper/internal/server/planning_test.go
@@ -22,8 +22,8 @@
 	"shallotkeel.example/lib/resolver"
 )
 
-// seeded is a keeper that finds the others by seeds.
-type seeded struct {
+// seededKeeper is a keeper that finds its peers by seed addresses.
+type seededKeeper struct {
 	settings settings.Settings
 	planner  chan Planner
 	served   Planner
@@ -32,10 +32,11 @@
 	ended    chan error
 }
 
-// newSeeded prepares a keeper; all of a test share the port of their seeds.
-func newSeeded(t *testing.T, name string, address netip.AddrPort, seeds []netip.AddrPort) *seeded {
+// newSeededKeeper prepares a keeper without starting it. All keepers of a test use the port of
+// their seeds.
+func newSeededKeeper(t *testing.T, name string, address netip.AddrPort, seeds []netip.AddrPort) *seededKeeper {
 	t.Helper()
-	p := &seeded{settings: settings.Settings{
+	p := &seededKeeper{settings: settings.Settings{
 		Name: name, Zone: "zone", Listen: freeAddress(), Control: address, Data: t.TempDir(), Secret: secret,
 		Seeds: seeds, Bootstrap: true,
 		Platform: &settings.Platform{Listen: freeAddress(), Heartbeat: loader.Duration{Duration: time.Second}},
@@ -48,26 +49,26 @@
 	return p
 }
 
-// servicesOf reads a plan of these tests: the names of its services, each with what its cold
-// endpoints bear a second behind an equals sign if that is bounded.
-func servicesOf(text []byte) ([]resolver.Service, error) {
+// parseServices parses the plan format of these tests: service names, separated by spaces, each
+// followed by an equals sign and the rate per second of its cold endpoints if that is bounded.
+func parseServices(text []byte) ([]resolver.Service, error) {
 	var services []resolver.Service
 	for _, field := range strings.Fields(string(text)) {
 		name, rate, _ := strings.Cut(field, "=")
 		service := resolver.Service{Name: name}
 		if rate != "" {
-			bears, err := strconv.ParseFloat(rate, 64)
+			perSecond, err := strconv.ParseFloat(rate, 64)
 			if err != nil {
 				return nil, err
 			}
-			service.Cold = resolver.Cold{Rate: bears, Length: time.Minute}
+			service.Cold = resolver.Cold{Rate: perSecond, Length: time.Minute}
 		}
 		services = append(services, service)
 	}
 	return services, nil
 }
 
-func (p *seeded) start(t *testing.T) {
+func (p *seededKeeper) start(t *testing.T) {
 	t.Helper()
 	require.Empty(t, p.settings.Check())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -79,13 +80,13 @@
 				planner <- served
 				return http.NotFoundHandler()
 			},
-			Services: servicesOf,
+			Services: parseServices,
 		})
 	}()
 	p.served = <-planner
 }
 
-func (p *seeded) stop(t *testing.T) {
+func (p *seededKeeper) stop(t *testing.T) {
 	if p.cancel == nil {
 		return
 	}
@@ -94,27 +95,29 @@
 	require.NoError(t, <-p.ended)
 }
 
-// seededGroup starts keepers of which the first three are the seeds of all.
-func seededGroup(t *testing.T, size int) []*seeded {
+// startSeededGroup starts a number of keepers. The first three are the seeds of all.
+func startSeededGroup(t *testing.T, size int) []*seededKeeper {
 	t.Helper()
 	addresses := make([]netip.AddrPort, size)
 	port := freeAddress().Port()
 	for i := range addresses {
 		addresses[i] = netip.AddrPortFrom(freeAddress().Addr(), port)
 	}
-	group := make([]*seeded, size)
+	group := make([]*seededKeeper, size)
 	for i := range group {
-		group[i] = newSeeded(t, fmt.Sprint("keeper-", i+1), addresses[i], addresses[:min(3, size)])
+		group[i] = newSeededKeeper(t, fmt.Sprint("keeper-", i+1), addresses[i], addresses[:min(3, size)])
 		group[i].start(t)
 	}
 	return group
 }
 
+// version returns a plan.
 func version(number uint64, text string) *messenger.Plan {
 	return &messenger.Plan{Version: number, Text: []byte(text)}
 }
 
-// submit sends a plan until it is acknowledged, as operators do.
+// submit submits a plan, with retries until it is acknowledged, as operators do. It returns the
+// version in force.
 func submit(t *testing.T, p Planner, plan *messenger.Plan) uint64 {
 	t.Helper()
 	var answer *messenger.SubmitResponse
@@ -122,10 +125,11 @@
 		var err error
 		answer, err = p.Submit(t.Context(), plan)
 		return err == nil
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	return answer.GetVersion()
 }
 
+// current returns the newest plan, with retries while the keeper has no quorum.
 func current(t *testing.T, p Planner) *messenger.Plan {
 	t.Helper()
 	var plan *messenger.Plan
@@ -133,18 +137,18 @@
 		var err error
 		plan, err = p.Current(t.Context(), &messenger.CurrentRequest{})
 		return err == nil
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	return plan
 }
 
-// Symptom: an acknowledged configuration is gone, or another stands under its
-// version. Sequence: resends, older versions and two contents for one version
-// come to any keeper, before and after restarts of all of them.
-func TestHighestVersionStays(t *testing.T) {
-	group := seededGroup(t, 3)
+// Guards against the loss of an acknowledged configuration, and against a version whose content
+// changes: resends, older versions and two contents for one version reach different keepers,
+// before all of them restart.
+func TestHighestPlanVersionPersists(t *testing.T) {
+	group := startSeededGroup(t, 3)
 	require.EqualValues(t, 5, submit(t, group[0].served, version(5, "five")))
 	for i, plan := range []*messenger.Plan{version(5, "five"), version(4, "four"), version(5, "another five")} {
-		require.EqualValues(t, 5, submit(t, group[i].served, plan), "it is acknowledged and changes nothing")
+		require.EqualValues(t, 5, submit(t, group[i].served, plan), "the plan is acknowledged and changes nothing")
 	}
 	require.EqualValues(t, 9, submit(t, group[1].served, version(9, "nine")))
 	for _, p := range group {
@@ -160,10 +164,10 @@
 	require.Equal(t, "nine", string(current(t, group[2].served).GetText()))
 }
 
-// Symptom: a keeper that is alone answers with an old configuration. It must say
-// that it is not sure.
-func TestKeeperWithoutQuorumIsNotSure(t *testing.T) {
-	group := seededGroup(t, 3)
+// Guards against a keeper without a quorum that returns an old configuration as the current one.
+// It must return an error instead.
+func TestKeeperWithoutQuorumRefusesCurrent(t *testing.T) {
+	group := startSeededGroup(t, 3)
 	submit(t, group[0].served, version(1, "one"))
 	group[1].stop(t)
 	group[2].stop(t)
@@ -175,29 +179,30 @@
 	require.Error(t, err)
 	fetched, err := group[0].planning.Fetch(t.Context(), &messenger.CurrentRequest{})
 	require.NoError(t, err)
-	require.EqualValues(t, 1, fetched.GetVersion(), "routers of a zone that is cut off still get what there is")
+	require.EqualValues(t, 1, fetched.GetVersion(), "routers of a partitioned zone still get the applied plan")
 }
 
-// Symptom: a keeper that is no seed, or one with an empty disk at a new address,
-// never takes part; or it founds a second group. Sequence: a fourth joins the
-// three; one is lost for good and another comes in its place.
+// Guards against a keeper that is not a seed, or that has an empty disk and a new address, and
+// never joins or founds a second group: a fourth keeper joins the three seeds, one of which is
+// then lost permanently and replaced by a new keeper.
 func TestKeepersFindTheGroupBySeeds(t *testing.T) {
-	group := seededGroup(t, 4)
+	group := startSeededGroup(t, 4)
 	submit(t, group[3].served, version(1, "one"))
 	lost := group[1]
 	lost.stop(t)
 	seeds := lost.settings.Seeds
-	fresh := newSeeded(t, "keeper-5", netip.AddrPortFrom(freeAddress().Addr(), lost.settings.Control.Port()), seeds)
+	fresh := newSeededKeeper(t, "keeper-5", netip.AddrPortFrom(freeAddress().Addr(), lost.settings.Control.Port()), seeds)
 	fresh.settings.Bootstrap = false
 	fresh.start(t)
 	require.Eventually(t, func() bool {
 		plan, err := fresh.planning.Fetch(t.Context(), &messenger.CurrentRequest{})
 		return err == nil && plan.GetVersion() == 1
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	require.EqualValues(t, 2, submit(t, fresh.served, version(2, "two")))
 	require.Equal(t, "two", string(current(t, group[0].served).GetText()))
 }
 
+// endpointAt returns a heartbeat of an endpoint.
 func endpointAt(id string, sequence uint64, state lister.State) lister.Listing {
 	return lister.Listing{
 		ID: id, Service: "desk", Zone: "zone", Sequence: sequence, State: state, Slots: 6,
@@ -205,28 +210,28 @@
 	}
 }
 
-// Symptom: a router sends work to an endpoint whose leaving was acknowledged.
-// Sequence: the endpoint tells one keeper; routers follow that one and others.
+// Guards against a router that sends work to an endpoint after its leaving was acknowledged: the
+// endpoint announces that it leaves to one keeper, and routers follow that keeper and others.
 func TestLeavingReachesEveryFollower(t *testing.T) {
-	group := seededGroup(t, 3)
+	group := startSeededGroup(t, 3)
 	group[0].served.Beat(endpointAt("a", 1, lister.Ready))
-	follow := func(p *seeded, request *messenger.FollowRequest) *messenger.FollowResponse {
-		var news *messenger.FollowResponse
+	follow := func(p *seededKeeper, request *messenger.FollowRequest) *messenger.FollowResponse {
+		var response *messenger.FollowResponse
 		require.Eventually(t, func() bool {
 			var err error
-			news, err = p.planning.Follow(t.Context(), request)
+			response, err = p.planning.Follow(t.Context(), request)
 			return err == nil
-		}, patience, 20*time.Millisecond)
-		return news
+		}, waitTimeout, 20*time.Millisecond)
+		return response
 	}
 	for _, p := range group {
 		last := &messenger.FollowResponse{}
 		require.Eventually(t, func() bool {
 			last = follow(p, &messenger.FollowRequest{Node: "router", WaitMs: 200})
-			// What another keeper has acknowledged comes from there, after a moment.
+			// A change acknowledged by another keeper arrives from that keeper with a delay.
 			return len(last.GetListings()) == 1 &&
 				(p == group[0] || last.GetListings()[0].GetState() >= uint32(lister.Leaving))
-		}, patience, 20*time.Millisecond, "keepers tell one another")
+		}, waitTimeout, 20*time.Millisecond, "keepers exchange their listings")
 		waiting := make(chan *messenger.FollowResponse, 1)
 		go func() {
 			waiting <- follow(p, &messenger.FollowRequest{Node: "router", Epoch: last.GetEpoch(), After: last.GetNext(), WaitMs: 10_000})
@@ -238,11 +243,11 @@
 			require.EqualValues(t, lister.Leaving, last.GetListings()[0].GetState())
 			p.served.Leave("a", time.Time{})
 		}
-		news := <-waiting
-		require.Len(t, news.GetListings(), 1)
-		require.GreaterOrEqual(t, news.GetListings()[0].GetState(), uint32(lister.Leaving))
+		update := <-waiting
+		require.Len(t, update.GetListings(), 1)
+		require.GreaterOrEqual(t, update.GetListings()[0].GetState(), uint32(lister.Leaving))
 		if p != group[0] {
-			break // it is gone now, and no more news is to come
+			break // the endpoint is gone now, and no further update follows
 		}
 	}
 }
--- a/keeper/internal/server/poll_bench_test.go
+++ b/keeper/internal/server/poll_bench_test.go
@@ -13,10 +13,9 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// BenchmarkPoll takes a router's report and works out its answer: what a keeper does
-// for each poll besides the call itself. With sums over all routers' reports for each
-// answer it took 53 and 310 microseconds at 7 and 64 routers, with sums that are kept 27
-// and 79.
+// BenchmarkPoll processes a router's report and computes the answer: the work of a keeper for
+// each poll besides the call itself. Summing up all routers' reports for each answer takes 53
+// and 310 microseconds at 7 and 64 routers, maintaining the sums incrementally 27 and 79.
 func BenchmarkPoll(b *testing.B) {
 	for _, size := range []struct{ routers, engines, workspaces, running int }{
 		{7, 18, 16, 18}, {16, 36, 16, 20}, {64, 140, 30, 20}, {410, 12_000, 320, 600},
@@ -50,9 +49,9 @@
 	}
 }
 
-// BenchmarkBriefPoll is the same for a router that reports to another keeper, as four of
-// five polls are in a large fleet. As a whole one each took 27 microseconds and 3,930 bytes
-// at 140 engines, 1,195 and 227,170 at 12,000; a brief one takes 0.3 and 31 at any number.
+// BenchmarkBriefPoll does the same for a router that reports to another keeper, as for four of
+// five polls in a large fleet. A complete poll takes 27 microseconds and 3,930 bytes at 140
+// engines, and 1,195 and 227,170 at 12,000; a brief one takes 0.3 and 31 at any number.
 func BenchmarkBriefPoll(b *testing.B) {
 	for _, endpoints := range []int{140, 3000, 12_000} {
 		b.Run(fmt.Sprint(endpoints, " endpoints"), func(b *testing.B) {
@@ -75,12 +74,12 @@
 	}
 }
 
-// reportSizes tells the bytes of a poll's two messages.
+// reportSizes reports the sizes of a poll's request and answer, in bytes.
 func reportSizes(b *testing.B, request *messenger.FollowRequest, answer *messenger.FollowResponse) {
-	asked, err := proto.Marshal(request)
+	requestBytes, err := proto.Marshal(request)
 	require.NoError(b, err)
-	told, err := proto.Marshal(answer)
+	answerBytes, err := proto.Marshal(answer)
 	require.NoError(b, err)
-	b.ReportMetric(float64(len(asked)), "asked-B")
-	b.ReportMetric(float64(len(told)), "told-B")
+	b.ReportMetric(float64(len(requestBytes)), "asked-B")
+	b.ReportMetric(float64(len(answerBytes)), "told-B")
 }
--- a/keeper/internal/server/rationing.go
+++ b/keeper/internal/server/rationing.go
@@ -133,7 +133,7 @@
 func (d *directory) candidates(now time.Time) []rationer.Candidate {
 	var candidates []rationer.Candidate
 	for name, f := range d.followers {
-		if f.keeper || f.report.GetBrief() || now.Sub(f.at) > reportMemory {
+		if f.keeper || f.report.GetBrief() || now.Sub(f.at) > reportTTL {
 			continue
 		}
 		asked := uint64(0)
--- a/keeper/internal/server/recalling_test.go
+++ b/keeper/internal/server/recalling_test.go
@@ -15,18 +15,18 @@
 
 // A stream of a router that was killed together with its keeper was known to nobody.
 func TestRecordsOfStreamsReachEveryKeeper(t *testing.T) {
-	group := seededGroup(t, 3)
+	group := startSeededGroup(t, 3)
 	begun := versioner.ToWire([]versioner.Record{{Stream: 7, Origin: versioner.Origin{Service: "desk", Version: "v1"}}})
 	tell := func() error {
 		_, err := group[0].planning.Follow(t.Context(), &messenger.FollowRequest{Node: "router", Begun: begun})
 		return err
 	}
-	require.Eventually(t, func() bool { return tell() == nil }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return tell() == nil }, waitTimeout, 10*time.Millisecond)
 	for _, keeper := range group {
 		require.Eventually(t, func() bool {
 			told, err := keeper.planning.Recall(t.Context(), &messenger.RecallRequest{Stream: 7})
 			return err == nil && told.GetService() == "desk" && told.GetVersion() == "v1"
-		}, patience, 10*time.Millisecond)
+		}, waitTimeout, 10*time.Millisecond)
 		told, err := keeper.planning.Recall(t.Context(), &messenger.RecallRequest{Stream: 8})
 		require.NoError(t, err)
 		require.Empty(t, told.GetVersion(), "a stream that nobody told")
--- a/keeper/internal/server/census_test.go
+++ b/keeper/internal/server/router_summary_test.go
@@ -12,9 +12,9 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// Symptom: shares or loads count some routers twice or not at all. Sequence: each router
-// reports to one keeper only, the keepers tell one another, and a router goes over to
-// another keeper. Cause: a report that stays where it was, or sums told on a second time.
+// Guards against shares or loads that count some routers twice or not at all: each router reports
+// to one keeper only, the keepers exchange their sums, and a router moves to another keeper. Its
+// old report then remains at the first keeper, or a keeper forwards the sums of its peers.
 func TestReportsOfAllKeepersAreSummedOnce(t *testing.T) {
 	use := func(asked uint64) []*messenger.Use { return []*messenger.Use{{Workspace: "club", Asked: asked}} }
 	var a, b directory
@@ -28,35 +28,35 @@
 	report := func(d, other *directory, node string, asked uint64, backlog uint32) {
 		d.follow(began, &messenger.FollowRequest{Node: node, Uses: use(asked), BacklogMs: backlog})
 		other.follow(began, &messenger.FollowRequest{Node: node, Brief: true})
-		a.taker, b.taker = taker{}, taker{}
+		a.taker, b.taker = routerSummaryCache{}, routerSummaryCache{}
 	}
 	check := func(message string) {
 		exchange()
-		a.taker, b.taker = taker{}, taker{}
+		a.taker, b.taker = routerSummaryCache{}, routerSummaryCache{}
 		for _, d := range []*directory{&a, &b} {
-			news := d.news(began, &messenger.FollowRequest{Node: "r-1", Epoch: epoch}, epoch)
-			require.EqualValues(t, 60, news.GetUses()[0].GetAsked(), message)
-			require.EqualValues(t, 3, news.GetReporting(), message)
-			require.EqualValues(t, 3, news.GetRouters(), message)
-			require.EqualValues(t, 20, news.GetBacklogMs(), message)
+			response := d.news(began, &messenger.FollowRequest{Node: "r-1", Epoch: epoch}, epoch)
+			require.EqualValues(t, 60, response.GetUses()[0].GetAsked(), message)
+			require.EqualValues(t, 3, response.GetReporting(), message)
+			require.EqualValues(t, 3, response.GetRouters(), message)
+			require.EqualValues(t, 20, response.GetBacklogMs(), message)
 		}
 	}
 	report(&a, &b, "r-1", 10, 20)
 	report(&a, &b, "r-2", 20, 20)
 	report(&b, &a, "r-3", 30, 900)
-	check("two here and one there")
+	check("two routers at one keeper and one at the other")
 	exchange()
-	check("sums that came from there are not told back")
+	check("sums received from a peer are not sent back")
 	report(&b, &a, "r-2", 20, 20)
-	check("a router went over")
+	check("a router moved to another keeper")
 	brief := a.news(began, &messenger.FollowRequest{Node: "r-3", Brief: true, Epoch: epoch}, epoch)
 	require.True(t, brief.GetBrief())
 	require.Empty(t, brief.GetUses())
 }
 
-// Symptom: endpoints that are dead when a router starts are tried like others. Cause: the
-// keepers that it follows briefly had said that they are silent before it began to follow.
-func TestBriefFollowerFirstHearsOfExceptions(t *testing.T) {
+// Guards against a router that, after its start, sends work to dead endpoints: the keepers that
+// it polls briefly have reported those endpoints as silent before its first poll.
+func TestBriefFollowerFirstReceivesExceptions(t *testing.T) {
 	var d directory
 	d.list.Interval = 1
 	at := func(id string, host byte, state lister.State) lister.Listing {
@@ -68,7 +68,7 @@
 	d.beat(began, at("leaving", 2, lister.Leaving))
 	d.list.Pass(began.Add(lister.SilentBeats + 1))
 	d.beat(began.Add(lister.SilentBeats+1), at("well", 3, lister.Ready))
-	told := func(request *messenger.FollowRequest) []string {
+	listed := func(request *messenger.FollowRequest) []string {
 		var ids []string
 		for _, listing := range d.news(began, request, epoch).GetListings() {
 			ids = append(ids, listing.GetId())
@@ -78,24 +78,24 @@
 	brief := func(after uint64) *messenger.FollowRequest {
 		return &messenger.FollowRequest{Node: "r", Brief: true, Epoch: epoch, After: after}
 	}
-	require.ElementsMatch(t, []string{"silent", "leaving"}, told(&messenger.FollowRequest{Node: "r", Brief: true}))
-	require.ElementsMatch(t, []string{"silent", "leaving", "well"}, told(&messenger.FollowRequest{Node: "r"}))
+	require.ElementsMatch(t, []string{"silent", "leaving"}, listed(&messenger.FollowRequest{Node: "r", Brief: true}))
+	require.ElementsMatch(t, []string{"silent", "leaving", "well"}, listed(&messenger.FollowRequest{Node: "r"}))
 	before := d.list.Revision() - 1
-	require.Empty(t, told(brief(before)), "the primary tells of new endpoints")
-	require.False(t, d.fresh(brief(before), epoch), "and nobody is woken for them")
+	require.Empty(t, listed(brief(before)), "new endpoints are announced by the primary")
+	require.False(t, d.fresh(brief(before), epoch), "and brief polls are not woken for them")
 	require.True(t, d.fresh(&messenger.FollowRequest{Node: "r", Epoch: epoch, After: before}, epoch))
 	before = d.list.Revision()
 	again := at("silent", 1, lister.Ready)
 	again.Sequence++
 	d.beat(began.Add(lister.SilentBeats+2), again)
 	require.True(t, d.fresh(brief(before), epoch))
-	require.Equal(t, []string{"silent"}, told(brief(before)), "it is silent no more")
+	require.Equal(t, []string{"silent"}, listed(brief(before)), "it is no longer silent")
 	d.leave(began.Add(lister.SilentBeats+2), "well", time.Time{})
-	require.Equal(t, []string{"silent", "well"}, told(brief(before)), "it leaves")
+	require.Equal(t, []string{"silent", "well"}, listed(brief(before)), "it leaves")
 	before = d.list.Revision()
 	for host := range byte(mostUntold + 1) {
 		d.beat(began.Add(lister.SilentBeats+2), at(fmt.Sprint("new-", host), 100+host, lister.Ready))
 	}
-	require.True(t, d.fresh(brief(before), epoch), "so that not all of it is looked through again")
-	require.Empty(t, told(brief(before)))
+	require.True(t, d.fresh(brief(before), epoch), "a new revision is sent, so that the next poll need not scan the list again")
+	require.Empty(t, listed(brief(before)))
 }
--- a/keeper/internal/server/server.go
+++ b/keeper/internal/server/server.go
@@ -1,10 +1,10 @@
-// Package server is a keeper's shell: the control loop around a driver, the
-// calls of the other processes, health checks and metrics.
+// Package server runs a keeper process: the control loop around a driver, the
+// RPC handlers for other processes, health checks and metrics.
 //
-// Invariants: one goroutine, the control loop, touches the driver; every other
-// goroutine hands it functions to run and waits for their answers. All that
-// waits in the loop's inbox is run before one flush, so that calls that come
-// together share a sync. Every queue and table here is bounded.
+// Invariants: only one goroutine, the control loop, accesses the driver; every
+// other goroutine hands it functions to run and waits for their results. All
+// tasks queued in the loop's inbox run before a single flush, so that concurrent
+// calls share one disk sync. Every queue and table in this package is bounded.
 package server
 
 import (
@@ -39,95 +39,102 @@
 )
 
 const (
-	// inboxLength bounds what waits for the control loop.
+	// inboxLength bounds the tasks queued for the control loop.
 	inboxLength = 4096
-	// ticksPerHeartbeat makes heartbeats punctual to a part of their pause.
+	// ticksPerHeartbeat is the number of control loop ticks per heartbeat interval. It
+	// bounds the delay of a heartbeat to that fraction of the interval.
 	ticksPerHeartbeat = 2
-	// stopGrace is how long calls in progress may take at a planned stop.
+	// stopGrace is how long in-flight calls may take to finish during a graceful shutdown.
+	// It also is the timeout for reading the headers of a request.
 	stopGrace = 3 * time.Second
-	// handoverElections is how many election timeouts a handover may take.
+	// handoverElections is the timeout of a leadership transfer, in election timeouts.
 	handoverElections = 2
 )
 
-// ErrStopping means that this keeper is being stopped.
+// ErrStopping is returned for calls that reach a keeper during its shutdown.
 var ErrStopping = merry.Sentinel("this keeper is stopping")
 
-// event is something for the control loop to do.
-type event func(now time.Time, d *driver.Driver)
+// task is a function that the control loop runs with exclusive access to the driver.
+type task func(now time.Time, d *driver.Driver)
 
-// Server is one keeper.
+// Server is a running keeper.
 type Server struct {
-	settings *settings.Settings
-	log      zerolog.Logger
-	clock    clockwork.Clock
-	timing   replicator.Timing
-	bound    time.Duration // of a call that needs a quorum
+	settings    *settings.Settings
+	log         zerolog.Logger
+	clock       clockwork.Clock
+	timing      replicator.Timing
+	callTimeout time.Duration // timeout of a call that needs a quorum
 
-	inbox    chan event
-	stopping chan struct{} // closed when a planned stop begins
-	stopped  chan struct{} // closed when the control loop has ended
-	written  chan snapshotWritten
+	inbox           chan task            // tasks for the control loop
+	stopping        chan struct{}        // closed when a graceful shutdown begins
+	stopped         chan struct{}        // closed when the control loop has ended
+	snapshotResults chan snapshotWritten // results of snapshots, read by the control loop
 
 	sender  *sender.Sender
 	client  *http.Client
-	bytes   dialer.Counter
-	keepers keepers
-	routers routers
-	retired retired
-	// directory, followed and bulletin serve the list of endpoints and the plan.
-	directory directory
-	files     recorder.FileSystem // nil in tests without a disk
-	followed  *subscriber.Subscriber
-	bulletin  bulletin
-	roster    roster
-	turns     turns
-	pacer     pacer.Pacer // of this process
-	unusable  damper.Damper
-	unwritten damper.Damper // copies of the list that failed
-	naming    naming
-	platform  Platform
-	epoch     uint64
-	// seeds are the settings' own until the file changes.
+	traffic dialer.Counter // bytes on control connections
+	peers   peerClients
+	routers routerTable // routers that poll this keeper for configuration
+	retired retired     // former members of the group
+	// directory holds the list of endpoints, subscriber follows the other keepers, and updates
+	// wakes the followers of this keeper after changes of the list or of the plan.
+	directory       directory
+	files           recorder.FileSystem // data folder; nil in tests without a disk
+	subscriber      *subscriber.Subscriber
+	updates         updateNotifier
+	membership      membershipCache // members of the group, as sent to followers
+	pollSlots       pollSlots       // bounds the polls processed at the same time
+	pacer           pacer.Pacer     // measures the scheduling delay of this process
+	heartbeatDamper damper.Damper   // limits log lines about unusable heartbeats and listings
+	archiveDamper   damper.Damper   // limits log lines about failed copies of the list
+	serviceCache    naming          // services of the plan in force
+	platform        Platform
+	epoch           uint64 // identifies this run of the keeper to its followers
+	// seeds are the seeds of the settings file as last read.
 	seeds atomic.Pointer[[]netip.AddrPort]
-	watch watch
-	// leadership is woken whenever the known leader changes.
-	leadership watch
-	view       atomic.Pointer[view]
-	metrics    *metrics
+	// configurationChanged is notified of each new revision of the configuration or of the list
+	// of quarantined fingerprints.
+	configurationChanged watch
+	// leadershipChanged is notified whenever the known leader changes.
+	leadershipChanged watch
+	view              atomic.Pointer[view]
+	metrics           *metrics
 }
 
-// view is what the control loop last published for everyone to read.
+// view is the snapshot of the driver's state that the control loop published last. Other
+// goroutines read it without involving the loop.
 type view struct {
-	status     replicator.Status
-	quorumAt   time.Time // when there was contact with a quorum last
-	full       bool
-	revision   uint64
-	quarantine uint64
-	claims     int
-	applied    uint64
-	diskBytes  int64
-	plan       *messenger.Plan
-	zones      applier.Evacuations
-	counters   driver.Counters
-	dropped    uint64
+	status             replicator.Status
+	lastQuorum         time.Time // time of the last contact with a quorum
+	diskFull           bool
+	revision           uint64 // of the configuration
+	quarantineRevision uint64 // of the list of quarantined fingerprints
+	claims             int    // number of remembered idempotency keys
+	appliedIndex       uint64 // index of the last applied log entry
+	diskBytes          int64  // size of the log on disk
+	plan               *messenger.Plan
+	evacuations        applier.Evacuations
+	counters           driver.Counters
+	droppedMessages    uint64 // replication messages that were not delivered
 }
 
+// snapshotWritten is the result of writing a snapshot outside the control loop.
 type snapshotWritten struct {
 	snapshot *driver.Snapshot
 	err      error
 }
 
-// Platform is the interface that a keeper serves on a platform. It is used only
-// where the settings name an address for it.
+// Platform adapts a keeper to the platform that it runs on. It is used only if the
+// settings contain an address for it.
 type Platform struct {
-	// Handler serves the platform's operators and endpoints.
+	// Handler returns the HTTP handler for the platform's operators and endpoints.
 	Handler func(Planner) http.Handler
-	// Services returns the services of a configuration.
+	// Services parses the services of a configuration. An error means that the text is invalid.
 	Services func(text []byte) ([]resolver.Service, error)
 }
 
-// Run runs a keeper until the context ends, and then stops it gracefully. An
-// error means that it could not start or had to stop.
+// Run runs a keeper until the context ends, and then shuts it down gracefully. An
+// error means that the keeper could not start or had to stop by itself.
 func Run(ctx context.Context, s *settings.Settings, log zerolog.Logger, clock clockwork.Clock, platform Platform) error {
 	folder, err := recorder.OpenFolder(s.Data)
 	if err != nil {
@@ -139,7 +146,7 @@
 	defer server.sender.Close()
 	d, err := driver.Open(driver.Config{
 		Files: folder, Timing: server.timing, Transport: server.sender,
-		Random: randomSource(), Mint: mint,
+		Random: randomSource(), Mint: newDiskID,
 	}, clock.Now())
 	if err != nil {
 		return err
@@ -149,49 +156,51 @@
 	return server.serve(ctx, d)
 }
 
-// closeAndLog closes something whose work is done: an error changes nothing.
+// closeAndLog closes a resource that is no longer used. An error is only logged, because
+// nothing depends on the resource any more.
 func closeAndLog(closer io.Closer, log zerolog.Logger) {
 	if err := closer.Close(); err != nil {
-		log.Debug().Err(err).Msg("close failed")
+		log.Debug().Err(err).Msg("closing a resource at shutdown failed; ignored")
 	}
 }
 
 func newServer(s *settings.Settings, log zerolog.Logger, clock clockwork.Clock) *Server {
 	server := &Server{
-		settings: s, log: log, clock: clock, timing: s.Agreement(), bound: proposalTimeout,
-		inbox:    make(chan event, inboxLength),
-		stopping: make(chan struct{}),
-		stopped:  make(chan struct{}),
-		written:  make(chan snapshotWritten, 1),
-	}
-	server.client = dialer.Client(s.Secret, &server.bytes)
-	server.keepers.client = server.client
+		settings: s, log: log, clock: clock, timing: s.Agreement(), callTimeout: proposalTimeout,
+		inbox:           make(chan task, inboxLength),
+		stopping:        make(chan struct{}),
+		stopped:         make(chan struct{}),
+		snapshotResults: make(chan snapshotWritten, 1),
+	}
+	server.client = dialer.Client(s.Secret, &server.traffic)
+	server.peers.client = server.client
 	server.sender = sender.New(server.client, s.Control.String(), server.timing.Election)
-	server.epoch = uint64(mint())
-	server.turns = make(turns, pollsAtOnce)
+	server.epoch = uint64(newDiskID())
+	server.pollSlots = make(pollSlots, maxConcurrentPolls)
 	seeds := s.SeedAddresses()
 	server.seeds.Store(&seeds)
 	if s.Platform != nil {
 		server.directory.list.Interval = s.Platform.Heartbeat.Duration
 		server.directory.lessor.Start(clock.Now())
 	}
-	server.followed = subscriber.New(subscriber.Options{
-		Host: colleagues{Server: server, heard: &told{}}, Clock: clock, Log: log, Own: s.Address(), Wait: subscriber.LeastWait,
-		Dial: func(address netip.AddrPort) messenger.Planning { return server.keepers.at(address.String()) },
+	server.subscriber = subscriber.New(subscriber.Options{
+		Host: peerSubscription{Server: server, deliveries: &deliveryTimes{}}, Clock: clock, Log: log, Own: s.Address(), Wait: subscriber.LeastWait,
+		Dial: func(address netip.AddrPort) messenger.Planning { return server.peers.forAddress(address.String()) },
 	})
-	server.bulletin.clock, server.bulletin.readers = clock, server.directory.size
+	server.updates.clock, server.updates.followers = clock, server.directory.size
 	server.metrics = newMetrics(server)
-	server.view.Store(&view{quorumAt: clock.Now()})
+	server.view.Store(&view{lastQuorum: clock.Now()})
 	return server
 }
 
-// randomSource spreads election timeouts; it must differ between keepers.
+// randomSource returns the source of the randomized election timeouts. Its seed must
+// differ between keepers.
 func randomSource() *rand.Rand {
 	return rand.New(rand.NewPCG(new(maphash.Hash).Sum64(), rand.Uint64()))
 }
 
-// mint makes the identity of a new disk.
-func mint() replicator.ID {
+// newDiskID returns a random non-zero identity for a new disk.
+func newDiskID() replicator.ID {
 	for {
 		if id := replicator.ID(rand.Uint64()); id != 0 {
 			return id
@@ -199,7 +208,8 @@
 	}
 }
 
-// serve listens, runs the control loop and stops everything in order.
+// serve listens, runs the control loop and shuts all parts down in order. It returns the
+// first failure of the loop, of a listener or of the membership maintenance.
 func (s *Server) serve(ctx context.Context, d *driver.Driver) error {
 	control, err := net.Listen("tcp", s.settings.Control.String())
 	if err != nil {
@@ -219,7 +229,7 @@
 
 	controlServer := dialer.Server(s.settings.Secret, s.controlHandler())
 	publicServer := &http.Server{Handler: s.publicHandler(), ReadHeaderTimeout: stopGrace}
-	go func() { failures <- controlServer.Serve(dialer.Listener(control, &s.bytes)) }()
+	go func() { failures <- controlServer.Serve(dialer.Listener(control, &s.traffic)) }()
 	go func() { failures <- publicServer.Serve(public) }()
 
 	servers := []*http.Server{controlServer, publicServer}
@@ -230,15 +240,15 @@
 		}
 		servers = append(servers, server)
 	}
-	var keeping sync.WaitGroup
-	keepCtx, endKeep := context.WithCancel(context.Background())
-	keeping.Go(func() {
-		if err := s.maintain(keepCtx); err != nil {
+	var background sync.WaitGroup
+	backgroundCtx, endBackground := context.WithCancel(context.Background())
+	background.Go(func() {
+		if err := s.maintain(backgroundCtx); err != nil {
 			failures <- err
 		}
 	})
 	if s.settings.Platform != nil {
-		keeping.Go(func() { s.keepDirectory(keepCtx) })
+		background.Go(func() { s.runDirectory(backgroundCtx) })
 	}
 	s.log.Info().Str("name", s.settings.Name).Str("control", control.Addr().String()).Msg("keeper started")
 
@@ -247,16 +257,16 @@
 	case <-ctx.Done():
 	case failure = <-failures:
 	}
-	endKeep()
-	keeping.Wait()
+	endBackground()
+	background.Wait()
 	s.stop(servers, failure == nil)
 	endLoop()
 	<-s.stopped
 	return failure
 }
 
-// stop hands leadership over, answers long polls, and waits for calls in
-// progress, so that a planned stop costs no one an election timeout.
+// stop transfers leadership, answers long polls, and waits for in-flight calls, so that
+// no caller waits for an election timeout after a graceful shutdown.
 func (s *Server) stop(servers []*http.Server, graceful bool) {
 	close(s.stopping)
 	if graceful {
@@ -266,17 +276,19 @@
 	defer cancel()
 	for _, server := range servers {
 		if err := server.Shutdown(ctx); err != nil {
-			s.log.Warn().Err(err).Msg("calls were cut off at the stop; raise the callers' patience or stop later")
+			s.log.Warn().Err(err).Msg("in-flight calls did not finish within the shutdown grace period; closing their connections; raise the timeouts of the callers or stop the keeper at a time of less load")
 			closeAndLog(server, s.log)
 		}
 	}
 	s.log.Info().Msg("keeper stopped")
 }
 
+// handOver transfers leadership to another keeper if this one leads, and waits until it
+// has ceased to lead or the timeout ends.
 func (s *Server) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), handoverElections*s.timing.Election)
 	defer cancel()
-	transferring, err := ask(ctx, s, func(now time.Time, d *driver.Driver) bool { return d.Transfer(now) })
+	transferring, err := callLoop(ctx, s, func(now time.Time, d *driver.Driver) bool { return d.Transfer(now) })
 	if err != nil || !transferring {
 		return
 	}
@@ -287,7 +299,7 @@
 	}
 }
 
-// pause sleeps on the injected clock.
+// pause sleeps on the injected clock. It returns early with an error if the context ends.
 func (s *Server) pause(ctx context.Context, length time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -297,13 +309,14 @@
 	}
 }
 
-// loop is the control loop.
+// loop is the control loop: it ticks the driver, runs queued tasks and completes
+// snapshots. It returns the first error of the driver.
 func (s *Server) loop(ctx context.Context, d *driver.Driver) error {
 	defer close(s.stopped)
 	ticker := s.clock.NewTicker(s.timing.Heartbeat / ticksPerHeartbeat)
 	defer ticker.Stop()
 	for {
-		if err := s.turn(d); err != nil {
+		if err := s.commitBatch(d); err != nil {
 			return err
 		}
 		select {
@@ -313,7 +326,7 @@
 			d.Tick(s.clock.Now())
 		case first := <-s.inbox:
 			s.drain(d, first)
-		case written := <-s.written:
+		case written := <-s.snapshotResults:
 			if err := d.SnapshotWritten(written.snapshot, written.err); err != nil {
 				return err
 			}
@@ -321,17 +334,18 @@
 	}
 }
 
-// drain runs what has gathered in the inbox, but no more than fits into it, so
-// that a flood of calls does not keep the loop from flushing.
-func (s *Server) drain(d *driver.Driver, first event) {
+// drain runs the first task and the tasks that are queued in the inbox at that time. Their
+// number is bounded by the inbox, so that a flood of calls does not delay the flush.
+func (s *Server) drain(d *driver.Driver, first task) {
 	first(s.clock.Now(), d)
 	for range len(s.inbox) {
 		(<-s.inbox)(s.clock.Now(), d)
 	}
 }
 
-// turn makes one batch durable and publishes what it changed.
-func (s *Server) turn(d *driver.Driver) error {
+// commitBatch flushes one batch to disk, starts writing a snapshot if one is needed, and
+// publishes the new state.
+func (s *Server) commitBatch(d *driver.Driver) error {
 	if err := d.Flush(s.clock.Now()); err != nil {
 		return err
 	}
@@ -340,65 +354,69 @@
 		return err
 	}
 	if snapshot != nil {
-		go func() { s.written <- snapshotWritten{snapshot: snapshot, err: snapshot.Write()} }()
+		go func() { s.snapshotResults <- snapshotWritten{snapshot: snapshot, err: snapshot.Write()} }()
 	}
 	s.publish(d)
 	return nil
 }
 
-// publish shows the driver's state to the other goroutines and logs changes.
+// publish stores the driver's state in the view for other goroutines, wakes waiting calls
+// and logs changes.
 func (s *Server) publish(d *driver.Driver) {
 	now := s.clock.Now()
 	next := &view{
-		status: d.Status(now), full: d.Full(),
-		revision:   d.State().Configuration().Revision(),
-		quarantine: d.State().QuarantineRevision(),
-		claims:     d.State().Claims(), applied: d.Applied(),
-		plan: d.State().Plan(), zones: d.State().Evacuations(),
-		diskBytes: d.DiskBytes(), counters: d.Counters(), dropped: s.sender.Dropped(),
-	}
-	next.quorumAt = s.view.Load().quorumAt
+		status: d.Status(now), diskFull: d.Full(),
+		revision:           d.State().Configuration().Revision(),
+		quarantineRevision: d.State().QuarantineRevision(),
+		claims:             d.State().Claims(), appliedIndex: d.Applied(),
+		plan: d.State().Plan(), evacuations: d.State().Evacuations(),
+		diskBytes: d.DiskBytes(), counters: d.Counters(), droppedMessages: s.sender.Dropped(),
+	}
+	next.lastQuorum = s.view.Load().lastQuorum
 	if next.status.Quorum {
-		next.quorumAt = now
+		next.lastQuorum = now
 	}
-	// Before the view is shown: who hears that a zone is taken back must not find its endpoints warm.
-	if shown := s.view.Load().zones; shown.Revision != next.zones.Revision {
-		s.chillReturning(shown.Zones, next.zones)
+	// This happens before the view is published: a reader that learns of the end of a zone's
+	// evacuation must not find the zone's endpoints marked as warm.
+	if shown := s.view.Load().evacuations; shown.Revision != next.evacuations.Revision {
+		s.chillReturning(shown.Zones, next.evacuations)
 	}
 	last := s.view.Swap(next)
 	s.retired.note(last.status.Group, next.status.Group)
 	for _, replica := range next.status.Group {
 		s.sender.Learn(replica.ID, replica.Address)
 	}
-	if last.revision != next.revision || last.quarantine != next.quarantine {
-		s.watch.wake()
+	if last.revision != next.revision || last.quarantineRevision != next.quarantineRevision {
+		s.configurationChanged.notify()
 	}
 	if last.plan.GetVersion() != next.plan.GetVersion() {
 		s.log.Info().Uint64("version", next.plan.GetVersion()).Uint64("before", last.plan.GetVersion()).Msg("plan in force")
-		s.bulletin.wake(true)
+		s.updates.notify(true)
 	}
-	if last.zones.Revision != next.zones.Revision {
-		s.bulletin.wake(true)
+	if last.evacuations.Revision != next.evacuations.Revision {
+		s.updates.notify(true)
 	}
 	if last.status.Leader != next.status.Leader {
-		s.leadership.wake()
+		s.leadershipChanged.notify()
 	}
 	s.logChanges(last, next)
 }
 
+// logChanges logs differences in leadership, quorum and disk space between two views.
 func (s *Server) logChanges(last, next *view) {
 	if last.status.State != next.status.State || last.status.Leader != next.status.Leader {
 		s.log.Info().Stringer("state", next.status.State).Uint64("term", next.status.Term).
 			Str("leader", nameOf(next.status.Group, next.status.Leader)).Msg("leadership changed")
 	}
 	if last.status.Quorum != next.status.Quorum {
-		s.log.Info().Bool("quorum", next.status.Quorum).Msg("contact with the quorum changed")
+		s.log.Info().Bool("quorum", next.status.Quorum).Msg("contact with a quorum of keepers changed")
 	}
-	if last.full != next.full {
-		s.log.Warn().Bool("full", next.full).Msg("room on the disk changed; a full disk keeps this keeper out of the group")
+	if last.diskFull != next.diskFull {
+		s.log.Warn().Bool("full", next.diskFull).Msg("free space on the disk changed; while the disk is full this keeper takes no part in the group")
 	}
 }
 
+// nameOf returns the name of a replica of the group, empty if the group has no such replica.
 func nameOf(group replicator.Group, id replicator.ID) string {
 	replica, found := group.Find(id)
 	if !found {
@@ -407,10 +425,10 @@
 	return replica.Name
 }
 
-// post hands an event to the control loop.
-func (s *Server) post(ctx context.Context, e event) error {
+// enqueue adds a task to the inbox of the control loop. It blocks while the inbox is full.
+func (s *Server) enqueue(ctx context.Context, t task) error {
 	select {
-	case s.inbox <- e:
+	case s.inbox <- t:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -419,11 +437,11 @@
 	}
 }
 
-// ask runs a function in the control loop and returns its answer.
-func ask[T any](ctx context.Context, s *Server, question func(time.Time, *driver.Driver) T) (T, error) {
+// callLoop runs a function in the control loop and returns its result.
+func callLoop[T any](ctx context.Context, s *Server, call func(time.Time, *driver.Driver) T) (T, error) {
 	answer := make(chan T, 1)
 	var none T
-	err := s.post(ctx, func(now time.Time, d *driver.Driver) { answer <- question(now, d) })
+	err := s.enqueue(ctx, func(now time.Time, d *driver.Driver) { answer <- call(now, d) })
 	if err != nil {
 		return none, err
 	}
@@ -437,18 +455,19 @@
 	}
 }
 
-// outcome is an answer that comes later than the event that asked for it.
+// outcome is the result of an operation: a value or an error.
 type outcome[T any] struct {
 	value T
 	err   error
 }
 
-// await runs a function in the control loop and waits until it has been told
-// the outcome, which may be many turns later.
+// await runs a function in the control loop and waits until the function's callback receives
+// the outcome, which may be many batches later. If the context or the loop ends first, the
+// error contains driver.ErrUnknown: the operation may still take effect.
 func await[T any](ctx context.Context, s *Server, begin func(time.Time, *driver.Driver, func(T, error))) (T, error) {
 	answer := make(chan outcome[T], 1)
 	var none T
-	err := s.post(ctx, func(now time.Time, d *driver.Driver) {
+	err := s.enqueue(ctx, func(now time.Time, d *driver.Driver) {
 		begin(now, d, func(value T, err error) { answer <- outcome[T]{value: value, err: err} })
 	})
 	if err != nil {
@@ -464,36 +483,37 @@
 	}
 }
 
-// keepers makes clients of the other keepers.
-type keepers struct {
+// peerClients creates and caches clients of the other keepers.
+type peerClients struct {
 	client *http.Client
 	lock   sync.Mutex
-	byAddr map[string]colleague
+	byAddr map[string]peerClient
 }
 
-// colleague is another keeper's calls.
-type colleague struct {
+// peerClient is the RPC client of another keeper.
+type peerClient struct {
 	messenger.Keeping
 	messenger.Planning
 }
 
-// maxKeepers bounds the clients that are kept.
-const maxKeepers = 256
+// maxPeerClients bounds the cache of clients. The cache is emptied when it is full.
+const maxPeerClients = 256
 
-func (k *keepers) at(address string) colleague {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	known, found := k.byAddr[address]
+// forAddress returns the client of the keeper at a control address.
+func (p *peerClients) forAddress(address string) peerClient {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	known, found := p.byAddr[address]
 	if found {
 		return known
 	}
-	if k.byAddr == nil || len(k.byAddr) >= maxKeepers {
-		k.byAddr = make(map[string]colleague)
+	if p.byAddr == nil || len(p.byAddr) >= maxPeerClients {
+		p.byAddr = make(map[string]peerClient)
 	}
-	known = colleague{
-		Keeping:  messenger.NewKeepingProtobufClient("http://"+address, k.client),
-		Planning: messenger.NewPlanningProtobufClient("http://"+address, k.client),
+	known = peerClient{
+		Keeping:  messenger.NewKeepingProtobufClient("http://"+address, p.client),
+		Planning: messenger.NewPlanningProtobufClient("http://"+address, p.client),
 	}
-	k.byAddr[address] = known
+	p.byAddr[address] = known
 	return known
 }
--- a/keeper/internal/server/server_test.go
+++ b/keeper/internal/server/server_test.go
@@ -26,12 +26,12 @@
 
 const (
 	secret = "secret"
-	// patience is how long a condition may take to come true before a test
-	// fails; no test passes by waiting.
-	patience = 20 * time.Second
+	// waitTimeout is how long a condition may take to become true before a test fails. No test
+	// passes merely because time passes.
+	waitTimeout = 20 * time.Second
 )
 
-// process is one keeper that runs in this process on loopback.
+// process is a keeper on loopback, run inside the test process.
 type process struct {
 	settings settings.Settings
 	cancel   context.CancelFunc
@@ -45,26 +45,27 @@
 	processes []*process
 }
 
-// hosts numbers the loopback addresses that tests have taken.
-var hosts atomic.Uint32
+// lastHost counts the loopback addresses that the tests use.
+var lastHost atomic.Uint32
 
-// freeAddress returns an address that nothing else uses, also while its keeper is
-// stopped: each is a host of its own in 127.0.0.0/8. A free port of 127.0.0.1
-// could go to another test or an outgoing connection before the keeper is back.
+// freeAddress returns an address that stays unused by others while its keeper is stopped: each
+// address is a separate host in 127.0.0.0/8. A free port of 127.0.0.1 could be taken by another
+// test or an outgoing connection before the keeper restarts.
 func freeAddress() netip.AddrPort {
 	process := os.Getpid()
-	host := hosts.Add(1)
+	host := lastHost.Add(1)
 	address := netip.AddrFrom4([4]byte{127, byte(1 + host/250), byte(process), byte(1 + host%250)})
 	return netip.AddrPortFrom(address, uint16(10_000+process>>8%10_000))
 }
 
+// startGroup starts a group with an election timeout of 200 ms.
 func startGroup(t testing.TB, size int) *group {
 	t.Helper()
-	return startPaced(t, size, 200*time.Millisecond)
+	return startGroupWithElection(t, size, 200*time.Millisecond)
 }
 
-// startPaced starts a group with an election timeout.
-func startPaced(t testing.TB, size int, election time.Duration) *group {
+// startGroupWithElection starts a group with a given election timeout.
+func startGroupWithElection(t testing.TB, size int, election time.Duration) *group {
 	t.Helper()
 	g := &group{t: t}
 	addresses := make(map[string]netip.AddrPort)
@@ -112,12 +113,13 @@
 	require.NoError(g.t, <-p.ended)
 }
 
-// eventually waits for something that the processes do by themselves.
+// eventually waits until a condition holds, for at most waitTimeout.
 func (g *group) eventually(condition func() bool, message string) {
 	g.t.Helper()
-	require.Eventually(g.t, condition, patience, 5*time.Millisecond, message)
+	require.Eventually(g.t, condition, waitTimeout, 5*time.Millisecond, message)
 }
 
+// status returns the status of a keeper, empty if it does not answer.
 func (g *group) status(p *process) *messenger.KeeperStatusResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -128,6 +130,7 @@
 	return status
 }
 
+// ready waits until all keepers are voters and have contact with a quorum.
 func (g *group) ready() {
 	g.t.Helper()
 	g.eventually(func() bool {
@@ -146,6 +149,7 @@
 	}, "all keepers are voters with a quorum")
 }
 
+// leader waits for a leader and returns it.
 func (g *group) leader() *process {
 	var leader *process
 	g.eventually(func() bool {
@@ -160,6 +164,7 @@
 	return leader
 }
 
+// follower returns a running keeper other than the leader, nil if there is none.
 func (g *group) follower() *process {
 	leader := g.leader()
 	for _, p := range g.processes {
@@ -170,18 +175,19 @@
 	return nil
 }
 
-// awaitRemoved waits until a keeper has stopped because it was removed.
+// awaitRemoved waits until a keeper has stopped because it was removed from the group.
 func (g *group) awaitRemoved(p *process) {
 	g.t.Helper()
 	select {
 	case err := <-p.ended:
 		require.ErrorIs(g.t, err, ErrRemoved)
-	case <-time.After(patience):
-		g.t.Fatal("it did not stop")
+	case <-time.After(waitTimeout):
+		g.t.Fatal("the removed keeper did not stop")
 	}
 	p.cancel = nil
 }
 
+// apply applies a change that creates an endpoint with the id as its name.
 func (g *group) apply(p *process, id string) *messenger.ApplyResponse {
 	g.t.Helper()
 	response, err := p.client.Apply(context.Background(), &messenger.ApplyRequest{Change: id, Edits: []*messenger.Edit{
@@ -192,6 +198,8 @@
 	return response
 }
 
+// Guards against a keeper that answers a call differently from its peers: changes, claims, records
+// and history are accepted at every keeper with the same result.
 func TestAnyKeeperAnswers(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
@@ -223,8 +231,8 @@
 	require.Len(t, history.GetRevisions(), 2)
 }
 
-// Symptom: a router has a change long after it was accepted. Cause: the poll is
-// not woken, on the keeper that the router happens to ask.
+// Guards against a router that receives a change long after it was accepted, because its long
+// poll is not woken at the keeper that it polls.
 func TestWatchWakesAtEveryKeeper(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
@@ -233,7 +241,7 @@
 	for _, p := range g.processes {
 		group.Go(func() {
 			response, err := p.client.Watch(context.Background(), &messenger.WatchRequest{
-				WaitMs: uint32(patience.Milliseconds()), Router: "router-at-" + p.settings.Name, Zone: "z",
+				WaitMs: uint32(waitTimeout.Milliseconds()), Router: "router-at-" + p.settings.Name, Zone: "z",
 			})
 			if err != nil || response.GetRevision() != 1 || len(response.GetObjects()) != 1 || response.GetStale() {
 				t.Errorf("watch at %s: %v, %v", p.settings.Name, response, err)
@@ -243,21 +251,21 @@
 	start := time.Now()
 	g.apply(g.follower(), "change")
 	group.Wait()
-	require.Less(t, time.Since(start), patience/2, "no poll waited to its end")
+	require.Less(t, time.Since(start), waitTimeout/2, "no poll waited until its timeout")
 
 	status := g.status(g.processes[0])
-	require.Len(t, status.GetRouters(), 3, "one keeper names the routers of all")
+	require.Len(t, status.GetRouters(), 3, "one keeper lists the routers of all keepers")
 	require.Zero(t, status.GetRouters()[0].GetInForce())
 	_, err := g.processes[1].client.Watch(context.Background(), &messenger.WatchRequest{
 		After: 1, Router: "router-at-keeper-1", Zone: "z", InForce: 1,
 	})
 	require.NoError(t, err)
-	require.EqualValues(t, 1, g.status(g.processes[2]).GetRouters()[0].GetInForce(), "the newest row of a router that changed keepers")
+	require.EqualValues(t, 1, g.status(g.processes[2]).GetRouters()[0].GetInForce(), "the newest entry of a router that changed keepers")
 }
 
-// Symptom: a request that crashes endpoints is let through again by a router
-// that waits for configuration only.
-func TestWatchTellsOfQuarantineOnce(t *testing.T) {
+// Guards against a router that admits a quarantined request again because its long poll is only
+// woken by configuration changes and misses new fingerprints.
+func TestWatchReturnsQuarantineOnce(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 1)
 	g.ready()
@@ -272,15 +280,15 @@
 		return response
 	}
 	start := time.Now()
-	require.EqualValues(t, 7, watch(patience).GetQuarantined()[0].GetDigest())
-	require.Less(t, time.Since(start), patience/2, "it did not wait")
+	require.EqualValues(t, 7, watch(waitTimeout).GetQuarantined()[0].GetDigest())
+	require.Less(t, time.Since(start), waitTimeout/2, "it did not wait")
 	start = time.Now()
-	require.Len(t, watch(50*time.Millisecond).GetQuarantined(), 1, "later answers have the list too")
-	require.GreaterOrEqual(t, time.Since(start), 50*time.Millisecond, "but are not hurried by it")
+	require.Len(t, watch(50*time.Millisecond).GetQuarantined(), 1, "later answers contain the list too")
+	require.GreaterOrEqual(t, time.Since(start), 50*time.Millisecond, "but the list does not end their wait")
 }
 
-// Symptom: nothing can be changed while one keeper is down, or what was accepted
-// is gone when it is back.
+// Guards against a group that accepts no changes while one keeper is down, and against accepted
+// changes that are lost when that keeper restarts.
 func TestAChangeSurvivesItsLeader(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
@@ -291,30 +299,30 @@
 	require.EqualValues(t, 2, g.apply(g.follower(), "meanwhile").GetRevision())
 	g.start(old)
 	g.ready()
-	g.eventually(func() bool { return g.status(old).GetRevision() == 2 }, "it has what it missed")
+	g.eventually(func() bool { return g.status(old).GetRevision() == 2 }, "the restarted keeper has the missed change")
 }
 
-// Symptom: a planned stop costs everyone an election timeout. The leader hands
-// over instead, so another leads long before the followers would have missed it.
+// Guards against a planned stop after which all callers wait for an election timeout. The stopping
+// leader transfers leadership, so that another keeper leads long before the timeout.
 func TestPlannedStopHandsOver(t *testing.T) {
 	t.Parallel()
 	const election = time.Second
-	g := startPaced(t, 3, election)
+	g := startGroupWithElection(t, 3, election)
 	g.ready()
 	old, next := g.leader(), g.follower()
 	term := g.status(old).GetTerm()
 	start := time.Now()
 	old.cancel()
-	g.eventually(func() bool { return g.status(next).GetTerm() > term && g.status(next).GetQuorum() }, "another leads")
+	g.eventually(func() bool { return g.status(next).GetTerm() > term && g.status(next).GetQuorum() }, "another keeper leads")
 	require.Less(t, time.Since(start), election*3/4)
-	require.Equal(t, term+1, g.status(next).GetTerm(), "one election, and it was won at once")
+	require.Equal(t, term+1, g.status(next).GetTerm(), "the first election has a winner")
 	old.cancel = nil
 	require.NoError(t, <-old.ended)
 }
 
-// Symptom: an accepted change is gone after a disk was replaced. Sequence: a
-// keeper starts with an empty folder and the same settings, while the first of
-// the settings, and founds a group of its own.
+// Guards against the loss of an accepted change after a disk is replaced: the keeper that is
+// listed first in the settings restarts with an empty data folder, and must join the existing
+// group instead of founding a new one.
 func TestWipedFounderJoins(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
@@ -326,26 +334,26 @@
 	require.NoError(t, os.RemoveAll(founder.settings.Data))
 	g.start(founder)
 	g.ready()
-	g.eventually(func() bool { return g.status(founder).GetRevision() == 1 }, "it has what was accepted")
+	g.eventually(func() bool { return g.status(founder).GetRevision() == 1 }, "the new disk has the accepted change")
 	require.NotEqual(t, disk, g.status(founder).GetDisk())
 	for _, keeper := range g.status(g.leader()).GetKeepers() {
-		require.NotEqual(t, disk, keeper.GetDisk(), "the old disk is no member")
+		require.NotEqual(t, disk, keeper.GetDisk(), "the old disk is not a member any more")
 	}
 }
 
-// Symptom: a cut-off zone's routers have no configuration at all. A keeper
-// without a quorum answers what it has and says that it may be stale, and
-// refuses what it cannot decide.
+// Guards against routers of a partitioned zone that get no configuration at all. A keeper without
+// a quorum returns its applied configuration, marked as possibly stale, and refuses calls that
+// need a quorum.
 func TestKeeperWithoutQuorum(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
 	g.ready()
 	g.apply(g.processes[0], "before")
 	alone := g.processes[2]
-	g.eventually(func() bool { return g.status(alone).GetRevision() == 1 }, "it has the change")
+	g.eventually(func() bool { return g.status(alone).GetRevision() == 1 }, "the keeper has the change")
 	g.stop(g.processes[0])
 	g.stop(g.processes[1])
-	g.eventually(func() bool { return !g.status(alone).GetQuorum() }, "it notices")
+	g.eventually(func() bool { return !g.status(alone).GetQuorum() }, "the keeper notices the loss of its quorum")
 	response, err := alone.client.Watch(context.Background(), &messenger.WatchRequest{})
 	require.NoError(t, err)
 	require.True(t, response.GetStale())
@@ -364,6 +372,7 @@
 	require.EqualValues(t, 1, metric(t, alone, "keeper_revision"))
 }
 
+// get returns the status code and the body of an HTTP GET.
 func get(t testing.TB, url string) (int, string) {
 	t.Helper()
 	response, err := http.Get(url)
@@ -374,7 +383,7 @@
 	return response.StatusCode, string(body)
 }
 
-// metric reads one of a keeper's metrics.
+// metric returns the value of a keeper's metric without labels.
 func metric(t testing.TB, p *process, name string) float64 {
 	t.Helper()
 	_, text := get(t, "http://"+p.settings.Listen.String()+"/metrics")
@@ -389,32 +398,33 @@
 	return 0
 }
 
-// Symptom: a removed keeper goes on as if it counted, or joins again by itself.
+// Guards against a removed keeper that continues to run as a member, or that joins the group again
+// by itself.
 func TestRemovedKeeperStops(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
 	g.ready()
 	gone := g.follower()
-	// One that does not know yet that it was a member takes itself for a newcomer.
-	g.eventually(func() bool { return g.status(gone).GetCommit() > 1 }, "it knows that it is a member")
+	// A keeper that has not yet applied its own membership would treat itself as a new one.
+	g.eventually(func() bool { return g.status(gone).GetCommit() > 1 }, "the keeper has applied its own membership")
 	g.eventually(func() bool {
 		response, err := g.leader().client.Alter(context.Background(), &messenger.AlterRequest{Remove: gone.settings.Name})
 		return err == nil && response.GetError() == ""
-	}, "it is removed")
+	}, "the keeper is removed")
 	g.awaitRemoved(gone)
 	require.Len(t, g.status(g.leader()).GetKeepers(), 2)
 	g.apply(g.leader(), "afterwards")
 }
 
-// Symptom: an operator removes a keeper, and is told that there is no such member.
-// Sequence: the removal is committed and its answer is lost; the operator sends it again.
-// Cause: a removal that had been done was judged as one of somebody who never was a member.
+// Guards against an operator who removes a keeper and gets the error that there is no such member:
+// the removal is committed, its answer is lost, and the operator resends it. A repeated removal
+// must not be treated like the removal of a name that never was a member.
 func TestRemovalIsIdempotent(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 3)
 	g.ready()
 	gone := g.follower()
-	g.eventually(func() bool { return g.status(gone).GetCommit() > 1 }, "it knows that it is a member")
+	g.eventually(func() bool { return g.status(gone).GetCommit() > 1 }, "the keeper has applied its own membership")
 	remove := func(name string) (string, error) {
 		response, err := g.leader().client.Alter(context.Background(), &messenger.AlterRequest{Remove: name})
 		return response.GetError(), err
@@ -423,14 +433,15 @@
 		refusal, err := remove(gone.settings.Name)
 		return err == nil && refusal == ""
 	}
-	g.eventually(removed, "it is removed")
+	g.eventually(removed, "the keeper is removed")
 	g.awaitRemoved(gone)
-	g.eventually(removed, "the removal is sent again")
+	g.eventually(removed, "the resent removal succeeds")
 	refusal, err := remove("nobody")
 	require.NoError(t, err)
 	require.Contains(t, refusal, "no such member")
 }
 
+// Guards against calls with a wrong secret or with invalid arguments that are accepted.
 func TestCallersAreChecked(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 1)
@@ -445,7 +456,7 @@
 			return err
 		},
 		"too many claims": func() error {
-			_, err := p.client.Claim(context.Background(), &messenger.ClaimRequest{Claims: make([]*messenger.ClaimEntry, maxBatch+1)})
+			_, err := p.client.Claim(context.Background(), &messenger.ClaimRequest{Claims: make([]*messenger.ClaimEntry, maxBatchEntries+1)})
 			return err
 		},
 		"an edit of nothing": func() error {
--- a/keeper/internal/server/shedding.go
+++ b/keeper/internal/server/shedding.go
@@ -19,7 +19,7 @@
 // keeper answers each once in a longer time, and at once for a newer configuration or to
 // whoever has only just begun to follow.
 func (p planning) hold(request *messenger.FollowRequest) (held time.Duration, gathered bool) {
-	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, maxWait)
+	wait := min(time.Duration(request.GetWaitMs())*time.Millisecond, maxPollWait)
 	if request.GetEpoch() == p.epoch && p.pacer.Lags() {
 		return wait + lateHold, true
 	}
--- a/keeper/internal/server/shedding_test.go
+++ b/keeper/internal/server/shedding_test.go
@@ -30,7 +30,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			seeded := newSeeded(t, "keeper", freeAddress(), []netip.AddrPort{freeAddress()})
+			seeded := newSeededKeeper(t, "keeper", freeAddress(), []netip.AddrPort{freeAddress()})
 			s := newServer(&seeded.settings, zerolog.Nop(), clock)
 			for range 20 {
 				if test.late {
@@ -64,21 +64,21 @@
 				select {
 				case news := <-answer:
 					return news
-				case <-time.After(patience):
+				case <-time.After(waitTimeout):
 					t.Fatal("it was not answered")
 				}
 				return nil
 			}
 			polled := answered()
 			s.directory.beat(clock.Now(), endpointAt("a", 1, lister.Ready))
-			s.bulletin.wake(true)
+			s.updates.notify(true)
 			require.Len(t, after(polled, test.endpoint).GetListings(), 1)
 			first, err := planning{s}.Follow(t.Context(), &messenger.FollowRequest{Node: "new", WaitMs: uint32(wait.Milliseconds())})
 			require.NoError(t, err)
 			require.Len(t, first.GetListings(), 1, "who begins to follow is told at once")
 			polled = answered()
 			s.view.Store(&view{plan: version(7, "seven")})
-			s.bulletin.wake(true)
+			s.updates.notify(true)
 			require.EqualValues(t, 7, after(polled, test.plan).GetPlan())
 		})
 	}
--- a/keeper/internal/server/watching.go
+++ b/keeper/internal/server/watching.go
@@ -7,7 +7,8 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// watch wakes everyone who waits for a change.
+// watch broadcasts changes to waiting goroutines by closing a channel. Its zero value is ready
+// for use.
 type watch struct {
 	lock    sync.Mutex
 	changed chan struct{}
@@ -23,7 +24,8 @@
 	return w.changed
 }
 
-func (w *watch) wake() {
+// notify closes the channels that next has returned since the last notification.
+func (w *watch) notify() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if w.changed != nil {
@@ -33,89 +35,95 @@
 }
 
 const (
-	// maxRouters bounds the table of routers.
+	// maxRouters bounds the number of routers in the table.
 	maxRouters = 4096
-	// routerMemory is how long a router that is no longer heard is listed.
-	routerMemory = 10 * time.Minute
+	// routerRetention is how long a router is listed after its last poll.
+	routerRetention = 10 * time.Minute
 )
 
-// routers is what this keeper knows of the routers that poll it. It is soft:
-// each poll tells it again.
-type routers struct {
-	lock  sync.Mutex
-	known map[string]*router
+// routerTable holds the state of the routers that poll this keeper. It is soft state: each
+// poll reports it anew.
+type routerTable struct {
+	lock   sync.Mutex
+	byName map[string]*routerState
 }
 
-type router struct {
-	zone       string
-	inForce    uint64
-	heard      time.Time
-	quarantine uint64 // the revision of the list that was sent last
+// routerState is the content of a router's last poll.
+type routerState struct {
+	zone               string
+	inForce            uint64 // revision of the configuration that the router uses
+	lastPoll           time.Time
+	quarantineRevision uint64 // revision of the quarantine list sent last
 }
 
-// hear notes what a router told in its poll.
-func (r *routers) hear(now time.Time, request *messenger.WatchRequest) {
+// observe records a poll. It ignores polls without a router name.
+func (r *routerTable) observe(now time.Time, request *messenger.WatchRequest) {
 	if request.GetRouter() == "" {
 		return
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	known := r.get(request.GetRouter())
-	known.zone, known.inForce, known.heard = request.GetZone(), request.GetInForce(), now
+	known.zone, known.inForce, known.lastPoll = request.GetZone(), request.GetInForce(), now
 }
 
-func (r *routers) get(name string) *router {
-	if r.known == nil {
-		r.known = make(map[string]*router)
+// get returns the entry of a router and adds it if it is missing, evicting another one if the
+// table is full. The caller holds the lock.
+func (r *routerTable) get(name string) *routerState {
+	if r.byName == nil {
+		r.byName = make(map[string]*routerState)
 	}
-	known, found := r.known[name]
+	known, found := r.byName[name]
 	if found {
 		return known
 	}
-	if len(r.known) >= maxRouters {
-		r.forgetOldest()
+	if len(r.byName) >= maxRouters {
+		r.evictOldest()
 	}
-	known = &router{}
-	r.known[name] = known
+	known = &routerState{}
+	r.byName[name] = known
 	return known
 }
 
-func (r *routers) forgetOldest() {
+// evictOldest deletes the router that has not polled for the longest time.
+func (r *routerTable) evictOldest() {
 	oldest := ""
-	for name, at := range r.known {
-		if oldest == "" || at.heard.Before(r.known[oldest].heard) {
+	for name, at := range r.byName {
+		if oldest == "" || at.lastPoll.Before(r.byName[oldest].lastPoll) {
 			oldest = name
 		}
 	}
-	delete(r.known, oldest)
+	delete(r.byName, oldest)
 }
 
-// quarantine tells whether a router has been sent this revision of the list of
-// fingerprints. If that answer was lost, its next poll's answer has the list.
-func (r *routers) quarantine(name string, revision uint64) bool {
+// hasQuarantine reports whether this revision of the list of fingerprints has been sent to a
+// router. It is also true for an unknown router. If the answer with the list was lost, the
+// answer to the router's next poll contains the list again.
+func (r *routerTable) hasQuarantine(name string, revision uint64) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	known, found := r.known[name]
-	return !found || known.quarantine == revision
+	known, found := r.byName[name]
+	return !found || known.quarantineRevision == revision
 }
 
-func (r *routers) quarantineSent(name string, revision uint64) {
+// quarantineSent records the revision of the quarantine list that was sent to a router.
+func (r *routerTable) quarantineSent(name string, revision uint64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if known, found := r.known[name]; found {
-		known.quarantine = revision
+	if known, found := r.byName[name]; found {
+		known.quarantineRevision = revision
 	}
 }
 
-// list returns the routers heard of late.
-func (r *routers) list(now time.Time) []*messenger.RouterSeen {
+// list returns the routers that polled within routerRetention, and deletes the others.
+func (r *routerTable) list(now time.Time) []*messenger.RouterSeen {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	var listed []*messenger.RouterSeen
-	for name, at := range r.known {
-		age := now.Sub(at.heard)
-		if age > routerMemory {
-			delete(r.known, name)
+	for name, at := range r.byName {
+		age := now.Sub(at.lastPoll)
+		if age > routerRetention {
+			delete(r.byName, name)
 			continue
 		}
 		listed = append(listed, &messenger.RouterSeen{
--- a/keeper/main.go
+++ b/keeper/main.go
@@ -36,7 +36,7 @@
 	clock := clockwork.NewRealClock()
 	return server.Run(ctx, &read, log, clock, server.Platform{
 		Handler: func(planner server.Planner) http.Handler {
-			return platform.Control(planner, server.MaxPlan, clock, log)
+			return platform.Control(planner, server.MaxPlanBytes, clock, log)
 		},
 		Services: platform.Dialect{}.Services,
 	})
