--- a/keeper/internal/archiver/archiver.go
+++ b/keeper/internal/archiver/archiver.go
@@ -1,12 +1,12 @@
 // Package archiver keeps a copy of the list of endpoints on a keeper's disk.
 //
-// The list is soft: endpoints tell it again within an interval of their heartbeats. After a
-// loss of all power that interval is what routers wait for: they have a configuration and
-// are asked, and know of no endpoint, or of the few that happened to tell first, which then
-// get all the work. With the copy they begin with the list of before.
+// The list is soft state: heartbeats rebuild it within one heartbeat interval. After a power
+// loss of the whole fleet, routers have a configuration and receive requests during that
+// interval, but know no endpoints, or only the few whose heartbeats arrived first and which
+// would get all the work. With the copy, routers start with the list from before the power loss.
 //
-// Invariants: what a copy tells is only ever as good as a late heartbeat, so that whatever
-// is heard after it wins; a copy that is old, damaged or missing is as none.
+// Invariants: the copy has the weight of a late heartbeat, so that any later heartbeat
+// overrides it; a copy that is stale, damaged or missing is not used.
 package archiver
 
 import (
@@ -22,19 +22,20 @@
 )
 
 const (
-	// name is the file's in the data folder.
-	name = "endpoints"
-	// MaxAge is how old a copy may be, by the time of day. Endpoints of an older one have
-	// been taken for lost by every keeper that went on.
+	// fileName is the name of the copy's file in the data folder.
+	fileName = "endpoints"
+	// MaxAge is the maximum age of a usable copy, by the wall clock. Every keeper that kept
+	// running has dropped the endpoints of an older copy as lost.
 	MaxAge = 30 * time.Second
-	// stampSize is that of the time at the start of the file, in Unix milliseconds.
-	stampSize = 8
+	// timestampSize is the size in bytes of the time of writing, in Unix milliseconds, with which
+	// the file starts.
+	timestampSize = 8
 )
 
-// ErrOld means that a copy is too old to be used.
-var ErrOld = merry.Sentinel("the copy of the endpoints is too old")
+// ErrStale means that the copy was written more than MaxAge ago, or that far in the future.
+var ErrStale = merry.Sentinel("endpoint list copy is too old")
 
-// Write replaces the copy.
+// Write replaces the copy with listings as of now.
 func Write(files recorder.FileSystem, now time.Time, listings []lister.Listing) error {
 	message := &messenger.FollowResponse{}
 	for _, listing := range listings {
@@ -45,26 +46,26 @@
 	if err != nil {
 		return merry.Wrap(err)
 	}
-	return recorder.WriteWhole(files, name, body)
+	return recorder.WriteWhole(files, fileName, body)
 }
 
-// Read returns the copy. Its errors are ErrOld, recorder.ErrDamaged, lister.ErrWire and, if
-// there is none, fs.ErrNotExist.
+// Read returns the listings of the copy. Its errors are ErrStale, recorder.ErrDamaged, lister.ErrWire
+// and, if there is no copy, fs.ErrNotExist.
 func Read(files recorder.FileSystem, now time.Time) ([]lister.Listing, error) {
-	body, err := recorder.ReadWhole(files, name)
+	body, err := recorder.ReadWhole(files, fileName)
 	if err != nil {
 		return nil, err
 	}
-	if len(body) < stampSize {
-		return nil, merry.Errorf("%w: file %s holds %d bytes", recorder.ErrDamaged, name, len(body))
+	if len(body) < timestampSize {
+		return nil, merry.Errorf("%w: file %s holds %d bytes", recorder.ErrDamaged, fileName, len(body))
 	}
 	written := time.UnixMilli(int64(binary.LittleEndian.Uint64(body)))
 	if age := now.Sub(written); age > MaxAge || age < -MaxAge {
-		return nil, merry.Errorf("%w: it was written at %s", ErrOld, written.UTC().Format(time.RFC3339))
+		return nil, merry.Errorf("%w: written at %s", ErrStale, written.UTC().Format(time.RFC3339))
 	}
 	message := &messenger.FollowResponse{}
-	if err := proto.Unmarshal(body[stampSize:], message); err != nil {
-		return nil, merry.Errorf("%w: file %s: %v", recorder.ErrDamaged, name, err)
+	if err := proto.Unmarshal(body[timestampSize:], message); err != nil {
+		return nil, merry.Errorf("%w: file %s: %v", recorder.ErrDamaged, fileName, err)
 	}
 	listings := make([]lister.Listing, 0, len(message.GetListings()))
 	for _, wire := range message.GetListings() {
--- a/keeper/internal/driver/driver.go
+++ b/keeper/internal/driver/driver.go
@@ -74,7 +74,7 @@
 	waiting map[uint64][]waiter // by index, of one term each
 	changes changes
 	clock   clock
-	leases  lessor.Desk
+	leases  lessor.Granter
 	moved   time.Time // when the state's clock moved last
 
 	applied     uint64
--- a/keeper/internal/driver/leasing.go
+++ b/keeper/internal/driver/leasing.go
@@ -29,11 +29,11 @@
 		done(lessor.Answer{}, merry.Errorf("%w has answered yet; ask again", replicator.ErrNoQuorum))
 		return
 	}
-	ask := lessor.Ask{
+	ask := lessor.Request{
 		Pool: lessor.PoolFromWire(request.GetPool()), Holder: request.GetHolder(), Fence: request.GetFence(),
 		Loads: int(min(request.GetWantLoads(), lessor.MaxLoads)), Rate: d.loadRate(request.GetPool().GetService()),
 	}
-	answer := d.leases.Ask(now, status.Term, d.state.Leases(), ask)
+	answer := d.leases.Handle(now, status.Term, d.state.Leases(), ask)
 	if answer.Propose == nil {
 		done(answer, nil)
 		return
@@ -41,7 +41,7 @@
 	d.Propose(now, &messenger.Command{Lease: answer.Propose}, func(_ applier.Result, err error) {
 		// The lease runs from the request: that is the earlier time, and the
 		// holder counts from when it sent it.
-		done(d.leases.Granted(now, status.Term, d.state.Leases(), ask, err != nil), err)
+		done(d.leases.Complete(now, status.Term, d.state.Leases(), ask, err != nil), err)
 	})
 }
 
--- a/keeper/internal/lessor/bucket.go
+++ b/keeper/internal/lessor/bucket.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Burst is how much of its rate a bucket saves up; it saves at least one load.
-const Burst = 10 * time.Second
+// BurstWindow is the time after which a bucket is full: its capacity is the rate times this
+// window, at least one load.
+const BurstWindow = 10 * time.Second
 
-// bucket holds permits for the loads of one service. It starts empty: a new
-// leader does not know how many the last one gave, and a full one would let the
-// weight store be asked twice as often around every change of leader.
+// bucket is a token bucket of permits for the loads of one service. It starts empty: a
+// new leader does not know how many permits the previous one gave, and a full bucket
+// would allow twice the rate of loads from the weight store around every leader change.
 type bucket struct {
 	tokens float64
 	filled time.Time
 }
 
-// take returns how many of the wanted loads may begin, at a rate of loads per
-// minute.
+// take returns how many of the wanted loads may begin, and takes as many tokens. The
+// bucket fills at a rate of loads per minute.
 func (b *bucket) take(now time.Time, rate float64, wanted int) int {
-	passed := max(0, now.Sub(b.filled))
+	elapsed := max(0, now.Sub(b.filled))
 	b.filled = now
-	most := max(1, rate*Burst.Minutes())
-	b.tokens = min(most, b.tokens+rate*passed.Minutes())
-	given := min(wanted, int(b.tokens))
-	b.tokens -= float64(given)
-	return given
+	capacity := max(1, rate*BurstWindow.Minutes())
+	b.tokens = min(capacity, b.tokens+rate*elapsed.Minutes())
+	permits := min(wanted, int(b.tokens))
+	b.tokens -= float64(permits)
+	return permits
 }
--- a/keeper/internal/lessor/table.go
+++ b/keeper/internal/lessor/table.go
@@ -1,22 +1,22 @@
 // Package lessor leases each pool to one scheduler at a time, so that engines
 // get orders from one place, and paces the loads that are ordered.
 //
-// A Table is the replicated part: who holds a pool's lease and under which
-// fencing number. It changes only when a lease passes to another holder. A Desk
-// is the part in the leader's memory: until when each lease lasts, and how many
-// loads each service may begin. Renewals therefore cost no sync.
+// A Table is the replicated part: the holder of each pool's lease and its fencing
+// number. It changes only when a lease passes to another holder. A Granter is the
+// part in the leader's memory: the expiry of each lease, and the number of loads
+// that each service may begin. Renewals therefore need no disk sync.
 //
 // Invariants:
-//   - a fencing number is given once, and later grants have higher numbers, also
+//   - a fencing number is used once, and later grants have higher numbers, also
 //     across leaders, restarts and snapshots;
-//   - a pool passes to another holder only when the lease of the former one is
-//     over on its own clock: a new leader, which does not know the renewals of
-//     the last one, first waits as long as a lease lasts;
-//   - while a grant is on its way through the log, nobody's lease is renewed;
-//   - a service begins at most its rate of loads, plus Burst's part of it; a new
-//     leader starts with nothing saved up.
+//   - a pool passes to another holder only when the previous holder's lease has
+//     expired on that holder's own clock: a new leader, which does not know the
+//     renewals of the previous leader, first waits for the duration of a lease;
+//   - while a grant is pending in the log, no lease of its pool is renewed;
+//   - a service begins loads at most at its rate, plus a burst of the loads of
+//     BurstWindow; a new leader starts with empty buckets.
 //
-// The Table is bounded by MaxPools, and the Desk by the Table and MaxPools.
+// The Table is bounded by MaxPools, and the Granter by the Table and MaxPools.
 package lessor
 
 import (
@@ -29,13 +29,13 @@
 // MaxPools bounds the pools that have ever been leased.
 const MaxPools = 8192
 
-// Pool names what is leased.
+// Pool identifies a leased pool: the engines of a service in a zone.
 type Pool struct {
 	Zone    string
 	Service string
 }
 
-// PoolFromWire converts a pool's name.
+// PoolFromWire converts a pool from its message.
 func PoolFromWire(wire *messenger.Pool) Pool {
 	return Pool{Zone: wire.GetZone(), Service: wire.GetService()}
 }
@@ -44,31 +44,32 @@
 	return &messenger.Pool{Zone: p.Zone, Service: p.Service}
 }
 
-// Grant is who holds a pool's lease. The zero value is nobody.
+// Grant is the holder of a pool's lease and its fencing number. The zero value means that the
+// pool has never been leased.
 type Grant struct {
 	Holder string
 	Fence  uint64
 }
 
-// Table is the replicated part. The zero value is empty.
+// Table holds the grants that are replicated through the log. The zero value is empty.
 type Table struct {
-	last   uint64
+	last   uint64 // highest fencing number that was used
 	grants map[Pool]Grant
 }
 
-// Grant returns who holds a pool's lease as far as the log tells.
+// Grant returns the latest committed grant of a pool.
 func (t *Table) Grant(pool Pool) Grant {
 	return t.grants[pool]
 }
 
-// Full tells whether there is no room for a pool.
+// Full reports whether the table cannot take a grant of a pool.
 func (t *Table) Full(pool Pool) bool {
 	_, known := t.grants[pool]
 	return !known && len(t.grants) >= MaxPools
 }
 
-// Apply carries out a committed grant and returns who holds the lease then. A
-// grant that rests on an old state has no effect.
+// Apply applies a committed grant and returns the pool's grant afterwards. A grant
+// that was proposed before another one of its pool was applied has no effect.
 func (t *Table) Apply(wire *messenger.LeaseGrant) Grant {
 	pool := PoolFromWire(wire.GetPool())
 	current := t.grants[pool]
@@ -83,7 +84,7 @@
 	return t.grants[pool]
 }
 
-// Encode returns the table for a snapshot.
+// Encode converts the table for a snapshot.
 func (t *Table) Encode() *messenger.LeaseTable {
 	wire := &messenger.LeaseTable{Last: t.last}
 	for pool, grant := range t.grants {
@@ -93,7 +94,7 @@
 	return wire
 }
 
-// Decode returns the table that was encoded.
+// Decode restores a table from the result of Encode.
 func Decode(wire *messenger.LeaseTable) *Table {
 	t := &Table{last: wire.GetLast(), grants: make(map[Pool]Grant, len(wire.GetLeases()))}
 	for _, lease := range wire.GetLeases() {
--- a/keeper/internal/sender/sender.go
+++ b/keeper/internal/sender/sender.go
@@ -1,9 +1,10 @@
-// Package sender carries the agreement's messages to the other keepers.
+// Package sender sends the messages of the replication protocol to the other keepers.
 //
 // Invariants: sending never blocks the control loop; messages to one keeper
-// arrive in order, except snapshots, which travel beside the others so that
+// arrive in order, except snapshots, which are sent in parallel so that
 // heartbeats do not wait for them; a keeper that does not answer costs a
-// bounded queue and nothing else. Lost messages are the agreement's concern.
+// bounded queue and nothing else. The replication protocol tolerates lost
+// messages and sends again what matters.
 package sender
 
 import (
@@ -17,75 +18,77 @@
 )
 
 const (
-	// queueLength bounds the messages that wait for one keeper.
+	// queueLength bounds the queued messages to one keeper.
 	queueLength = 1024
-	// batchBytes bounds one call, though not below one message.
-	batchBytes = 4 << 20
-	// snapshotTimeout is for a whole state over a slow link.
+	// maxBatchBytes is the payload size at which a call takes no further message. A single
+	// message may be larger.
+	maxBatchBytes = 4 << 20
+	// snapshotTimeout bounds the transfer of a whole snapshot over a slow link.
 	snapshotTimeout = 30 * time.Second
-	// maxAddresses bounds the addresses that were learnt from callers.
+	// maxAddresses bounds the known addresses, because callers can add to them.
 	maxAddresses = 256
 )
 
-// Sender sends to all other keepers.
+// Sender sends messages to all other keepers. It is safe for concurrent use.
 type Sender struct {
-	client  *http.Client
-	own     string // this keeper's control address
-	timeout time.Duration
+	client     *http.Client
+	ownAddress string // this keeper's control address
+	timeout    time.Duration
 
-	lock    sync.Mutex
-	peers   map[string]*peer // by address
-	known   map[replicator.ID]string
-	dropped uint64
+	lock      sync.Mutex
+	peers     map[string]*peer // by control address
+	addresses map[replicator.ID]string
+	dropped   uint64
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wait   sync.WaitGroup
 }
 
-// peer is the queue to one keeper.
+// peer holds the queue and the client of one keeper.
 type peer struct {
-	queue      chan replicator.Message
-	installing chan struct{} // holds a token while a snapshot is under way
-	service    messenger.Replication
+	queue        chan replicator.Message
+	snapshotSlot chan struct{} // holds a token while a snapshot is in flight
+	service      messenger.Replication
 }
 
-// New returns a sender. Calls take at most the timeout, so that a keeper that
-// hangs is tried again.
+// New returns a sender. The timeout bounds each call, so that later messages are
+// sent to a keeper that hung and has recovered.
 func New(client *http.Client, own string, timeout time.Duration) *Sender {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Sender{
-		client: client, own: own, timeout: timeout,
-		peers: make(map[string]*peer), known: make(map[replicator.ID]string),
+		client: client, ownAddress: own, timeout: timeout,
+		peers: make(map[string]*peer), addresses: make(map[replicator.ID]string),
 		ctx: ctx, cancel: cancel,
 	}
 }
 
-// Close ends all calls and waits for them.
+// Close cancels all calls and waits until they have ended.
 func (s *Sender) Close() {
 	s.cancel()
 	s.wait.Wait()
 }
 
-// Learn notes where a replica is reached: from the membership, or from a
-// message of a keeper whose membership this one does not know yet.
+// Learn sets the control address of a replica: from the membership, or from a
+// message of a keeper that is not in the membership known here yet.
 func (s *Sender) Learn(id replicator.ID, address string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if _, found := s.known[id]; !found && len(s.known) >= maxAddresses {
-		clear(s.known)
+	if _, found := s.addresses[id]; !found && len(s.addresses) >= maxAddresses {
+		clear(s.addresses)
 	}
-	s.known[id] = address
+	s.addresses[id] = address
 }
 
-// Dropped returns how many messages found a full queue or no address.
+// Dropped returns the number of messages that were not delivered: because a queue was full, an
+// address was unknown, a snapshot was in flight already, or a call failed.
 func (s *Sender) Dropped() uint64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.dropped
 }
 
-// Send puts messages into the queues.
+// Send queues messages. It does not block, and drops messages whose queue is full.
 func (s *Sender) Send(messages []replicator.Message) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -98,7 +101,7 @@
 }
 
 func (s *Sender) enqueue(message replicator.Message) {
-	address, found := s.known[message.To]
+	address, found := s.addresses[message.To]
 	if !found {
 		s.dropped++
 		return
@@ -119,9 +122,9 @@
 	known, found := s.peers[address]
 	if !found {
 		known = &peer{
-			queue:      make(chan replicator.Message, queueLength),
-			installing: make(chan struct{}, 1),
-			service:    messenger.NewReplicationProtobufClient("http://"+address, s.client),
+			queue:        make(chan replicator.Message, queueLength),
+			snapshotSlot: make(chan struct{}, 1),
+			service:      messenger.NewReplicationProtobufClient("http://"+address, s.client),
 		}
 		s.peers[address] = known
 		s.wait.Add(1)
@@ -130,8 +133,8 @@
 	return known
 }
 
-// run sends what waits for one keeper, one call at a time, so that order is kept
-// and a burst shares a call.
+// run sends the queued messages to one keeper, one call at a time, so that their order
+// is kept and a burst shares a call.
 func (s *Sender) run(to *peer) {
 	defer s.wait.Done()
 	for {
@@ -144,14 +147,15 @@
 	}
 }
 
+// collect returns the first message and further queued ones, up to about maxBatchBytes.
 func collect(first replicator.Message, queue <-chan replicator.Message) []replicator.Message {
 	batch := []replicator.Message{first}
-	size := bytesOf(first)
-	for size < batchBytes {
+	size := payloadSize(first)
+	for size < maxBatchBytes {
 		select {
 		case next := <-queue:
 			batch = append(batch, next)
-			size += bytesOf(next)
+			size += payloadSize(next)
 		default:
 			return batch
 		}
@@ -159,7 +163,8 @@
 	return batch
 }
 
-func bytesOf(message replicator.Message) int {
+// payloadSize returns the size in bytes of a message's log entries.
+func payloadSize(message replicator.Message) int {
 	size := 0
 	for _, entry := range message.Entries {
 		size += len(entry.Data)
@@ -167,10 +172,10 @@
 	return size
 }
 
-// sendSnapshot sends a snapshot unless one is under way to that keeper.
+// sendSnapshot sends a snapshot, or drops it if one is in flight to that keeper.
 func (s *Sender) sendSnapshot(to *peer, message replicator.Message) {
 	select {
-	case to.installing <- struct{}{}:
+	case to.snapshotSlot <- struct{}{}:
 	default:
 		s.dropped++
 		return
@@ -179,15 +184,16 @@
 	go func() {
 		defer s.wait.Done()
 		s.deliver(to, []replicator.Message{message}, snapshotTimeout)
-		<-to.installing
+		<-to.snapshotSlot
 	}()
 }
 
-// deliver leaves errors to the agreement, which sends again what matters.
+// deliver makes one call. Errors are only counted: the replication protocol sends again what
+// matters.
 func (s *Sender) deliver(to *peer, batch []replicator.Message, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(s.ctx, timeout)
 	defer cancel()
-	request := &messenger.DeliverRequest{From: s.own, Message: replicator.EncodeMessages(batch)}
+	request := &messenger.DeliverRequest{From: s.ownAddress, Message: replicator.EncodeMessages(batch)}
 	if _, err := to.service.Deliver(ctx, request); err != nil {
 		s.lock.Lock()
 		s.dropped += uint64(len(batch))
--- a/keeper/internal/server/archiving.go
+++ b/keeper/internal/server/archiving.go
@@ -10,11 +10,12 @@
 	"shallotkeel.example/lib/lister"
 )
 
-// archivePause is the pause between two looks whether the list of endpoints has changed
-// since its copy was written. It bounds how often the disk is synced for it.
-const archivePause = time.Second
+// archiveInterval is the pause between two checks whether the list of endpoints has changed
+// since its copy was last written to disk. It bounds how often the copy causes a disk sync.
+const archiveInterval = time.Second
 
-// restore begins with the list of endpoints of before a restart, if there is a copy.
+// restore loads the list of endpoints that was on disk before a restart. A copy that is missing,
+// stale or damaged leaves the list empty until endpoints send heartbeats.
 func (s *Server) restore() {
 	if s.settings.Platform == nil {
 		return
@@ -24,25 +25,26 @@
 	case errors.Is(err, fs.ErrNotExist):
 		return
 	case err != nil:
-		s.log.Warn().Err(err).Msg("the copy of the endpoints is not used; they tell again where they are")
+		s.log.Warn().Err(err).Msg("endpoint list copy on disk is unusable; starting with an empty list until endpoints send heartbeats")
 		return
 	}
 	s.directory.restore(s.clock.Now(), listings)
-	s.log.Info().Int("endpoints", len(listings)).Msg("endpoints taken from the copy")
+	s.log.Info().Int("endpoints", len(listings)).Msg("restored the endpoint list from the copy on disk")
 }
 
-// archive keeps the copy of the list of endpoints, until the context ends. It has a thread of
-// its own that nobody waits for, because a disk may hang.
+// archive writes a copy of the list of endpoints to disk whenever the list has changed, until
+// the context ends. It runs in a goroutine of its own, and no other goroutine waits for it,
+// because a disk may hang.
 func (s *Server) archive(ctx context.Context) {
 	written := uint64(0)
-	for s.pause(ctx, archivePause) == nil {
-		revision, listings := s.directory.copied(written)
+	for s.pause(ctx, archiveInterval) == nil {
+		revision, listings := s.directory.listingsIfChanged(written)
 		if revision == written {
 			continue
 		}
 		if err := archiver.Write(s.files, s.clock.Now(), listings); err != nil {
 			if s.archiveDamper.Admit(s.clock.Now(), s.log) {
-				s.log.Warn().Err(err).Msg("the copy of the endpoints was not written; it is tried again")
+				s.log.Warn().Err(err).Msg("endpoint list copy could not be written to disk; retrying")
 			}
 			continue
 		}
@@ -50,8 +52,8 @@
 	}
 }
 
-// restore fills an empty list. What it holds is as good as late heartbeats: whatever an
-// endpoint or another keeper says from now on wins.
+// restore fills an empty list from a copy. The restored listings have the weight of late
+// heartbeats: any later heartbeat of an endpoint or update of another keeper overrides them.
 func (d *directory) restore(now time.Time, listings []lister.Listing) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -61,8 +63,9 @@
 	}
 }
 
-// copied returns the whole list if it has changed behind a revision.
-func (d *directory) copied(revision uint64) (uint64, []lister.Listing) {
+// listingsIfChanged returns the current revision of the list, and the whole list if that
+// revision differs from the given one.
+func (d *directory) listingsIfChanged(revision uint64) (uint64, []lister.Listing) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if d.list.Revision() == revision {
--- a/keeper/internal/server/blank_keepers.go
+++ b/keeper/internal/server/blank_keepers.go
@@ -21,10 +21,10 @@
 // observe records the answers of blank keepers, and returns the answers of those that have
 // been blank with the same disk for at least the minimum duration. A keeper that does not
 // answer starts anew.
-func (b *blankKeepers) observe(now time.Time, answers []answer, minBlank time.Duration) []answer {
+func (b *blankKeepers) observe(now time.Time, answers []peerStatus, minBlank time.Duration) []peerStatus {
 	before := *b
 	*b = make(blankKeepers)
-	var blank []answer
+	var blank []peerStatus
 	for _, a := range answers {
 		known, found := before[a.address]
 		if !found || known.disk != a.GetDisk() {
@@ -42,13 +42,13 @@
 // settings do not list. Only the keeper that founds the group needs them: a founding member
 // need not join by membership changes, which are made one after the other, while all routers
 // of the fleet poll the few first members.
-func (s *Server) queryUnlistedFollowers(ctx context.Context) []answer {
-	if !s.founds() || len(s.settings.Seeds) == 0 {
+func (s *Server) queryUnlistedFollowers(ctx context.Context) []peerStatus {
+	if !s.isFounder() || len(s.settings.Seeds) == 0 {
 		return nil
 	}
 	listed := s.peerAddresses()
-	unlisted := slices.DeleteFunc(s.directory.keepers(), func(address string) bool {
+	unlisted := slices.DeleteFunc(s.directory.followingKeepers(), func(address string) bool {
 		return slices.Contains(listed, address) || address == s.settings.Address().String()
 	})
-	return s.statuses(ctx, unlisted[:min(len(unlisted), replicator.MaxReplicas-len(listed)-1)])
+	return s.queryStatuses(ctx, unlisted[:min(len(unlisted), replicator.MaxReplicas-len(listed)-1)])
 }
--- a/keeper/internal/server/directory.go
+++ b/keeper/internal/server/directory.go
@@ -11,114 +11,122 @@
 )
 
 const (
-	// crashesToQuarantine is how often endpoints must have broken under one
-	// request before no router sends it again. One is chance: whatever else ran
-	// on the endpoint looks the same. A third would cost another endpoint.
+	// crashesToQuarantine is the number of endpoint crashes under one request after
+	// which no router sends that request again. A single crash may be a coincidence:
+	// every other request on that endpoint fails in the same way. Waiting for a
+	// third crash would cost another endpoint.
 	crashesToQuarantine = 2
-	// crashMemory is how long crashes count, and how long a quarantine lasts
-	// after the last one.
+	// crashMemory is how long a crash counts, and how long a quarantine lasts
+	// after the last crash.
 	crashMemory = 60 * time.Second
-	// maxCrashes bounds the fingerprints that are remembered, 100 bytes each.
+	// maxCrashes bounds the request fingerprints that are kept, at about 100 bytes each.
 	maxCrashes = 8192
-	// followerMemory is how long a follower that does not call is counted. Its
-	// polls come twice a second.
+	// followerMemory is how long a follower counts after its last poll. Followers
+	// poll twice a second.
 	followerMemory = 2500 * time.Millisecond
 )
 
-// directory is the soft state of a keeper that serves the list of endpoints:
-// the list itself, who follows it, and what followers report. All of it is told
-// again after a restart.
+// directory is the soft state of a keeper that serves the list of endpoints: the
+// list itself, its followers (routers and other keepers), and their reports. None of
+// it is replicated; heartbeats and polls rebuild it after a restart.
 //
-// It has a lock of its own and no part in the control loop, because that waits
-// for the disk: heartbeats must be answered while a disk hangs.
+// It has a lock of its own and is not part of the control loop, because the control
+// loop waits for the disk, and heartbeats must be answered while a disk hangs.
 type directory struct {
-	lock      sync.Mutex
-	list      lister.List
-	heard     map[string]heard // direct heartbeats, for the other keepers
-	followers map[string]*follower
-	direct    sums // of the routers that report here
-	whole     sums // these, and what the other keepers add up
-	taker     routerSummaryCache
-	lessor    rationer.Lessor // of this keeper's parts of cold endpoints
-	parts     []part
-	divided   time.Time // when the parts were worked out
-	crashes   map[uint64]*crashes
-	convicted uint64            // rises with every quarantined fingerprint
-	zones     map[string]string // of the other keepers, by their control addresses
-	sources   sources
-	fleet     fleetSize
-	subset    subset
-	streams   streams
+	lock               sync.Mutex
+	list               lister.List
+	heartbeats         map[string]latestHeartbeat // received from the instances themselves, by instance id
+	followers          map[string]*follower
+	directSums         sums               // over the routers that report to this keeper
+	totalSums          sums               // directSums plus the sums that the other keepers report
+	counter            routerSummaryCache // caches the counts of routers
+	lessor             rationer.Lessor    // leases this keeper's parts of cold endpoints to routers
+	parts              []part
+	partsAt            time.Time // when parts was last computed
+	crashes            map[uint64]*crashes
+	quarantineRevision uint64            // increases with every quarantined fingerprint
+	keeperZones        map[string]string // zones of the other keepers, by control address
+	sources            sources
+	fleet              fleetSize
+	subset             subset
+	streamOrigins      streamOrigins
 }
 
-// heard is an instance's latest heartbeat.
-type heard struct {
+// latestHeartbeat identifies the latest heartbeat that this keeper received from an instance.
+type latestHeartbeat struct {
 	started  time.Time
 	sequence uint64
 	at       time.Time
 }
 
+// follower is a router or another keeper that polls this keeper.
 type follower struct {
-	at     time.Time
-	keeper bool
-	report *messenger.FollowRequest
-	told   uint64   // convicted, as of the follower's last answer
-	missed []string // of a keeper: others that it does not hear since the present poll
+	at               time.Time
+	keeper           bool
+	report           *messenger.FollowRequest
+	sentQuarantine   uint64   // quarantineRevision as of the follower's last answer
+	newlyUnreachable []string // for a keeper: the keepers it reports as unreachable since this poll
 }
 
+// crashes counts the endpoint crashes under the requests of one fingerprint.
 type crashes struct {
-	at     time.Time
-	by     map[string]uint32 // by router
-	direct map[string]bool   // routers that told it here, not through another keeper
-	total  uint32
-	guilty bool // it is quarantined
+	at           time.Time
+	byRouter     map[string]uint32 // reported crashes by router
+	reportedHere map[string]bool   // routers that reported to this keeper, not through another
+	total        uint32
+	quarantined  bool
 }
 
-// beat takes a heartbeat from an instance. It tells whether the list changed, and whether by
-// something urgent.
+// beat records a heartbeat that an instance sent to this keeper. It reports whether the list
+// changed, and whether the change is urgent.
 func (d *directory) beat(now time.Time, beat lister.Listing) (changed, urgent bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	urgent = d.urgent(beat)
 	changed = d.list.Beat(now, beat)
-	d.sources.direct(beat.ID)
-	if d.heard == nil {
-		d.heard = make(map[string]heard)
+	d.sources.recordDirect(beat.ID)
+	if d.heartbeats == nil {
+		d.heartbeats = make(map[string]latestHeartbeat)
 	}
-	if !beat.Started.Before(d.heard[beat.ID].started) {
-		d.heard[beat.ID] = heard{started: beat.Started, sequence: beat.Sequence, at: now}
+	if !beat.Started.Before(d.heartbeats[beat.ID].started) {
+		d.heartbeats[beat.ID] = latestHeartbeat{started: beat.Started, sequence: beat.Sequence, at: now}
 	}
 	return changed, urgent
 }
 
-// urgent tells whether a listing speaks against an endpoint that may be in use: it leaves or is
-// gone, or another life of it has begun.
+// urgent reports whether a listing invalidates an endpoint that may be in use: the endpoint is
+// leaving or gone, or it has restarted.
 func (d *directory) urgent(l lister.Listing) bool {
 	known, found := d.list.Find(l.ID)
 	return l.State > lister.Ready || found && !known.Started.Equal(l.Started)
 }
 
-// lists tells whether an instance is listed under a service.
-func (d *directory) lists(id, service string) bool {
+// hasListing reports whether an instance is listed under a service.
+func (d *directory) hasListing(id, service string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	listing, found := d.list.Find(id)
 	return found && listing.Service == service
 }
 
+// leave marks an instance as leaving, at the instance's own request. It reports whether the
+// list changed.
 func (d *directory) leave(now time.Time, id string, started time.Time) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.sources.direct(id)
+	d.sources.recordDirect(id)
 	return d.list.Leave(now, id, started)
 }
 
-func (d *directory) pass(now time.Time) bool {
+// expire drops reports, followers, crashes and leases of parts that are too old, marks silent
+// endpoints, and adapts the subsets to the size of the services. It reports whether the list
+// changed.
+func (d *directory) expire(now time.Time) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	for name, f := range d.followers {
 		if now.Sub(f.at) > reportTTL {
-			d.account(f, -1)
+			d.updateSums(f, -1)
 			f.report.Loads, f.report.Uses = nil, nil
 		}
 		if now.Sub(f.at) > followerMemory {
@@ -130,44 +138,45 @@
 			delete(d.crashes, digest)
 		}
 	}
-	d.taker = routerSummaryCache{}
+	d.counter = routerSummaryCache{}
 	d.lessor.DropExpired(now)
-	widened := d.subset.count(d.list.Services())
+	widened := d.subset.updateSizes(d.list.Services())
 	for _, service := range widened {
 		d.list.Retell(service)
 	}
 	return d.list.Pass(now) || len(widened) > 0
 }
 
-// merged is what the news of a keeper changed.
-type merged struct {
-	any    bool
-	urgent bool  // something speaks against an endpoint
-	unread error // why the last entry that could not be read was left out
+// mergeResult is the effect of another keeper's update on the list.
+type mergeResult struct {
+	changed bool
+	urgent  bool  // the update invalidates an endpoint that may be in use
+	invalid error // why the last malformed listing was skipped, nil if none was
 }
 
-// merge takes the news of a keeper.
-func (d *directory) merge(now time.Time, keeper string, listings []*messenger.Listing) (m merged) {
+// merge adds the listings that another keeper sent to the list.
+func (d *directory) merge(now time.Time, keeper string, listings []*messenger.Listing) (m mergeResult) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	for _, wire := range listings {
 		listing, err := lister.FromWire(wire, now)
 		if err != nil {
-			m.unread = err
+			m.invalid = err
 			continue
 		}
-		// Whether it is silent is for each keeper to say: this one may hear it.
+		// Each keeper judges silence by itself: this one may still receive the heartbeats.
 		listing.Silent = false
 		urgent := d.urgent(listing)
 		if d.list.Beat(now, listing) {
-			d.sources.told(listing.ID, keeper)
-			m.any, m.urgent = true, m.urgent || urgent
+			d.sources.recordKeeper(listing.ID, keeper)
+			m.changed, m.urgent = true, m.urgent || urgent
 		}
 	}
 	return m
 }
 
-// follow notes a follower's report and tells whether the list changed by it.
+// follow records a follower's report, and reports whether the list or the set of quarantined
+// fingerprints changed by it.
 func (d *directory) follow(now time.Time, request *messenger.FollowRequest) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -179,10 +188,10 @@
 		known = &follower{}
 		d.followers[request.GetNode()] = known
 	}
-	d.account(known, -1)
-	known.missed = missed(known.report.GetUnheard(), request.GetUnheard())
+	d.updateSums(known, -1)
+	known.newlyUnreachable = newlyUnreachable(known.report.GetUnheard(), request.GetUnheard())
 	known.at, known.keeper, known.report = now, request.GetKeeper(), request
-	d.account(known, 1)
+	d.updateSums(known, 1)
 	changed := false
 	for _, h := range request.GetHeard() {
 		if d.list.Heard(now, h.GetId(), lister.FromMillis(h.GetStartedMs()), h.GetSequence()) {
@@ -190,29 +199,29 @@
 		}
 	}
 	for _, crash := range request.GetCrashes() {
-		if d.count(now, request, crash) {
+		if d.countCrashes(now, request, crash) {
 			changed = true
 		}
 	}
-	d.streams.take(now, request)
-	request.Begun = nil // it is not kept with the rest of the report
+	d.streamOrigins.receive(now, request)
+	request.Begun = nil // the records are kept in streamOrigins, not with the report
 	if request.GetKeeper() {
-		d.place(request.GetAddress(), request.GetZone())
+		d.recordZone(request.GetAddress(), request.GetZone())
 	}
 	return changed
 }
 
-// place notes the zone of another keeper. It is remembered when that one follows no more: the
-// group is told anew to all routers when anything of it changes.
-func (d *directory) place(address, zone string) {
-	if d.zones == nil || len(d.zones) >= maxPeerClients {
-		d.zones = make(map[string]string)
+// recordZone records the zone of another keeper. The zone is kept when that keeper stops
+// following, because any change of the group is sent to all routers again.
+func (d *directory) recordZone(address, zone string) {
+	if d.keeperZones == nil || len(d.keeperZones) >= maxPeerClients {
+		d.keeperZones = make(map[string]string)
 	}
-	d.zones[address] = zone
+	d.keeperZones[address] = zone
 }
 
-// keepers returns the control addresses of the other keepers that follow this one.
-func (d *directory) keepers() []string {
+// followingKeepers returns the control addresses of the other keepers that follow this one.
+func (d *directory) followingKeepers() []string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	var addresses []string
@@ -225,24 +234,24 @@
 	return addresses
 }
 
-// zoneOf returns the zone of another keeper, empty if it is not known.
+// zoneOf returns the zone of the keeper with a control address, empty if it is unknown.
 func (d *directory) zoneOf(address string) string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.zones[address]
+	return d.keeperZones[address]
 }
 
-// account adds a follower's report to the sums, or takes it off.
-func (d *directory) account(f *follower, sign int64) {
-	d.whole.add(f.report, sign)
+// updateSums adds a follower's report to the sums if sign is 1, and subtracts it if sign is -1.
+func (d *directory) updateSums(f *follower, sign int64) {
+	d.totalSums.add(f.report, sign)
 	if !f.keeper {
-		d.direct.add(f.report, sign)
+		d.directSums.add(f.report, sign)
 	}
 }
 
-// count notes how often a router has seen endpoints crash under a request, and
-// tells whether that proves its guilt.
-func (d *directory) count(now time.Time, report *messenger.FollowRequest, crash *messenger.Crash) bool {
+// countCrashes records the number of endpoint crashes that a router has seen under a
+// request, and reports whether the request becomes quarantined by it.
+func (d *directory) countCrashes(now time.Time, report *messenger.FollowRequest, crash *messenger.Crash) bool {
 	node := report.GetNode()
 	if report.GetKeeper() {
 		node = crash.GetNode()
@@ -255,136 +264,139 @@
 		if len(d.crashes) >= maxCrashes {
 			return false
 		}
-		known = &crashes{by: make(map[string]uint32), direct: make(map[string]bool)}
+		known = &crashes{byRouter: make(map[string]uint32), reportedHere: make(map[string]bool)}
 		d.crashes[crash.GetDigest()] = known
 	}
 	if !report.GetKeeper() {
-		known.direct[node] = true
+		known.reportedHere[node] = true
 	}
-	before := known.by[node]
+	before := known.byRouter[node]
 	if crash.GetCount() <= before {
 		return false
 	}
-	known.by[node] = crash.GetCount()
+	known.byRouter[node] = crash.GetCount()
 	known.total += crash.GetCount() - before
 	known.at = now
-	if known.total < crashesToQuarantine || known.guilty {
+	if known.total < crashesToQuarantine || known.quarantined {
 		return false
 	}
-	known.guilty = true
-	d.convicted++
+	known.quarantined = true
+	d.quarantineRevision++
 	return true
 }
 
-// mostUntold bounds the changes that a follower is not told of, because they do not concern
-// it, before it is told that there are none: until then they are looked through at each
-// wake-up.
-const mostUntold = 128
+// maxSkippedChanges bounds the list changes that do not concern a follower before it gets an
+// empty answer that moves its revision past them. Until then each wake-up filters these changes
+// again.
+const maxSkippedChanges = 128
 
-// fresh tells whether there is anything that a follower does not know yet. It is asked
-// at each wake-up of each poll; the answer itself is built once, when it is sent.
-func (d *directory) fresh(request *messenger.FollowRequest, epoch uint64) bool {
+// hasUpdates reports whether a follower lacks any current state. It is called at each wake-up
+// of each poll; the answer itself is built once, when it is sent.
+func (d *directory) hasUpdates(request *messenger.FollowRequest, epoch uint64) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	known, found := d.followers[request.GetNode()]
-	if request.GetEpoch() != epoch || found && known.told != d.convicted {
+	if request.GetEpoch() != epoch || found && known.sentQuarantine != d.quarantineRevision {
 		return true
 	}
-	untold := d.list.Revision() - request.GetAfter()
-	if untold > mostUntold {
+	skipped := d.list.Revision() - request.GetAfter()
+	if skipped > maxSkippedChanges {
 		return true
 	}
-	return len(d.unknown(request, epoch)) > 0
+	return len(d.pendingListings(request, epoch)) > 0
 }
 
-// news returns what a follower does not know yet, and what all routers report.
-func (d *directory) news(now time.Time, request *messenger.FollowRequest, epoch uint64) *messenger.FollowResponse {
+// updatesFor returns the answer to a follower's poll: the listings that it lacks, the quarantined
+// fingerprints and, for routers, the sums over all routers' reports.
+func (d *directory) updatesFor(now time.Time, request *messenger.FollowRequest, epoch uint64) *messenger.FollowResponse {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	response := &messenger.FollowResponse{Epoch: epoch, Next: d.list.Revision(), Brief: request.GetBrief()}
-	for _, listing := range d.unknown(request, epoch) {
+	for _, listing := range d.pendingListings(request, epoch) {
 		response.Listings = append(response.Listings, lister.ToWire(listing, now))
 	}
 	if !request.GetKeeper() {
-		census := d.taker.get(now, d.followers)
-		response.Routers, response.Expected, response.Reporting = census.routers, census.routers, census.reporting
+		counts := d.counter.get(now, d.followers)
+		response.Routers, response.Expected, response.Reporting = counts.routers, counts.routers, counts.reporting
 		if request.GetPartial() {
-			response.Routers, response.Expected = d.fleet.observe(now, census.total())
+			response.Routers, response.Expected = d.fleet.observe(now, counts.total())
 		}
 		if !request.GetBrief() {
-			response.Uses = d.whole.uses.toWire()
-			response.Loads = d.whole.loads.excluding(request.GetLoads())
-			response.BacklogMs = census.backlog
-			response.Homes = d.subset.homes()
+			response.Uses = d.totalSums.uses.toWire()
+			response.Loads = d.totalSums.loads.excluding(request.GetLoads())
+			response.BacklogMs = counts.backlog
+			response.Homes = d.subset.homeSamples()
 		}
 	}
 	for digest, c := range d.crashes {
-		if c.guilty {
-			left := crashMemory - now.Sub(c.at)
-			response.Quarantined = append(response.Quarantined, &messenger.Fingerprint{Digest: digest, LeftMs: uint32(max(left, 0) / time.Millisecond)})
+		if c.quarantined {
+			remaining := crashMemory - now.Sub(c.at)
+			response.Quarantined = append(response.Quarantined, &messenger.Fingerprint{Digest: digest, LeftMs: uint32(max(remaining, 0) / time.Millisecond)})
 		}
 	}
 	if known, found := d.followers[request.GetNode()]; found {
-		known.told = d.convicted
+		known.sentQuarantine = d.quarantineRevision
 	}
 	return response
 }
 
-// unknown returns the part of the list that a follower does not know yet. A router is told of
-// its subset, and of all that leave. One that follows briefly has the subset from its primary:
-// from here it only hears what speaks against an endpoint, or no longer does. Else each endpoint
-// that announces itself would be told to every router by every keeper. A keeper is told what
-// no other one tells it.
-func (d *directory) unknown(request *messenger.FollowRequest, epoch uint64) []lister.Listing {
+// pendingListings returns the listings that a follower lacks. A router receives its subset, and
+// all endpoints that leave. A router that follows briefly receives the subset from its primary
+// keeper: this keeper only sends it endpoints that became unhealthy or recovered. Otherwise every
+// keeper would send each endpoint that announces itself to every router. A keeper receives the
+// listings that no other keeper sends it.
+func (d *directory) pendingListings(request *messenger.FollowRequest, epoch uint64) []lister.Listing {
 	after := request.GetAfter()
 	if request.GetEpoch() != epoch {
 		after = 0
 	}
 	if request.GetKeeper() {
-		return d.untold(request, after)
+		return d.pendingForKeeper(request, after)
 	}
-	router := d.subset.of(request.GetNode(), request.GetZone())
+	subset := d.subset.forRouter(request.GetNode(), request.GetZone())
 	return d.list.Select(after, func(l *lister.Listing) bool {
-		return l.State > lister.Ready || (!request.GetBrief() || !l.Well()) && router.has(l)
+		return l.State > lister.Ready || (!request.GetBrief() || !l.Well()) && subset.includes(l)
 	})
 }
 
-// summary fills in what the routers that report here tell, for another keeper.
-func (d *directory) summary(now time.Time, report *messenger.FollowRequest) {
+// summarize adds the reports of the routers that report to this keeper to its own report, which
+// it sends to another keeper.
+func (d *directory) summarize(now time.Time, report *messenger.FollowRequest) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	census := d.taker.get(now, d.followers)
-	report.Reporting, report.BacklogMs = census.direct, census.directBacklog
-	report.Uses, report.Loads = d.direct.uses.toWire(), d.direct.loads.excluding(nil)
+	counts := d.counter.get(now, d.followers)
+	report.Reporting, report.BacklogMs = counts.direct, counts.directBacklog
+	report.Uses, report.Loads = d.directSums.uses.toWire(), d.directSums.loads.excluding(nil)
 	for digest, c := range d.crashes {
-		for node := range c.direct {
-			report.Crashes = append(report.Crashes, &messenger.Crash{Digest: digest, Count: c.by[node], Node: node})
+		for node := range c.reportedHere {
+			report.Crashes = append(report.Crashes, &messenger.Crash{Digest: digest, Count: c.byRouter[node], Node: node})
 		}
 	}
 }
 
-// size is how many followers there are.
-func (d *directory) size() int {
+// followerCount returns the number of followers, routers and keepers.
+func (d *directory) followerCount() int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return len(d.followers)
 }
 
-// routers is how many routers the fleet has.
-func (d *directory) routers(now time.Time) int {
+// routerCount returns the number of routers of the fleet.
+func (d *directory) routerCount(now time.Time) int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return int(d.taker.get(now, d.followers).total())
+	return int(d.counter.get(now, d.followers).total())
 }
 
-// recent returns the direct heartbeats since a time, of the last intervals at most.
-func (d *directory) recent(now, since time.Time) []*messenger.Heard {
+// recentHeartbeats returns the heartbeats that this keeper received from instances since a time,
+// at most those of the last two heartbeat intervals.
+func (d *directory) recentHeartbeats(now, since time.Time) []*messenger.Heard {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	var recent []*messenger.Heard
-	for id, h := range d.heard {
+	for id, h := range d.heartbeats {
 		if now.Sub(h.at) > 2*d.list.Interval {
-			delete(d.heard, id)
+			delete(d.heartbeats, id)
 			continue
 		}
 		if h.at.Before(since) {
--- a/keeper/internal/server/keeping.go
+++ b/keeper/internal/server/keeping.go
@@ -40,7 +40,7 @@
 			return nil, twirp.RequiredArgumentError("edits.object")
 		}
 	}
-	return lead(ctx, k.Server,
+	return runOnLeader(ctx, k.Server,
 		func(ctx context.Context) (*messenger.ApplyResponse, error) {
 			change := configurer.ChangeFromWire(request)
 			result, err := await(ctx, k.Server, func(now time.Time, d *driver.Driver, done func(configurer.Result, error)) {
@@ -58,7 +58,7 @@
 	if err := checkClaims(request.GetClaims()); err != nil {
 		return nil, err
 	}
-	return lead(ctx, k.Server,
+	return runOnLeader(ctx, k.Server,
 		func(ctx context.Context) (*messenger.ClaimResponse, error) {
 			result, err := k.propose(ctx, &messenger.Command{Claim: request})
 			return &messenger.ClaimResponse{Results: result.Claims}, err
@@ -92,7 +92,7 @@
 			answer.Body, answer.Omitted = nil, true
 		}
 	}
-	return lead(ctx, k.Server,
+	return runOnLeader(ctx, k.Server,
 		func(ctx context.Context) (*messenger.RecordResponse, error) {
 			_, err := k.propose(ctx, &messenger.Command{Record: request})
 			return &messenger.RecordResponse{}, err
@@ -107,7 +107,7 @@
 	if len(request.GetFingerprints()) > applier.MaxQuarantined {
 		return nil, twirp.InvalidArgumentError("fingerprints", "are too many for one call; split them")
 	}
-	return lead(ctx, k.Server,
+	return runOnLeader(ctx, k.Server,
 		func(ctx context.Context) (*messenger.QuarantineResponse, error) {
 			_, err := k.propose(ctx, &messenger.Command{Quarantine: request})
 			return &messenger.QuarantineResponse{}, err
@@ -127,7 +127,7 @@
 // Alter adds a member to the group or removes one. A refused membership change is returned
 // in the response and not as an error.
 func (k keeping) Alter(ctx context.Context, request *messenger.AlterRequest) (*messenger.AlterResponse, error) {
-	return lead(ctx, k.Server,
+	return runOnLeader(ctx, k.Server,
 		func(ctx context.Context) (*messenger.AlterResponse, error) {
 			_, err := await(ctx, k.Server, func(now time.Time, d *driver.Driver, done func(applier.Result, error)) {
 				k.alter(now, d, request, done)
--- a/keeper/internal/server/leading.go
+++ b/keeper/internal/server/leading.go
@@ -16,29 +16,30 @@
 	// proposalTimeout bounds a call that needs a quorum, an election included.
 	proposalTimeout = 3 * time.Second
 	// attemptElections is how many election timeouts one attempt at the leader
-	// may take before another leader is looked for.
+	// may take before the leader is determined again.
 	attemptElections = 3
-	// forwardedHeader marks a call that a keeper passed on to the leader. It is
-	// passed on once only, or two keepers that each take the other for the leader
-	// would send a call back and forth.
+	// forwardedHeader marks a call that a keeper forwarded to the leader. A call is
+	// forwarded only once; otherwise two keepers that each consider the other the
+	// leader would send it back and forth.
 	forwardedHeader = "X-Forwarded-By-Keeper"
-	// codeMeta is the key under which errors carry a code of docs/INTERFACES.md.
+	// codeMeta is the metadata key of an error's code (see docs/INTERFACES.md).
 	codeMeta = "code"
 )
 
 // Codes of errors between keepers and to routers.
 const (
-	// CodeNotLeader: ask another keeper; the call had no effect.
+	// CodeNotLeader means that the call had no effect; another keeper may answer it.
 	CodeNotLeader = "not_leader"
-	// CodeNoQuorum: no majority answers.
+	// CodeNoQuorum means that no majority of the group answers.
 	CodeNoQuorum = "no_quorum"
-	// CodeUnknown: the call may or may not take effect. All calls may be repeated.
+	// CodeUnknown means that the call may or may not take effect. All calls are safe to retry.
 	CodeUnknown = "unknown"
 )
 
+// forwardedKey is the context key of the mark of a forwarded call.
 type forwardedKey struct{}
 
-// markForwarded puts the mark of a forwarded call into its context.
+// markForwarded copies the mark of a forwarded call from its header to its context.
 func markForwarded(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(forwardedHeader) != "" {
@@ -48,18 +49,19 @@
 	})
 }
 
-// lead answers a call here if this keeper leads, and else passes it on. While
-// there is no leader it waits for one. Every such call may be repeated: changes
-// carry ids, claims and records their owner, and fingerprints only add up.
-func lead[T any](
+// runOnLeader executes a call locally if this keeper is the leader, and forwards it to
+// the leader otherwise. It retries while there is no leader, until proposalTimeout is
+// over. Every such call is safe to retry: changes carry ids, claims and records carry
+// their owner, and fingerprints are only ever added.
+func runOnLeader[T any](
 	ctx context.Context, s *Server,
-	here func(context.Context) (T, error),
-	there func(context.Context, peerClient) (T, error),
+	local func(context.Context) (T, error),
+	forward func(context.Context, peerClient) (T, error),
 ) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.callTimeout)
 	defer cancel()
 	for {
-		answer, err := attempt(ctx, s, here, there)
+		answer, err := attemptOnLeader(ctx, s, local, forward)
 		if err == nil {
 			return answer, nil
 		}
@@ -70,9 +72,9 @@
 	}
 }
 
-// classify turns every error that is not the caller's fault into an Unavailable
-// with a code. A leader that could not be reached, or did not answer in time,
-// may have taken the call.
+// classify turns every error that is not the caller's fault into Unavailable with
+// a code. The code is CodeUnknown if the leader could not be reached or did not answer
+// in time, because it may have executed the call.
 func classify(err error) twirp.Error {
 	var known twirp.Error
 	if !errors.As(err, &known) {
@@ -85,16 +87,17 @@
 	return twirp.NewError(twirp.Unavailable, known.Msg()).WithMeta(codeMeta, CodeUnknown)
 }
 
-// retryable tells whether another attempt may help. A forwarded call is
-// repeated by the keeper that forwarded it.
+// retryable reports whether another attempt may succeed. A forwarded call is
+// retried by the keeper that forwarded it.
 func retryable(ctx context.Context, err twirp.Error) bool {
 	return ctx.Err() == nil && ctx.Value(forwardedKey{}) == nil && err.Code() == twirp.Unavailable
 }
 
-func attempt[T any](
+// attemptOnLeader makes one attempt of runOnLeader. It ends early if the leader changes.
+func attemptOnLeader[T any](
 	ctx context.Context, s *Server,
-	here func(context.Context) (T, error),
-	there func(context.Context, peerClient) (T, error),
+	local func(context.Context) (T, error),
+	forward func(context.Context, peerClient) (T, error),
 ) (T, error) {
 	var none T
 	ctx, cancel := context.WithTimeout(ctx, attemptElections*s.timing.Election)
@@ -102,7 +105,7 @@
 	changed := s.leadershipChanged.next()
 	status := s.view.Load().status
 	if status.State == replicator.Leader {
-		return here(ctx)
+		return local(ctx)
 	}
 	leader, found := status.Group.Find(status.Leader)
 	if !found {
@@ -111,8 +114,8 @@
 	if ctx.Value(forwardedKey{}) != nil {
 		return none, unavailable(replicator.ErrNotLeader)
 	}
-	// A leader that is frozen or cut off answers nothing; once another one is
-	// known, waiting on has no use.
+	// A leader that is frozen or cut off does not answer; once another leader is
+	// known, waiting longer is useless.
 	go func() {
 		select {
 		case <-changed:
@@ -126,10 +129,10 @@
 	if err != nil {
 		return none, err
 	}
-	return there(forwarded, s.peers.forAddress(leader.Address))
+	return forward(forwarded, s.peers.forAddress(leader.Address))
 }
 
-// unavailable converts an error of the control loop for callers.
+// unavailable converts an error of the control loop to an error with a code for callers.
 func unavailable(err error) twirp.Error {
 	code := CodeNoQuorum
 	switch {
--- a/keeper/internal/server/leasing.go
+++ b/keeper/internal/server/leasing.go
@@ -11,17 +11,17 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// maxLeaseName bounds the names in a request for a lease, in bytes, and with
-// them the memory of the table of leases.
-const maxLeaseName = 128
+// maxLeaseNameBytes bounds each name in a request for a lease, and thereby the memory
+// of the table of leases.
+const maxLeaseNameBytes = 128
 
-// Lease takes or renews the lease of a pool. It may be repeated: a holder that
-// has the lease gets it again under the same fencing number.
+// Lease acquires or renews the lease of a pool. It is safe to retry: the holder of
+// the lease gets it again under the same fencing number.
 func (k keeping) Lease(ctx context.Context, request *messenger.LeaseRequest) (*messenger.LeaseResponse, error) {
 	if err := checkLease(request); err != nil {
 		return nil, err
 	}
-	return lead(ctx, k.Server,
+	return runOnLeader(ctx, k.Server,
 		func(ctx context.Context) (*messenger.LeaseResponse, error) {
 			answer, err := await(ctx, k.Server, func(now time.Time, d *driver.Driver, done func(lessor.Answer, error)) {
 				d.Lease(now, request, done)
@@ -36,11 +36,12 @@
 		})
 }
 
+// checkLease validates the names in a request for a lease.
 func checkLease(request *messenger.LeaseRequest) error {
 	for field, name := range map[string]string{
 		"pool.zone": request.GetPool().GetZone(), "pool.service": request.GetPool().GetService(), "holder": request.GetHolder(),
 	} {
-		if name == "" || len(name) > maxLeaseName {
+		if name == "" || len(name) > maxLeaseNameBytes {
 			return twirp.InvalidArgumentError(field, "must have 1 to 128 bytes")
 		}
 	}
--- a/keeper/internal/server/maintaining.go
+++ b/keeper/internal/server/maintaining.go
@@ -15,37 +15,39 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// ErrRemoved means that this keeper's disk is no longer a member.
+// ErrRemoved means that this keeper's disk is no longer a member of the group.
 var ErrRemoved = merry.Sentinel("this keeper was removed from the group")
 
 const (
-	// lookPause is how often a keeper looks after its own membership.
-	lookPause = 200 * time.Millisecond
-	// silentElections is how many election timeouts without a quorum make a
-	// member ask whether it still is one.
-	silentElections = 20
+	// membershipCheckInterval is the pause between two checks of a keeper's own membership.
+	membershipCheckInterval = 200 * time.Millisecond
+	// quorumLossElections is the number of election timeouts without a quorum after
+	// which a member asks the other keepers whether it still is a member.
+	quorumLossElections = 20
 )
 
-// maintain looks after this keeper's membership: it founds a group with the
-// others, joins one, tells a changed address, and notices its removal.
-func (s *Server) maintain(ctx context.Context) error {
-	var m maintenance
-	for s.pause(ctx, lookPause) == nil {
-		if err := s.look(ctx, &m); err != nil {
+// maintainMembership maintains this keeper's membership until the context ends: it founds
+// a group with the other keepers or joins one, announces a changed address, and detects its
+// removal, which it returns as ErrRemoved.
+func (s *Server) maintainMembership(ctx context.Context) error {
+	var m membershipState
+	for s.pause(ctx, membershipCheckInterval) == nil {
+		if err := s.checkMembership(ctx, &m); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// maintenance is what maintain remembers between two looks.
-type maintenance struct {
-	blankSince time.Time // since when all keepers have said that they are blank
-	quorumAt   time.Time // when this keeper last had contact with a quorum
-	guests     blankKeepers
+// membershipState is the state of maintainMembership between two checks.
+type membershipState struct {
+	blankSince     time.Time // start of the period in which all keepers report a blank disk
+	quorumAt       time.Time // last contact of this keeper with a quorum
+	blankFollowers blankKeepers
 }
 
-func (s *Server) look(ctx context.Context, m *maintenance) error {
+// checkMembership makes one check of this keeper's membership and acts on it.
+func (s *Server) checkMembership(ctx context.Context, m *membershipState) error {
 	now := s.clock.Now()
 	status := s.view.Load().status
 	self, member := status.Group.Find(status.ID)
@@ -58,56 +60,57 @@
 	case status.Newcomer:
 		s.foundOrJoin(ctx, status, m)
 	case member && self.Address != s.settings.Address().String():
-		s.join(ctx, status, s.others(ctx))
-	case member && now.Sub(m.quorumAt) < s.patience():
+		s.join(ctx, status, s.peerStatuses(ctx))
+	case member && now.Sub(m.quorumAt) < s.quorumLossTimeout():
 		return nil
 	default:
-		return s.checkRemoved(ctx, status, s.others(ctx))
+		return s.checkRemoved(ctx, status, s.peerStatuses(ctx))
 	}
 	return nil
 }
 
-// patience is how long this keeper may be without a quorum before it asks
-// whether it still is a member. Where the group removes silent members by
-// itself, one that is back must not stay out for long.
-func (s *Server) patience() time.Duration {
+// quorumLossTimeout returns how long this keeper may be without a quorum before it asks
+// whether it still is a member. It is shorter where the group removes silent members
+// automatically, so that a member that comes back rejoins soon.
+func (s *Server) quorumLossTimeout() time.Duration {
 	if s.timing.Retire > 0 {
 		return s.timing.Retire
 	}
-	return silentElections * s.timing.Election
+	return quorumLossElections * s.timing.Election
 }
 
-// answer is what another keeper knows.
-type answer struct {
+// peerStatus is another keeper's status, with the control address that was asked.
+type peerStatus struct {
 	*messenger.KeeperStatusResponse
 	address string
 }
 
-// others asks all other keepers that are known what they know, side by side: one
-// that is cut off answers nothing, and must not use up the others' time.
-func (s *Server) others(ctx context.Context) []answer {
-	return s.statuses(ctx, s.peerAddresses())
+// peerStatuses queries the status of all other known keepers.
+func (s *Server) peerStatuses(ctx context.Context) []peerStatus {
+	return s.queryStatuses(ctx, s.peerAddresses())
 }
 
-func (s *Server) statuses(ctx context.Context, addresses []string) []answer {
+// queryStatuses queries the status of keepers in parallel, so that a keeper that is cut off
+// does not use up the timeout of the others. Keepers that do not answer are left out.
+func (s *Server) queryStatuses(ctx context.Context, addresses []string) []peerStatus {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	found := make([]answer, len(addresses))
+	statuses := make([]peerStatus, len(addresses))
 	var group sync.WaitGroup
 	for i, address := range addresses {
 		group.Go(func() {
 			response, err := s.peers.forAddress(address).Status(ctx, &messenger.KeeperStatusRequest{Local: true})
 			if err == nil {
-				found[i] = answer{KeeperStatusResponse: response, address: address}
+				statuses[i] = peerStatus{KeeperStatusResponse: response, address: address}
 			}
 		})
 	}
 	group.Wait()
-	return slices.DeleteFunc(found, func(a answer) bool { return a.KeeperStatusResponse == nil })
+	return slices.DeleteFunc(statuses, func(a peerStatus) bool { return a.KeeperStatusResponse == nil })
 }
 
-// peerAddresses returns where other keepers may be found: as the settings list
-// them, or, where those name seeds only, there and where the group says.
+// peerAddresses returns the control addresses of the other keepers: those in the settings
+// or, if the settings name seeds only, those of the seeds and of the group's members.
 func (s *Server) peerAddresses() []string {
 	named := make(map[string]bool)
 	for _, address := range s.settings.Keepers {
@@ -125,8 +128,8 @@
 	return slices.Sorted(maps.Keys(named))
 }
 
-// founds tells whether this keeper is the one that founds the first group.
-func (s *Server) founds() bool {
+// isFounder reports whether this keeper is the one that founds the first group.
+func (s *Server) isFounder() bool {
 	if len(s.settings.Seeds) > 0 {
 		seeds := s.settings.SeedAddresses()
 		return s.settings.Bootstrap && slices.MinFunc(seeds, netip.AddrPort.Compare) == s.settings.Address()
@@ -134,12 +137,12 @@
 	return !s.settings.Join && s.settings.Names()[0] == s.settings.Name
 }
 
-// foundOrJoin brings a newcomer into a group. Any keeper that has heard of one
-// shows that the group exists, and then a blank disk may have lost what it held.
-func (s *Server) foundOrJoin(ctx context.Context, status replicator.Status, m *maintenance) {
-	answers, guests := s.others(ctx), s.queryUnlistedFollowers(ctx)
+// foundOrJoin brings a newcomer into a group. If any keeper knows a group, the newcomer
+// joins it rather than founding one, because its blank disk may have lost committed state.
+func (s *Server) foundOrJoin(ctx context.Context, status replicator.Status, m *membershipState) {
+	answers, followers := s.peerStatuses(ctx), s.queryUnlistedFollowers(ctx)
 	blank := len(status.Group) == 0 && len(answers) == len(s.peerAddresses())
-	for _, answer := range slices.Concat(answers, guests) {
+	for _, answer := range slices.Concat(answers, followers) {
 		if len(answer.GetKeepers()) > 0 {
 			m.blankSince = time.Time{}
 			s.joinUnlessListed(ctx, status, answers)
@@ -147,23 +150,24 @@
 		}
 	}
 	now := s.clock.Now()
-	patient := m.guests.observe(now, guests, s.timing.Election)
+	confirmed := m.blankFollowers.observe(now, followers, s.timing.Election)
 	switch {
-	case !blank || !s.founds():
+	case !blank || !s.isFounder():
 		m.blankSince = time.Time{}
 	case m.blankSince.IsZero():
 		m.blankSince = now
 	case now.Sub(m.blankSince) >= s.timing.Election:
-		s.found(ctx, status, slices.Concat(answers, patient))
+		s.foundGroup(ctx, status, slices.Concat(answers, confirmed))
 	}
 }
 
-// found makes the first group of all keepers that the settings name, and of others that are
-// there. It needs every one that is named to have said twice, an election timeout apart, that
-// it is blank: if this keeper had founded a group before and lost its disk, then a majority
-// holds what was accepted since, and the second time also a message that was
-// still under way has arrived. Another one that does not answer joins later.
-func (s *Server) found(ctx context.Context, status replicator.Status, answers []answer) {
+// foundGroup founds the first group from all keepers that the settings name, and from the blank
+// followers that the settings do not name. Every named keeper must have reported a blank disk
+// twice, an election timeout apart: if this keeper had founded a group before and lost its disk,
+// a majority would hold the state that was committed since, and by the second report a message
+// that was still in flight has arrived. A keeper that is not named and does not answer joins
+// later.
+func (s *Server) foundGroup(ctx context.Context, status replicator.Status, answers []peerStatus) {
 	group := replicator.Group{{
 		ID: status.ID, Name: s.settings.Name, Address: s.settings.Address().String(), Role: replicator.Voter,
 	}}
@@ -177,18 +181,18 @@
 		err = failure
 	}
 	if err != nil {
-		s.log.Error().Err(err).Msg("no group could be founded; it is tried again")
+		s.log.Error().Err(err).Msg("could not found a group; retrying")
 		return
 	}
 	s.log.Info().Int("keepers", len(group)).Msg("founded a group")
 }
 
-// joinUnlessListed asks to join if no one lists this keeper. It looks at the own
-// view once more: a keeper that was listed, and was removed while the others
-// were being asked, would otherwise come back by itself.
-func (s *Server) joinUnlessListed(ctx context.Context, status replicator.Status, answers []answer) {
+// joinUnlessListed asks to join if no other keeper lists this one as a member. It checks
+// the current view again first: a keeper that was a member, and was removed during the
+// status queries, must not rejoin on its own.
+func (s *Server) joinUnlessListed(ctx context.Context, status replicator.Status, answers []peerStatus) {
 	for _, answer := range answers {
-		if listed(answer, status.ID) {
+		if listsMember(answer, status.ID) {
 			return
 		}
 	}
@@ -197,9 +201,9 @@
 	}
 }
 
-// join asks a keeper of the group to add this one. The leader promotes it to
-// voter once it has caught up.
-func (s *Server) join(ctx context.Context, status replicator.Status, answers []answer) {
+// join asks the keepers of the group one after the other to add this one, until one
+// accepts. The leader promotes this keeper to voter once it has caught up.
+func (s *Server) join(ctx context.Context, status replicator.Status, answers []peerStatus) {
 	request := &messenger.AlterRequest{Add: &messenger.Keeper{
 		Name: s.settings.Name, Address: s.settings.Address().String(),
 		Role: messenger.Role_ROLE_VOTER, Disk: uint64(status.ID),
@@ -215,26 +219,26 @@
 			s.log.Info().Str("through", other.GetName()).Msg("asked to join the group")
 			return
 		}
-		s.log.Debug().Err(err).Str("refusal", response.GetError()).Str("through", other.GetName()).Msg("could not join; it is tried again")
+		s.log.Debug().Err(err).Str("refusal", response.GetError()).Str("through", other.GetName()).Msg("request to join the group failed; trying the next keeper")
 	}
 }
 
-// checkRemoved stops a keeper whose disk the group no longer counts. Only a
-// leader in contact with a quorum is believed, because others may know less.
+// checkRemoved returns ErrRemoved if the group no longer lists this keeper's disk. It
+// accepts only the answer of a leader in contact with a quorum, because other keepers
+// may have an older membership.
 //
-// Where keepers find one another by seeds, nobody looks after the members by
-// hand: the group removes a member that it has not heard for a while, and one
-// that comes back asks to join again. Its ballot and its log are still its own,
-// so that it may.
-func (s *Server) checkRemoved(ctx context.Context, status replicator.Status, answers []answer) error {
+// Where keepers find one another by seeds, no operator manages the members: the group
+// removes a member that is silent for a while, and a removed member that comes back asks
+// to join again. It may rejoin because its ballot and its log are intact.
+func (s *Server) checkRemoved(ctx context.Context, status replicator.Status, answers []peerStatus) error {
 	for _, other := range answers {
 		leads := other.GetQuorum() && other.GetLeader() == other.GetName()
 		if !leads || len(other.GetKeepers()) == 0 || other.GetCommit() < status.Commit {
 			continue
 		}
-		if !listed(other, status.ID) {
+		if !listsMember(other, status.ID) {
 			if len(s.settings.Seeds) > 0 {
-				s.log.Warn().Str("leader", other.GetName()).Msg("the group went on without this keeper; it joins again")
+				s.log.Warn().Str("leader", other.GetName()).Msg("group removed this keeper while it was silent; asking to join again")
 				s.join(ctx, status, answers)
 				return nil
 			}
@@ -244,7 +248,8 @@
 	return nil
 }
 
-func listed(other answer, id replicator.ID) bool {
+// listsMember reports whether another keeper lists a disk as a member of the group.
+func listsMember(other peerStatus, id replicator.ID) bool {
 	for _, keeper := range other.GetKeepers() {
 		if keeper.GetDisk() == uint64(id) {
 			return true
--- a/keeper/internal/server/peers.go
+++ b/keeper/internal/server/peers.go
@@ -64,10 +64,10 @@
 	since := c.deliveries.begin(now, keeper)
 	report := &messenger.FollowRequest{
 		Node: c.settings.Name, Zone: c.settings.Zone, Keeper: true, Address: c.settings.Address().String(),
-		Plan: c.view.Load().plan.GetVersion(), Heard: c.directory.recent(now, since),
-		Unheard: c.subscriber.Unheard(), Begun: c.directory.streams.since(now, since),
+		Plan: c.view.Load().plan.GetVersion(), Heard: c.directory.recentHeartbeats(now, since),
+		Unheard: c.subscriber.Unheard(), Begun: c.directory.streamOrigins.since(now, since),
 	}
-	c.directory.summary(now, report)
+	c.directory.summarize(now, report)
 	return report
 }
 
@@ -75,10 +75,10 @@
 func (c peerSubscription) News(_ context.Context, keeper netip.AddrPort, response *messenger.FollowResponse) {
 	c.deliveries.acknowledge(keeper)
 	m := c.directory.merge(c.clock.Now(), keeper.String(), response.GetListings())
-	if m.unread != nil && c.heartbeatDamper.Admit(c.clock.Now(), c.log) {
-		c.log.Warn().Err(m.unread).Stringer("keeper", keeper).Msg("peer sent a listing that cannot be decoded; ignoring it")
+	if m.invalid != nil && c.heartbeatDamper.Admit(c.clock.Now(), c.log) {
+		c.log.Warn().Err(m.invalid).Stringer("keeper", keeper).Msg("peer sent a listing that cannot be decoded; ignoring it")
 	}
-	if m.any {
+	if m.changed {
 		c.updates.notify(m.urgent)
 	}
 }
@@ -94,12 +94,12 @@
 	go func() {
 		late := false
 		for s.pause(ctx, directoryInterval) == nil {
-			late = s.tellLateness(late)
-			if s.directory.pass(s.clock.Now()) {
+			late = s.logLag(late)
+			if s.directory.expire(s.clock.Now()) {
 				s.updates.notify(true)
 			}
 			s.subscriber.Know(s.memberAddresses()...)
-			wait := subscriber.ExchangeWaitFor(s.directory.routers(s.clock.Now()), len(s.view.Load().status.Group))
+			wait := subscriber.ExchangeWaitFor(s.directory.routerCount(s.clock.Now()), len(s.view.Load().status.Group))
 			s.subscriber.Pace(wait, wait)
 		}
 	}()
--- a/keeper/internal/server/planning.go
+++ b/keeper/internal/server/planning.go
@@ -50,7 +50,7 @@
 	if known := p.view.Load().plan; known.GetVersion() >= plan.GetVersion() {
 		return &messenger.SubmitResponse{Version: known.GetVersion()}, nil
 	}
-	return lead(ctx, p.Server,
+	return runOnLeader(ctx, p.Server,
 		func(ctx context.Context) (*messenger.SubmitResponse, error) {
 			result, err := keeping(p).propose(ctx, &messenger.Command{Plan: plan})
 			return &messenger.SubmitResponse{Version: result.Plan}, err
@@ -64,7 +64,7 @@
 // partitioned considers its lease valid for longer than the other keepers do, because its
 // clock stood still; the committed command proves that a quorum still follows it.
 func (p planning) Current(ctx context.Context, request *messenger.CurrentRequest) (*messenger.Plan, error) {
-	return lead(ctx, p.Server,
+	return runOnLeader(ctx, p.Server,
 		func(ctx context.Context) (*messenger.Plan, error) {
 			if _, err := keeping(p).propose(ctx, &messenger.Command{}); err != nil {
 				return nil, err
@@ -107,7 +107,7 @@
 		p.updates.notify(true)
 	}
 	arrived := p.clock.Now()
-	wait, coalesce := p.hold(request)
+	wait, coalesce := p.holdTime(request)
 	timer := p.clock.NewTimer(wait)
 	defer timer.Stop()
 	for last := false; ; {
@@ -116,11 +116,11 @@
 		if !acquired {
 			return nil, twirp.NewError(twirp.Canceled, "the caller went away")
 		}
-		if last || p.hasNewer(request) || !coalesce && p.directory.fresh(request, p.epoch) {
+		if last || p.hasNewer(request) || !coalesce && p.directory.hasUpdates(request, p.epoch) {
 			releaseOnWrite(ctx, slot)
 			now := p.clock.Now()
 			shown := p.view.Load() // loaded before the list, so that the list is at least as new
-			response := p.directory.news(now, request, p.epoch)
+			response := p.directory.updatesFor(now, request, p.epoch)
 			response.Plan, response.Zone = shown.plan.GetVersion(), p.settings.Zone
 			response.Evacuations, response.Evacuated = shown.evacuations.Revision, shown.evacuations.Zones
 			response.Rations = p.rations(arrived, request)
@@ -155,11 +155,11 @@
 func (p planning) Beat(beat lister.Listing) {
 	services := p.services()
 	service, named := services[beat.Service]
-	if services != nil && !named && !p.directory.lists(beat.ID, beat.Service) {
+	if services != nil && !named && !p.directory.hasListing(beat.ID, beat.Service) {
 		p.Unusable(beat.ID, lister.Unusable{Reason: lister.UnknownService, Field: "service"})
 		return
 	}
-	beat.ColdUntil = coldest(p.clock.Now(), beat.ColdUntil, service)
+	beat.ColdUntil = boundColdUntil(p.clock.Now(), beat.ColdUntil, service)
 	if changed, urgent := p.directory.beat(p.clock.Now(), beat); changed {
 		p.log.Info().Str("endpoint", beat.ID).Str("service", beat.Service).Stringer("address", beat.Address).
 			Uint8("state", uint8(beat.State)).Uint64("sequence", beat.Sequence).Time("started", beat.Started).Str("version", beat.Version).
--- a/keeper/internal/server/rationing.go
+++ b/keeper/internal/server/rationing.go
@@ -12,51 +12,52 @@
 	"shallotkeel.example/lib/resolver"
 )
 
-// coldest bounds until when an endpoint says that it is cold by what its service needs to get
-// warm. Any process may send heartbeats, and a day of few requests is soon asked for.
-func coldest(now, until time.Time, service resolver.Service) time.Time {
+// boundColdUntil bounds the time until which an endpoint claims to be cold by the configured cold
+// start time of its service. Any process may send heartbeats, and an unbounded claim could limit
+// the requests to an endpoint for a day.
+func boundColdUntil(now, until time.Time, service resolver.Service) time.Time {
 	if service.Cold.Rate <= 0 {
 		return time.Time{}
 	}
-	if most := now.Add(service.Cold.Length); until.After(most) {
-		return most
+	if latest := now.Add(service.Cold.Length); until.After(latest) {
+		return latest
 	}
 	return until
 }
 
-// rations returns which cold endpoints a router that reports here may send to. Arrived is
-// when its poll came.
+// rations returns the cold endpoints that a router that reports to this keeper may send to.
+// arrived is the time at which its poll arrived.
 func (p planning) rations(arrived time.Time, request *messenger.FollowRequest) []*messenger.Ration {
 	if request.GetBrief() || request.GetKeeper() || p.settings.Platform == nil {
 		return nil
 	}
 	now := p.clock.Now()
-	if cold, due := p.directory.coldDue(now); due {
-		p.directory.divide(p.rationing().parts(cold))
+	if cold, expired := p.directory.coldIfPartsExpired(now); expired {
+		p.directory.setParts(p.rationInputs().parts(cold))
 	}
-	return p.directory.lease(now, arrived, request.GetNode())
+	return p.directory.leaseParts(now, arrived, request.GetNode())
 }
 
-// rationing returns what parts rest on now.
-func (p planning) rationing() *rationing {
-	r := &rationing{services: p.services(), cold: p.settings.Platform.Cold, name: p.settings.Name}
+// rationInputs returns the current inputs for computing this keeper's parts.
+func (p planning) rationInputs() *rationInputs {
+	r := &rationInputs{services: p.services(), cold: p.settings.Platform.Cold, name: p.settings.Name}
 	for _, replica := range p.view.Load().status.Group {
 		r.keepers = append(r.keepers, replica.Name)
 	}
 	return r
 }
 
-// rationing is what parts of cold endpoints' rates rest on.
-type rationing struct {
+// rationInputs determines how the request rates of cold endpoints are divided among keepers.
+type rationInputs struct {
 	services map[string]resolver.Service
 	cold     settings.Cold
-	name     string   // this keeper's
-	keepers  []string // of the group
+	name     string   // this keeper's name
+	keepers  []string // names of the group's members
 }
 
-// pause returns the pause between two requests of this keeper's part of an endpoint, 0 if it
-// has none.
-func (r *rationing) pause(service string, endpoint uint64) time.Duration {
+// pause returns the pause between two requests to an endpoint under this keeper's part of its
+// rate, 0 if this keeper has no part of it.
+func (r *rationInputs) pause(service string, endpoint uint64) time.Duration {
 	rate := r.services[service].Cold.Rate
 	if rate <= 0 {
 		return 0
@@ -69,19 +70,19 @@
 	return pause
 }
 
-// partsAge is how long the parts that were worked out last hold. After a loss of a zone's power
-// thousands of endpoints may be cold: worked out for each poll, they would take a keeper all of
-// its time.
-const partsAge = 25 * time.Millisecond
+// partsCacheAge is how long computed parts stay valid. After a power loss of a zone thousands of
+// endpoints may be cold, and computing the parts for each poll would use all of a keeper's
+// processor time.
+const partsCacheAge = 25 * time.Millisecond
 
-// part is this keeper's part of one cold endpoint.
+// part is this keeper's part of one cold endpoint's request rate.
 type part struct {
-	endpoint uint64        // its key
+	endpoint uint64        // balancer.Key of the endpoint
 	pause    time.Duration // between two requests
 }
 
-// parts returns this keeper's parts of some endpoints that are cold.
-func (r *rationing) parts(cold []lister.Listing) []part {
+// parts returns this keeper's parts of cold endpoints.
+func (r *rationInputs) parts(cold []lister.Listing) []part {
 	var parts []part
 	for _, listing := range cold {
 		endpoint := balancer.Key(listing)
@@ -92,27 +93,27 @@
 	return parts
 }
 
-// coldDue returns the endpoints that are cold if this keeper's parts of them are to be worked
-// out again.
-func (d *directory) coldDue(now time.Time) (cold []lister.Listing, due bool) {
+// coldIfPartsExpired returns the cold endpoints if this keeper's parts of them have expired and
+// must be computed again.
+func (d *directory) coldIfPartsExpired(now time.Time) (cold []lister.Listing, expired bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if now.Sub(d.divided) < partsAge {
+	if now.Sub(d.partsAt) < partsCacheAge {
 		return nil, false
 	}
-	d.divided = now
+	d.partsAt = now
 	return d.list.Cold(now), true
 }
 
-// divide sets this keeper's parts.
-func (d *directory) divide(parts []part) {
+// setParts replaces this keeper's parts.
+func (d *directory) setParts(parts []part) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.parts = parts
 }
 
-// lease leases this keeper's parts to a router.
-func (d *directory) lease(now, arrived time.Time, router string) []*messenger.Ration {
+// leaseParts returns the parts that are leased to a router, including those that it is granted now.
+func (d *directory) leaseParts(now, arrived time.Time, router string) []*messenger.Ration {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	candidates := sync.OnceValue(func() []rationer.Candidate { return d.candidates(now) })
@@ -129,31 +130,32 @@
 	return rations
 }
 
-// candidates returns the routers that report here.
+// candidates returns the routers that report to this keeper, with the tokens per second that
+// their workspaces ask for.
 func (d *directory) candidates(now time.Time) []rationer.Candidate {
 	var candidates []rationer.Candidate
 	for name, f := range d.followers {
 		if f.keeper || f.report.GetBrief() || now.Sub(f.at) > reportTTL {
 			continue
 		}
-		asked := uint64(0)
+		tokens := uint64(0)
 		for _, use := range f.report.GetUses() {
-			asked += use.GetAsked()
+			tokens += use.GetAsked()
 		}
-		candidates = append(candidates, rationer.Candidate{Name: name, Demand: float64(asked)})
+		candidates = append(candidates, rationer.Candidate{Name: name, Demand: float64(tokens)})
 	}
 	return candidates
 }
 
-// chill takes the endpoints of a zone to be cold.
-func (d *directory) chill(now time.Time, zone string, lengths func(service string) time.Duration) {
+// markZoneCold marks the endpoints of a zone as cold for the cold start time of their service.
+func (d *directory) markZoneCold(now time.Time, zone string, lengths func(service string) time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.list.Chill(now, zone, lengths)
 }
 
-// inZone tells whether an endpoint of a zone is listed.
-func (d *directory) inZone(zone string) bool {
+// hasZone reports whether an endpoint of a zone is listed.
+func (d *directory) hasZone(zone string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.list.InZone(zone)
--- a/keeper/internal/server/recalling.go
+++ b/keeper/internal/server/recalling.go
@@ -16,58 +16,61 @@
 )
 
 const (
-	// passTime is for how long what routers tell here is told on to a keeper that has not heard
-	// it: longer than a poll between keepers takes, however busy they are.
-	passTime = 5 * time.Second
-	// mostPassed bounds the records that wait to be told on.
-	mostPassed = 1 << 18
+	// relayRetention is how long a record that a router sent to this keeper is kept for relaying
+	// to the other keepers: longer than a poll between keepers takes, however busy they are.
+	relayRetention = 5 * time.Second
+	// maxRelayedRecords bounds the records that are kept for relaying.
+	maxRelayedRecords = 1 << 18
 )
 
-// streams is what a keeper knows of where streams began. A router's records come here and are told
-// on, so that each keeper has all of them. Its zero value knows none. It is safe for
-// concurrent use.
-type streams struct {
+// streamOrigins holds the origins of streams: the service and software version at which each
+// began. Routers send their records to one keeper, which relays them, so that every keeper has
+// all of them. Its zero value is empty. It is safe for concurrent use.
+type streamOrigins struct {
 	memory versioner.Store
 
-	mutex  sync.Mutex
-	direct []arrival // in the order of their arrival
+	mutex    sync.Mutex
+	received []receivedRecord // records for relaying, in order of arrival
 }
 
-// arrival is a record that a router told here.
-type arrival struct {
+// receivedRecord is a record that a router sent to this keeper, with its time of arrival.
+type receivedRecord struct {
 	at     time.Time
 	record versioner.Record
 }
 
-// take takes what a router or another keeper tells.
-func (s *streams) take(now time.Time, request *messenger.FollowRequest) {
+// receive stores the records of a router or another keeper. Only new records of routers are
+// kept for relaying.
+func (s *streamOrigins) receive(now time.Time, request *messenger.FollowRequest) {
 	for _, record := range versioner.FromWire(request.GetBegun()) {
 		if s.memory.Add(now, record.Stream, record.Origin) && !request.GetKeeper() {
-			s.pass(arrival{at: now, record: record})
+			s.enqueue(receivedRecord{at: now, record: record})
 		}
 	}
 }
 
-func (s *streams) pass(a arrival) {
+// enqueue adds a record for relaying, and drops the oldest if there are too many.
+func (s *streamOrigins) enqueue(a receivedRecord) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.direct) >= mostPassed {
-		s.direct = s.direct[1:]
+	if len(s.received) >= maxRelayedRecords {
+		s.received = s.received[1:]
 	}
-	s.direct = append(s.direct, a)
+	s.received = append(s.received, a)
 }
 
-// since returns the records that routers told here from a time on, for another keeper.
-func (s *streams) since(now, from time.Time) []*messenger.Begun {
+// since returns the records that routers sent to this keeper from a time on, for relaying to
+// another keeper, and drops those older than relayRetention.
+func (s *streamOrigins) since(now, from time.Time) []*messenger.Begun {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	old := 0
-	for old < len(s.direct) && now.Sub(s.direct[old].at) > passTime {
-		old++
+	expired := 0
+	for expired < len(s.received) && now.Sub(s.received[expired].at) > relayRetention {
+		expired++
 	}
-	s.direct = s.direct[old:]
+	s.received = s.received[expired:]
 	var records []versioner.Record
-	for _, a := range s.direct {
+	for _, a := range s.received {
 		if !a.at.Before(from) {
 			records = append(records, a.record)
 		}
@@ -75,11 +78,11 @@
 	return versioner.ToWire(records)
 }
 
-// mostLocated bounds the endpoints that are named to a router that knows none of a version. So many
-// bear what one router brings; others are named others.
-const mostLocated = 8
+// maxLocated bounds the endpoints that are returned to a router that knows none of a version. They
+// have enough capacity for the streams of one router; other routers get other endpoints.
+const maxLocated = 8
 
-// Locate names endpoints of one software version.
+// Locate returns endpoints of one software version.
 func (p planning) Locate(_ context.Context, request *messenger.LocateRequest) (*messenger.LocateResponse, error) {
 	if request.GetVersion() == "" {
 		return nil, twirp.RequiredArgumentError("version")
@@ -91,7 +94,8 @@
 	return response, nil
 }
 
-// locate returns some of the endpoints of a version that take work, others for each router.
+// locate returns up to maxLocated ready endpoints of a version. The selection is stable for a
+// router and differs between routers.
 func (d *directory) locate(request *messenger.LocateRequest) []lister.Listing {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -100,14 +104,14 @@
 	})
 	rank := func(l lister.Listing) uint64 { return xxhash.Sum64String(request.GetNode() + " " + l.ID) }
 	slices.SortFunc(located, func(a, b lister.Listing) int { return cmp.Compare(rank(a), rank(b)) })
-	return located[:min(len(located), mostLocated)]
+	return located[:min(len(located), maxLocated)]
 }
 
-// Recall tells where a stream began.
+// Recall returns the service and the software version at which a stream began, empty if unknown.
 func (p planning) Recall(_ context.Context, request *messenger.RecallRequest) (*messenger.RecallResponse, error) {
 	if request.GetStream() == 0 {
 		return nil, twirp.RequiredArgumentError("stream")
 	}
-	origin, _ := p.directory.streams.memory.Find(p.clock.Now(), request.GetStream())
+	origin, _ := p.directory.streamOrigins.memory.Find(p.clock.Now(), request.GetStream())
 	return &messenger.RecallResponse{Service: origin.Service, Version: origin.Version}, nil
 }
--- a/keeper/internal/server/retired.go
+++ b/keeper/internal/server/retired.go
@@ -6,20 +6,21 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// maxRetired bounds the names that are remembered, the latest ones.
+// maxRetired bounds the names that are kept; the oldest are dropped.
 const maxRetired = 64
 
-// retired is the names of keepers that have left the group while this one ran. It
-// belongs to the control loop; its zero value knows nobody.
+// retired holds the names of keepers that left the group since this process started. It
+// belongs to the control loop; its zero value is empty.
 //
-// Removing a keeper is idempotent by it: an operator whose answer was lost sends the
-// removal again, and must not be told that there never was such a member.
+// It makes the removal of a keeper idempotent: an operator whose answer is lost repeats
+// the removal, and must not get an error that the member is unknown.
 type retired struct {
 	names []string
 }
 
-// note compares two states of the group.
-func (r *retired) note(before, after replicator.Group) {
+// update adds the keepers that left the group between two states of it, and drops those that
+// are members again.
+func (r *retired) update(before, after replicator.Group) {
 	for _, replica := range before {
 		if len(after.Named(replica.Name)) > 0 || r.has(replica.Name) {
 			continue
@@ -32,6 +33,7 @@
 	r.names = slices.DeleteFunc(r.names, func(name string) bool { return len(after.Named(name)) > 0 })
 }
 
+// has reports whether a keeper of this name left the group.
 func (r *retired) has(name string) bool {
 	return slices.Contains(r.names, name)
 }
--- a/keeper/internal/server/server.go
+++ b/keeper/internal/server/server.go
@@ -87,7 +87,7 @@
 	pacer           pacer.Pacer     // measures the scheduling delay of this process
 	heartbeatDamper damper.Damper   // limits log lines about unusable heartbeats and listings
 	archiveDamper   damper.Damper   // limits log lines about failed copies of the list
-	serviceCache    naming          // services of the plan in force
+	serviceCache    serviceCache    // services of the plan in force
 	platform        Platform
 	epoch           uint64 // identifies this run of the keeper to its followers
 	// seeds are the seeds of the settings file as last read.
@@ -166,7 +166,7 @@
 
 func newServer(s *settings.Settings, log zerolog.Logger, clock clockwork.Clock) *Server {
 	server := &Server{
-		settings: s, log: log, clock: clock, timing: s.Agreement(), callTimeout: proposalTimeout,
+		settings: s, log: log, clock: clock, timing: s.ReplicationTiming(), callTimeout: proposalTimeout,
 		inbox:           make(chan task, inboxLength),
 		stopping:        make(chan struct{}),
 		stopped:         make(chan struct{}),
@@ -187,7 +187,7 @@
 		Host: peerSubscription{Server: server, deliveries: &deliveryTimes{}}, Clock: clock, Log: log, Own: s.Address(), Wait: subscriber.LeastWait,
 		Dial: func(address netip.AddrPort) messenger.Planning { return server.peers.forAddress(address.String()) },
 	})
-	server.updates.clock, server.updates.followers = clock, server.directory.size
+	server.updates.clock, server.updates.followers = clock, server.directory.followerCount
 	server.metrics = newMetrics(server)
 	server.view.Store(&view{lastQuorum: clock.Now()})
 	return server
@@ -243,7 +243,7 @@
 	var background sync.WaitGroup
 	backgroundCtx, endBackground := context.WithCancel(context.Background())
 	background.Go(func() {
-		if err := s.maintain(backgroundCtx); err != nil {
+		if err := s.maintainMembership(backgroundCtx); err != nil {
 			failures <- err
 		}
 	})
@@ -379,10 +379,10 @@
 	// This happens before the view is published: a reader that learns of the end of a zone's
 	// evacuation must not find the zone's endpoints marked as warm.
 	if shown := s.view.Load().evacuations; shown.Revision != next.evacuations.Revision {
-		s.chillReturning(shown.Zones, next.evacuations)
+		s.markReturnedZonesCold(shown.Zones, next.evacuations)
 	}
 	last := s.view.Swap(next)
-	s.retired.note(last.status.Group, next.status.Group)
+	s.retired.update(last.status.Group, next.status.Group)
 	for _, replica := range next.status.Group {
 		s.sender.Learn(replica.ID, replica.Address)
 	}
--- a/keeper/internal/server/sources.go
+++ b/keeper/internal/server/sources.go
@@ -7,31 +7,33 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// sources is which other keeper has told what is known of an endpoint, by the endpoint's id. What
-// came from the endpoint itself has none. Its zero value is empty.
+// sources maps the id of an endpoint to the keeper that sent the current listing. Listings from
+// the endpoint itself have no entry. Its zero value is empty.
 //
-// Each keeper tells each other one of the endpoints that it hears itself. Told on by all of them,
-// each change would be told by each keeper to each. One that does not hear another is told by
-// the others what that one tells them, so that a cut between two keepers keeps news from nobody.
+// Each keeper sends every other keeper only the listings that it got from the endpoints themselves.
+// If keepers relayed all listings, every keeper would send each change to every other. A keeper
+// that cannot reach a peer gets that peer's listings from the other keepers, so that updates arrive
+// everywhere despite a partition between two keepers.
 type sources map[string]string
 
-// direct notes that an endpoint was heard itself.
-func (s sources) direct(id string) {
+// recordDirect records that the endpoint itself sent the current listing.
+func (s sources) recordDirect(id string) {
 	delete(s, id)
 }
 
-// told notes that a keeper has told a change of an endpoint.
-func (s *sources) told(id, keeper string) {
+// recordKeeper records that another keeper sent the current listing of an endpoint.
+func (s *sources) recordKeeper(id, keeper string) {
 	if *s == nil || len(*s) >= lister.MaxListings {
 		*s = make(sources)
 	}
 	(*s)[id] = keeper
 }
 
-// untold returns what a keeper is to be told of what changed behind a revision. What it does not
-// hear any more from another one it is told whole, because until now that was left to the other.
-func (d *directory) untold(request *messenger.FollowRequest, after uint64) []lister.Listing {
-	if known, found := d.followers[request.GetNode()]; found && len(known.missed) > 0 {
+// pendingForKeeper returns the listings that changed after a revision and that a keeper gets from
+// this one. If the keeper lost contact with a peer since its last poll, it gets all listings
+// regardless of the revision, because earlier changes were left to that peer.
+func (d *directory) pendingForKeeper(request *messenger.FollowRequest, after uint64) []lister.Listing {
+	if known, found := d.followers[request.GetNode()]; found && len(known.newlyUnreachable) > 0 {
 		after = 0
 	}
 	return d.list.Select(after, func(l *lister.Listing) bool {
@@ -40,13 +42,14 @@
 	})
 }
 
-// missed returns the keepers that are not heard now and were before.
-func missed(before, now []string) []string {
-	var missed []string
+// newlyUnreachable returns the keepers that are in the list of unreachable keepers now and were
+// not before.
+func newlyUnreachable(before, now []string) []string {
+	var added []string
 	for _, keeper := range now {
 		if !slices.Contains(before, keeper) {
-			missed = append(missed, keeper)
+			added = append(added, keeper)
 		}
 	}
-	return missed
+	return added
 }
--- a/keeper/internal/server/subset.go
+++ b/keeper/internal/server/subset.go
@@ -12,47 +12,50 @@
 )
 
 const (
-	// sampled is about how many endpoints of a service a router is told of elsewhere than in
-	// its own zone, up to twice as many, where there are more.
-	sampled = 128
-	// homed is likewise how many endpoints of a service all routers are told of.
-	homed = 1024
-	// narrowShare is the part of a bound under which a service's endpoints must fall before a
-	// larger part of them is told again.
-	narrowShare = 0.75
+	// sampleSize is the minimum number of endpoints of a service in other zones that a router
+	// receives, if there are so many. Samples have up to about twice this size.
+	sampleSize = 128
+	// homeSampleSize is likewise the size of the sample of a service that all routers receive.
+	homeSampleSize = 1024
+	// growThreshold is the fraction of the count at which a sample was halved below which a
+	// service's endpoints must fall before the sample is doubled again. It prevents oscillation.
+	growThreshold = 0.75
 )
 
-// subset decides of which endpoints a router is told: those of its own zone, and where a service
-// has many two stable samples of the others. One is different for each router. With it the router
-// serves if its zone's are lost, evacuated or busy, without asking anybody first, and all routers
-// together reach all endpoints. The other is the same for all, so that they agree where prompts
-// with the same parts are read. Told of all, each router would hold the whole fleet, and each
-// endpoint's start would be a message to every router.
+// subset decides which endpoints a router receives: all of its own zone and, if a service has
+// many endpoints, two stable samples of those in other zones. The first sample differs between
+// routers. With it a router serves if the endpoints of its zone are lost, evacuated or busy,
+// without asking a keeper first, and all routers together reach all endpoints. The second sample,
+// the homes, is the same for all routers, so that they agree on the engines that read prompts with
+// common parts. Without subsets each router would hold the whole fleet, and the start of each
+// endpoint would be a message to every router.
 //
-// That an endpoint leaves or is gone is told of all of them, so that a router that knows one from
-// before, or from another keeper, sends it nothing more. That one is silent is not: after a cut
-// between zones it is said of most of them, and what a router knows besides its subset is little.
+// Endpoints that leave or are gone are sent to all routers regardless of the subset, so that a
+// router that knows such an endpoint from before, or from another keeper, stops sending to it.
+// Silence is sent for the subset only: after a partition between zones most endpoints are silent,
+// and a router knows few endpoints outside its subset.
 //
-// Its zero value tells of all.
+// The zero value includes all endpoints.
 type subset struct {
-	// shifts are, by service, how many times the samples are half of what they were.
+	// shifts are the sizes of the samples by service.
 	shifts map[string]shifts
 }
 
-// shifts are the sizes of a service's samples: one endpoint in 1<<shift.
+// shifts are the sizes of a service's samples as binary logarithms: a sample has one endpoint in
+// 1<<shift.
 type shifts struct {
 	own, homes int
 }
 
-// count takes how many endpoints each service has, and returns the services of which routers
-// are to be told a larger part.
-func (s *subset) count(services map[string]int) (widened []string) {
+// updateSizes adapts the sample sizes to the number of endpoints of each service, and returns the
+// services whose samples have grown, in order of their names.
+func (s *subset) updateSizes(services map[string]int) (widened []string) {
 	if s.shifts == nil {
 		s.shifts = make(map[string]shifts)
 	}
 	for service, count := range services {
 		present := s.shifts[service]
-		next := shifts{own: shiftOf(present.own, count, sampled), homes: shiftOf(present.homes, count, homed)}
+		next := shifts{own: sampleShift(present.own, count, sampleSize), homes: sampleShift(present.homes, count, homeSampleSize)}
 		if next.own < present.own || next.homes < present.homes {
 			widened = append(widened, service)
 		}
@@ -67,18 +70,19 @@
 	return widened
 }
 
-// shiftOf returns the shift for a sample of so many of a service's endpoints. It falls only when
-// the service has become clearly smaller.
-func shiftOf(present, count, sample int) int {
+// sampleShift returns the shift for a sample of at least the given size out of count endpoints. The
+// present shift decreases only if count falls below growThreshold.
+func sampleShift(present, count, sample int) int {
 	wanted := max(bits.Len(uint(max(count, 0)/sample))-1, 0)
-	if wanted < present && float64(count) > narrowShare*float64(sample)*float64(int(1)<<present) {
+	if wanted < present && float64(count) > growThreshold*float64(sample)*float64(int(1)<<present) {
 		return present
 	}
 	return wanted
 }
 
-// homes returns the samples that all routers are told of, for a message.
-func (s *subset) homes() []*messenger.Sample {
+// homeSamples returns the samples that all routers receive, for a message. Services that are sent
+// whole have none.
+func (s *subset) homeSamples() []*messenger.Sample {
 	var homes []*messenger.Sample
 	for service, shifts := range s.shifts {
 		if shifts.own > 0 {
@@ -88,26 +92,26 @@
 	return homes
 }
 
-// share is one router's subset.
-type share struct {
+// routerSubset is the subset of one router.
+type routerSubset struct {
 	shifts map[string]shifts
-	seed   uint64
+	seed   uint64 // hash of the router's name
 	zone   string
 }
 
-// of returns the subset of a router.
-func (s *subset) of(router, zone string) share {
-	return share{shifts: s.shifts, seed: xxhash.Sum64String(router), zone: zone}
+// forRouter returns the subset of a router by its name and zone.
+func (s *subset) forRouter(router, zone string) routerSubset {
+	return routerSubset{shifts: s.shifts, seed: xxhash.Sum64String(router), zone: zone}
 }
 
-// has tells whether the router is told of an endpoint.
-func (s share) has(l *lister.Listing) bool {
+// includes reports whether the subset contains an endpoint.
+func (s routerSubset) includes(l *lister.Listing) bool {
 	shifts := s.shifts[l.Service]
 	if shifts.own == 0 || l.Zone == s.zone || balancer.Sampled(xxhash.Sum64String(l.ID), shifts.homes) {
 		return true
 	}
 	var hash xxhash.Digest
 	hash.ResetWithSeed(s.seed)
-	hash.WriteString(l.ID) //nolint:errcheck // a hash takes all
+	hash.WriteString(l.ID) //nolint:errcheck // a hash's WriteString never fails
 	return balancer.Sampled(hash.Sum64(), shifts.own)
 }
--- a/keeper/internal/settings/settings.go
+++ b/keeper/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings is the settings file of a keeper.
+// Package settings defines and validates the settings file of a keeper.
 package settings
 
 import (
@@ -12,72 +12,75 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// Settings is a keeper's settings file; docs/INTERFACES.md shows one.
+// Settings is a keeper's settings file; docs/INTERFACES.md has an example.
 type Settings struct {
 	Name    string         `json:"name"`
 	Zone    string         `json:"zone"`
 	Listen  netip.AddrPort `json:"listen"`
 	Control netip.AddrPort `json:"control"`
-	// Advertise is the control address told to others, where it is not Control.
+	// Advertise is the control address that is announced to other processes if it
+	// differs from Control.
 	Advertise netip.AddrPort `json:"advertise"`
 	Data      string         `json:"data"`
-	// Keepers are the control addresses by name, this keeper's own included.
+	// Keepers are the control addresses of all keepers by name, including this one.
 	Keepers map[string]netip.AddrPort `json:"keepers"`
 	// Join keeps this keeper from founding a group.
 	Join   bool   `json:"join"`
 	Secret string `json:"secret"`
 	Timing Timing `json:"timing"`
-	// Seeds are some keepers' addresses, where no list of all of them is kept.
-	// Only their hosts count: all keepers use the port of Control.
+	// Seeds are the addresses of some keepers, for deployments without a list of all
+	// keepers. Only the hosts are used: all keepers use the port of Control.
 	Seeds []netip.AddrPort `json:"seeds"`
-	// Bootstrap says that the whole fleet starts for the first time, with empty
-	// disks. Without it a keeper that knows seeds only ever joins a group.
+	// Bootstrap is set when the whole fleet starts for the first time, with empty
+	// disks. Without it a keeper with seeds joins a group and never founds one.
 	Bootstrap bool `json:"bootstrap"`
-	// File is where the settings were read, and are looked at for changes.
+	// File is the path that the settings were read from. It is watched for changes.
 	File string `json:"-"`
-	// Memory is what the instance may use, in MB; 0 is not known.
+	// Memory is the memory limit of the instance in MB, 0 if unknown.
 	Memory int `json:"memory"`
-	// Platform is set where the platform's operators and endpoints call.
+	// Platform is set if this keeper serves the platform's operators and endpoints.
 	Platform *Platform `json:"platform"`
 }
 
-// Platform says how the platform's operators and endpoints call.
+// Platform configures the interface for the platform's operators and endpoints.
 type Platform struct {
 	Listen netip.AddrPort `json:"listen"`
-	// Heartbeat is the pause between an endpoint's heartbeats.
+	// Heartbeat is the interval between the heartbeats of an endpoint.
 	Heartbeat loader.Duration `json:"heartbeat"`
-	// Zones are the availability zones of the platform, with their regions. Orders for
-	// others are refused.
+	// Zones maps the availability zones of the platform to their regions. Orders for
+	// other zones are refused unless a listed endpoint is in the zone.
 	Zones map[string]string `json:"zones"`
 	Cold  Cold              `json:"cold"`
 }
 
-// Cold says by how much the requests to a cold endpoint within one second may exceed its
-// rate: by how many times, 1 at least, and by how many requests more.
+// Cold bounds the requests to a cold endpoint within one second: Overage times its rate, where an
+// Overage below 1 counts as 1, plus Slack requests.
 type Cold struct {
 	Overage float64 `json:"overage"`
 	Slack   float64 `json:"slack"`
 }
 
-// Timing is the pace of the agreement.
+// Timing configures the replication protocol: the interval between a leader's heartbeats and the
+// election timeout.
 type Timing struct {
 	Heartbeat loader.Duration `json:"heartbeat"`
 	Election  loader.Duration `json:"election"`
 }
 
-// retireAfter is how long a member may be silent before the group goes on without
-// it, where no operator looks after the members. A replaced instance stops
-// counting as lost some four seconds after its successor's start, and the
+// retireAfter is how long a member may be silent before the group removes it, in
+// deployments with seeds, where no operator manages the members. A replaced instance
+// stops counting as lost some four seconds after the start of its successor, and the
 // successor needs a second to start and catch up.
 const retireAfter = 2 * time.Second
 
-// leastHeartbeats is how many heartbeats must fit into an election timeout, so
-// that a single lost message does not depose a leader.
-const leastHeartbeats = 3
+// minHeartbeatsPerElection is the minimum ratio of the election timeout to the heartbeat
+// interval, so that a single lost message does not depose a leader.
+const minHeartbeatsPerElection = 3
 
-const leastHeartbeat = 5 * time.Millisecond
+// minHeartbeat is the minimum interval between a leader's heartbeats.
+const minHeartbeat = 5 * time.Millisecond
 
-// Address is the control address that others are told.
+// Address returns the control address that is announced to other processes.
 func (s *Settings) Address() netip.AddrPort {
 	if s.Advertise.IsValid() {
 		return s.Advertise
@@ -85,7 +88,7 @@
 	return s.Control
 }
 
-// Check lists what is wrong with the settings.
+// Check returns the problems of the settings, none if they are valid.
 func (s *Settings) Check() []loader.Problem {
 	var problems []loader.Problem
 	problem := func(key, message, remedy string) {
@@ -121,14 +124,14 @@
 	if s.Platform != nil && min(s.Platform.Cold.Overage, s.Platform.Cold.Slack) < 0 {
 		problem("platform", "the bound on cold endpoints is below 0", "set \"overage\" and \"slack\" of \"cold\" to what the platform allows, or leave them out")
 	}
-	timing := s.Agreement()
-	if timing.Heartbeat < leastHeartbeat || timing.Election < leastHeartbeats*timing.Heartbeat {
+	timing := s.ReplicationTiming()
+	if timing.Heartbeat < minHeartbeat || timing.Election < minHeartbeatsPerElection*timing.Heartbeat {
 		problem("election", "the election timeout is too short for the heartbeat", "set it to at least three heartbeats of at least 5ms")
 	}
 	return problems
 }
 
-// SeedAddresses returns the control addresses of the seeds.
+// SeedAddresses returns the control addresses of the seeds: their hosts with the port of Control.
 func (s *Settings) SeedAddresses() []netip.AddrPort {
 	addresses := make([]netip.AddrPort, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
@@ -137,8 +140,8 @@
 	return addresses
 }
 
-// Agreement returns the pace with defaults filled in.
-func (s *Settings) Agreement() replicator.Timing {
+// ReplicationTiming returns the timing of the replication protocol with defaults filled in.
+func (s *Settings) ReplicationTiming() replicator.Timing {
 	timing := replicator.Timing{
 		Heartbeat: s.Timing.Heartbeat.Or(replicator.DefaultHeartbeat),
 		Election:  s.Timing.Election.Or(replicator.DefaultElection),
@@ -149,7 +152,7 @@
 	return timing
 }
 
-// Names lists the keepers by name.
+// Names returns the sorted names of the keepers.
 func (s *Settings) Names() []string {
 	return slices.Sorted(maps.Keys(s.Keepers))
 }
--- a/keeper/main.go
+++ b/keeper/main.go
@@ -1,5 +1,5 @@
-// Package main is the keeper program of shallotkeel: one of the few instances
-// with a disk that hold the state that must survive.
+// Package main is the keeper program of shallotkeel. The few keepers, which have
+// disks, hold the state that must survive restarts.
 package main
 
 import (
@@ -23,6 +23,7 @@
 	os.Exit(starter.Main("keeper", purpose, os.Args[1:], run))
 }
 
+// run loads the settings and runs a keeper until the context ends.
 func run(ctx context.Context, options starter.Options, log zerolog.Logger) error {
 	var read settings.Settings
 	if err := loader.Load(options.Settings, &read); err != nil {
