--- a/bench/internal/policy/fleet.go
+++ b/bench/internal/policy/fleet.go
@@ -257,7 +257,7 @@
 		z.act(action)
 	}
 	if pool == z.pool {
-		z.tickAt(pool.Next(z.fleet.now))
+		z.tickAt(pool.NextDeadline(z.fleet.now))
 	}
 }
 
@@ -295,8 +295,8 @@
 		next := compareFirst
 		if z.pool != nil {
 			z.compare()
-			z.fleet.traffic.estimated += z.pool.Spent()
-			next = z.pool.CompareAfter(z.fleet.now, len(z.fleet.zones)-1, z.fleet.pools)
+			z.fleet.traffic.estimated += z.pool.ExchangeBytes()
+			next = z.pool.CompareInterval(z.fleet.now, len(z.fleet.zones)-1, z.fleet.pools)
 			z.fleet.slowest = max(z.fleet.slowest, next)
 		}
 		z.compareAfter(next)
@@ -337,7 +337,7 @@
 			continue
 		}
 		z.fleet.traffic.answer(z, lend.Loans)
-		answer := scheduler.Lent{Zone: z.name, Origin: z.origin, Loans: lend.Loans, Asked: asked}
+		answer := scheduler.Lent{Zone: z.name, Origin: z.origin, Loans: lend.Loans, RequestedAt: asked}
 		z.fleet.after(z.fleet.zoneHop, func() { from.apply(borrower, answer) })
 	}
 }
--- a/bench/internal/policy/policy_test.go
+++ b/bench/internal/policy/policy_test.go
@@ -40,7 +40,7 @@
 				require.GreaterOrEqual(t, *f.Ratio, float64(leastImprovement), name)
 			}
 		case "compare bytes of a node":
-			require.LessOrEqual(t, f.Pool, float64(scheduler.CompareBudget), name)
+			require.LessOrEqual(t, f.Pool, float64(scheduler.DefaultCompareBudget), name)
 		case "estimated over encoded bytes":
 			require.InDelta(t, 1, f.Pool, estimateOff, name)
 		case "utilisation":
--- a/lib/scheduler/bitset.go
+++ b/lib/scheduler/bitset.go
@@ -5,7 +5,8 @@
 	"math/bits"
 )
 
-// bitset is a set of endpoints by their index at the pool.
+// bitset is a set of endpoints, identified by their index in
+// Pool.endpointsByIndex.
 type bitset []uint64
 
 const wordBits = 64
@@ -53,7 +54,8 @@
 	return false
 }
 
-// each calls visit with every member of both sets, in rising order.
+// each calls visit for every member of the intersection of both sets, in
+// ascending order.
 func (b bitset) each(other bitset, visit func(index int)) {
 	for i := range min(len(b), len(other)) {
 		for word := b[i] & other[i]; word != 0; word &= word - 1 {
@@ -62,7 +64,7 @@
 	}
 }
 
-// key returns a form that is equal for equal sets.
+// key returns a string that is equal for equal sets, for use as a map key.
 func (b bitset) key() string {
 	last := len(b)
 	for last > 0 && b[last-1] == 0 {
--- a/lib/scheduler/dispatch.go
+++ b/lib/scheduler/dispatch.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// lane returns the workspace's lane with this key, made on first use.
+// lane returns the workspace's lane for this key and creates it on first use.
 func (p *Pool) lane(w *workspace, key laneKey, avoid []string) *lane {
 	if known, found := w.lanes[key]; found {
 		return known
 	}
-	p.lanes++
+	p.laneNumber++
 	added := &lane{
-		key: key, workspace: w, avoid: avoid, position: -1, created: p.lanes,
+		key: key, workspace: w, avoid: avoid, heapIndex: -1, created: p.laneNumber,
 		record: p.estimator.Record(w.name, key.model),
 	}
 	w.lanes[key] = added
 	return added
 }
 
-// activate puts a lane that has got work into its group.
+// activate adds a lane that has received work to its group.
 func (p *Pool) activate(now time.Time, l *lane) {
 	if l.active {
 		return
 	}
 	l.active = true
 	l.workspace.active = append(l.workspace.active, l)
-	p.assign(now, l)
+	p.assignGroup(now, l)
 }
 
-// retire takes an empty lane out, and forgets it unless it is likely to be
-// needed again.
-func (p *Pool) retire(l *lane) {
+// deactivate removes a lane without work from its workspace's active lanes. The
+// lane itself is kept for reuse, unless its key is unlikely to recur or the
+// workspace has too many lanes.
+func (p *Pool) deactivate(l *lane) {
 	if l.count > 0 || !l.active {
 		return
 	}
 	w := l.workspace
 	l.active = false
-	l.stranded = time.Time{}
+	l.strandedSince = time.Time{}
 	for i, other := range w.active {
 		if other == l {
 			w.active = append(w.active[:i], w.active[i+1:]...)
@@ -46,68 +47,71 @@
 	}
 }
 
-// assign puts a lane into the group of the endpoints that may serve it.
-func (p *Pool) assign(now time.Time, l *lane) {
-	if l.grouped != p.generation || l.group == nil {
+// assignGroup puts a lane into the group for its set of eligible endpoints.
+func (p *Pool) assignGroup(now time.Time, l *lane) {
+	if l.groupGeneration != p.groupGeneration || l.group == nil {
 		p.findGroup(l)
 	}
 	l.counter = l.workspace.price()
 	if l.remote() {
-		l.counter += p.margin
+		l.counter += p.remotePenalty
 	}
-	l.settle()
-	p.strand(now, l)
+	l.updateHeap()
+	p.updateStranded(now, l)
 }
 
-// findGroup works out the group of a lane. Most lanes that get work again find
-// that their group has not changed since.
+// findGroup determines the group of a lane. For most lanes that receive work
+// again, the group has not changed since the last time.
 func (p *Pool) findGroup(l *lane) {
-	l.set = p.reachable(l)
-	l.grouped = p.generation
-	key := groupKey{set: l.set.key(), alone: l.key.alone}
+	l.endpoints = p.eligibleFor(l)
+	l.groupGeneration = p.groupGeneration
+	key := groupKey{endpoints: l.endpoints.key(), alone: l.key.alone}
 	l.group = p.groups[key]
 	if l.group == nil {
-		l.group = &group{set: l.set, alone: l.key.alone}
+		l.group = &group{endpoints: l.endpoints, alone: l.key.alone}
 		p.groups[key] = l.group
 		p.groupList = append(p.groupList, l.group)
 	}
-	if len(p.groupList) > groupSlack+2*len(p.order) {
-		p.regroup = true // drops the groups that no lane is in any more
+	if len(p.groupList) > groupSlack+2*len(p.workspaceList) {
+		p.regroup = true // drops the groups that no longer contain a lane
 	}
 }
 
-// groupSlack is how many groups there may be beyond two for each workspace
-// before the empty ones are dropped.
+// groupSlack is the number of groups, in addition to two per workspace, above
+// which the groups are rebuilt to drop the empty ones.
 const groupSlack = 64
 
-// serveLevel notes the counter of the workspace that an endpoint serves now.
-func (p *Pool) serveLevel(e *endpoint, w *workspace) {
-	e.level = w.account.Counter()
-	p.level = e.level
+// setVirtualTime sets the virtual time of an endpoint, and the initial one of new
+// endpoints, to the counter of the workspace that is served now.
+func (p *Pool) setVirtualTime(e *endpoint, w *workspace) {
+	e.virtualTime = w.account.Counter()
+	p.virtualTime = e.virtualTime
 }
 
-func (p *Pool) strand(now time.Time, l *lane) {
-	if !l.set.empty() {
-		l.stranded = time.Time{}
+// updateStranded records since when no endpoint has been able to serve the lane.
+func (p *Pool) updateStranded(now time.Time, l *lane) {
+	if !l.endpoints.empty() {
+		l.strandedSince = time.Time{}
 		return
 	}
-	if l.stranded.IsZero() {
-		l.stranded = now
-		p.wake(now.Add(p.options.NoEndpointAfter))
+	if l.strandedSince.IsZero() {
+		l.strandedSince = now
+		p.addDeadline(now.Add(p.options.NoEndpointAfter))
 	}
 }
 
-// reachable works out which living endpoints may serve a lane's tickets.
-func (p *Pool) reachable(l *lane) bitset {
+// eligibleFor returns the eligible endpoints that may serve a lane's tickets.
+func (p *Pool) eligibleFor(l *lane) bitset {
 	var set bitset
-	l.workspace.allowed.each(p.alive, func(index int) {
-		if e := p.seats[index]; e.serves(l.key.model) && !l.avoids(e.id) {
+	l.workspace.allowed.each(p.eligible, func(index int) {
+		if e := p.endpointsByIndex[index]; e.serves(l.key.model) && !l.avoids(e.id) {
 			set.add(index)
 		}
 	})
 	return set
 }
 
+// avoids reports whether the lane's tickets have already failed at this endpoint.
 func (l *lane) avoids(id string) bool {
 	for _, avoided := range l.avoid {
 		if avoided == id {
@@ -117,8 +121,9 @@
 	return false
 }
 
-// serves tells whether the endpoint offers the model; one that announced no
-// models is a plain service and offers the empty one.
+// serves reports whether the endpoint offers the model. An endpoint that
+// announced no models belongs to a plain service and offers only the empty
+// model.
 func (e *endpoint) serves(model string) bool {
 	if model == "" && len(e.models) == 0 {
 		return true
@@ -131,48 +136,51 @@
 	return false
 }
 
-// rebuild puts all lanes into groups again, after endpoints or rules changed.
-func (p *Pool) rebuild(now time.Time) {
+// rebuildGroups assigns all active lanes to groups again, after endpoints or
+// rules have changed.
+func (p *Pool) rebuildGroups(now time.Time) {
 	p.regroup = false
-	p.generation++
+	p.groupGeneration++
 	clear(p.groups)
 	p.groupList = p.groupList[:0]
-	for _, w := range p.order {
+	for _, w := range p.workspaceList {
 		for _, l := range w.active {
-			l.position = -1
+			l.heapIndex = -1
 		}
 	}
-	for _, w := range p.order {
+	for _, w := range p.workspaceList {
 		for _, l := range w.active {
-			p.assign(now, l)
+			p.assignGroup(now, l)
 		}
 	}
 }
 
-// dispatch grants until no waiting request has an endpoint with room.
+// dispatch issues grants and loans until no waiting request has an endpoint
+// with a free slot.
 func (p *Pool) dispatch(now time.Time) {
 	if p.regroup {
-		p.rebuild(now)
+		p.rebuildGroups(now)
 	}
-	for !p.open.empty() {
-		next := p.pick()
+	for !p.available.empty() {
+		next := p.pickLane()
 		if next == nil {
 			break
 		}
 		if next.remote() {
-			p.lendTo(now, next)
+			p.lendSlot(now, next)
 			continue
 		}
 		p.grant(now, next)
 	}
-	p.reuse(now)
+	p.reuseBorrowings(now)
 }
 
-// pick returns the lane with the smallest price that an open endpoint may serve.
-func (p *Pool) pick() *lane {
+// pickLane returns the lane with the smallest price that an available endpoint
+// may serve, or nil if there is none.
+func (p *Pool) pickLane() *lane {
 	var best *lane
 	for _, g := range p.groupList {
-		if len(g.lanes) == 0 || !g.set.intersects(p.opened(g.alone)) {
+		if len(g.lanes) == 0 || !g.endpoints.intersects(p.availableFor(g.alone)) {
 			continue
 		}
 		if top := g.lanes[0]; best == nil || top.before(best) {
@@ -182,58 +190,61 @@
 	return best
 }
 
-func (p *Pool) opened(alone bool) bitset {
+// availableFor returns the available endpoints for suspects or for all others.
+func (p *Pool) availableFor(alone bool) bitset {
 	if alone {
-		return p.openAlone
+		return p.availableAlone
 	}
-	return p.open
+	return p.available
 }
 
 // grant sends a lane's first request to an endpoint.
 func (p *Pool) grant(now time.Time, l *lane) {
 	r := l.first
-	e := p.choose(l, r.prefix)
+	e := p.chooseEndpoint(l, r.prefix)
 	w := l.workspace
 	p.unqueue(l, r)
-	p.serveLevel(e, w)
-	r.full = e.room(now) == 1
+	p.setVirtualTime(e, w)
+	r.windowFull = e.freeSlots(now) == 1
 	r.endpoint, r.target = e, e.id
-	p.begin(now, r)
+	p.beginAttempt(now, r)
 	e.occupy(now, l.key.alone)
-	e.prefixes.put(r.prefix, now)
-	p.wake(now.Add(e.patience(p.options)))
-	p.count(now, e)
+	e.prefixes.add(r.prefix, now)
+	p.addDeadline(now.Add(e.hangTimeout(p.options)))
+	p.recount(now, e)
 	p.reprice(w)
-	p.retire(l)
-	p.act(Grant{Request: r.id(), Endpoint: e.id, Incarnation: e.incarnation, Address: e.address})
+	p.deactivate(l)
+	p.emit(Grant{Request: r.id(), Endpoint: e.id, Incarnation: e.incarnation, Address: e.address})
 }
 
-// begin charges the estimate of a request that has got a slot.
-func (p *Pool) begin(now time.Time, r *request) {
+// beginAttempt reserves the estimated cost of a request that has been given a
+// slot.
+func (p *Pool) beginAttempt(now time.Time, r *request) {
 	r.running = true
-	r.heard = false
+	r.confirmed = false
 	r.granted = now
 	r.used = 0
 	r.estimate = uint64(r.prompt) + uint64(r.lane.record.Estimate(r.hint))
-	p.start(r)
+	p.countRunning(r)
 }
 
-// Limits of the weight that an endpoint's speed has in choosing.
+// Limits of the factor by which an endpoint's speed scales its load when an
+// endpoint is chosen.
 const (
-	paceLeast = 0.5
-	paceMost  = 4
+	minPaceFactor = 0.5
+	maxPaceFactor = 4
 )
 
-// choose returns the open endpoint where the request is best off: the one with
-// the smallest load after it, where a cached prefix outweighs a bounded load and
-// a slow endpoint counts as loaded more.
-func (p *Pool) choose(l *lane, prefix uint64) *endpoint {
+// chooseEndpoint returns the available endpoint with the lowest score: its load
+// including this request, scaled up for slow endpoints, less a bounded bonus
+// for a cached prefix.
+func (p *Pool) chooseEndpoint(l *lane, prefix uint64) *endpoint {
 	var best *endpoint
 	bestScore := 0.0
-	usual := p.usualPace(l)
-	l.group.set.each(p.opened(l.key.alone), func(index int) {
-		e := p.seats[index]
-		score := e.score(usual) - e.prefixes.affinity(prefix)
+	pace := p.meanPace(l)
+	l.group.endpoints.each(p.availableFor(l.key.alone), func(index int) {
+		e := p.endpointsByIndex[index]
+		score := e.score(pace) - e.prefixes.affinity(prefix)
 		if best == nil || score < bestScore {
 			best, bestScore = e, score
 		}
@@ -241,25 +252,28 @@
 	return best
 }
 
-func (e *endpoint) score(usual float64) float64 {
+// score returns the endpoint's load with one more request, as a fraction of its
+// window, scaled by its time per unit relative to the mean.
+func (e *endpoint) score(mean float64) float64 {
 	load := float64(e.busy()+e.foreign+1) / float64(max(1, e.throttle.Window()))
-	if e.pace == 0 || usual == 0 {
+	if e.pace == 0 || mean == 0 {
 		return load
 	}
-	return load * min(max(e.pace/usual, paceLeast), paceMost)
+	return load * min(max(e.pace/mean, minPaceFactor), maxPaceFactor)
 }
 
-// usualPace is the mean time per unit over the open endpoints.
-func (p *Pool) usualPace(l *lane) float64 {
-	sum, known := 0.0, 0
-	l.group.set.each(p.opened(l.key.alone), func(index int) {
-		if pace := p.seats[index].pace; pace > 0 {
+// meanPace returns the mean time per unit, in nanoseconds, over the available
+// endpoints of a lane, or 0 if none is known.
+func (p *Pool) meanPace(l *lane) float64 {
+	sum, count := 0.0, 0
+	l.group.endpoints.each(p.availableFor(l.key.alone), func(index int) {
+		if pace := p.endpointsByIndex[index].pace; pace > 0 {
 			sum += pace
-			known++
+			count++
 		}
 	})
-	if known == 0 {
+	if count == 0 {
 		return 0
 	}
-	return sum / float64(known)
+	return sum / float64(count)
 }
--- a/lib/scheduler/endpoint.go
+++ b/lib/scheduler/endpoint.go
@@ -9,52 +9,53 @@
 	"shallotkeel.example/lib/throttler"
 )
 
-// endpoint is one life of an endpoint.
+// endpoint is one incarnation of an endpoint.
 type endpoint struct {
-	id          string
-	incarnation uint64
-	address     netip.AddrPort
-	labels      labeler.Labels
-	models      []string
-	index       int
-	expires     time.Time
-	leaving     bool
-	draining    bool
-	gone        bool // superseded or forgotten; requests that ran there free nothing
-	throttle    throttler.Throttler
-	probation   probation
-	prefixes    prefixes
-	running     int // own requests
-	lent        int // slots that another zone's pool uses
-	held        int // slots kept until that pool fetches them
-	suspects    int
-	hung        bool
-	sign        time.Time // last progress, or when it got work after none
-	level       float64   // counter of the workspace last served here
-	pace        float64   // mean time per unit
-	foreign     int       // requests there that this pool does not know
-	reported    int       // foreign ones by the last announcement
-	peak        int       // most own requests since the last announcement
-	peakBefore  int
+	id              string
+	incarnation     uint64
+	address         netip.AddrPort
+	labels          labeler.Labels
+	models          []string
+	index           int       // in Pool.endpointsByIndex
+	expires         time.Time // end of the time to live of the last announcement
+	leaving         bool
+	draining        bool
+	gone            bool // superseded or removed; requests still running there no longer hold slots
+	throttle        throttler.Throttler
+	probation       probation
+	prefixes        prefixes
+	running         int       // requests of this pool
+	lent            int       // slots lent to other zones
+	held            int       // slots reserved for another zone until its next exchange
+	suspects        int       // running requests suspected of crashing endpoints
+	hung            bool      // no progress within hangTimeout
+	lastProgress    time.Time // time of the last progress, or of the first request after an idle period
+	virtualTime     float64   // counter of the workspace last served here
+	pace            float64   // mean time per unit, in nanoseconds; 0 if unknown
+	foreign         int       // requests there that this pool did not send
+	reportedForeign int       // foreign requests according to the last announcement
+	peak            int       // maximum of running plus lent since the last announcement
+	peakBefore      int       // peak of the announcement period before
 
-	alive       bool // as last counted by the pool
-	countBusy   int
-	countUsable int
+	eligible      bool // as last recorded by Pool.recount
+	countedBusy   int  // part of Pool.busy
+	countedUsable int  // part of Pool.usable
 }
 
+// busy returns the slots in use by own requests, loans and holds.
 func (e *endpoint) busy() int {
 	return e.running + e.lent + e.held
 }
 
-// living tells whether the endpoint may get work at all, now or after it has
-// recovered.
-func (e *endpoint) living(now time.Time) bool {
+// isEligible reports whether the endpoint may receive work at all, now or after
+// it has recovered from failures.
+func (e *endpoint) isEligible(now time.Time) bool {
 	return !e.gone && !e.leaving && !e.draining && now.Before(e.expires)
 }
 
-// limit is how many requests the endpoint may have now.
+// limit returns how many requests the endpoint may run at once now.
 func (e *endpoint) limit(now time.Time) int {
-	if !e.living(now) || e.hung || e.probation.closed(now) {
+	if !e.isEligible(now) || e.hung || e.probation.closed(now) {
 		return 0
 	}
 	if e.probation.probing {
@@ -63,34 +64,37 @@
 	return e.throttle.Window()
 }
 
-func (e *endpoint) room(now time.Time) int {
+// freeSlots returns how many more requests the endpoint may receive now. It is
+// negative if the endpoint is over its limit.
+func (e *endpoint) freeSlots(now time.Time) int {
 	return e.limit(now) - e.busy() - e.foreign
 }
 
-// Limits of noticing a hung endpoint.
+// Limits of detecting a hung endpoint.
 const (
-	hungFactor = 4 // times the mean wait and, for plain services, the mean service
+	hungFactor = 4 // multiple of the mean time to the first unit and, for plain services, the mean service time
 )
 
-// patience is how long the endpoint may have work and show no progress.
-func (e *endpoint) patience(options Options) time.Duration {
-	usual := e.throttle.Wait()
+// hangTimeout returns how long the endpoint may have work without showing
+// progress before it counts as hung.
+func (e *endpoint) hangTimeout(options Options) time.Duration {
+	expected := e.throttle.Wait()
 	if options.Plain {
-		usual += e.throttle.Service()
+		expected += e.throttle.Service()
 	}
-	return max(options.HungAfter, hungFactor*usual)
+	return max(options.HungAfter, hungFactor*expected)
 }
 
-// signal takes in a sign that the endpoint works on its requests.
-func (e *endpoint) signal(now time.Time) {
-	e.sign = now
+// noteProgress records evidence that the endpoint is working on its requests.
+func (e *endpoint) noteProgress(now time.Time) {
+	e.lastProgress = now
 	e.hung = false
 }
 
-// occupy counts a request in.
+// occupy counts a request that has been sent to the endpoint.
 func (e *endpoint) occupy(now time.Time, suspect bool) {
 	if e.running == 0 {
-		e.sign = now
+		e.lastProgress = now
 	}
 	e.running++
 	e.peak = max(e.peak, e.running+e.lent)
@@ -99,43 +103,44 @@
 	}
 }
 
-// vacate counts a request out.
+// vacate removes a request from the endpoint's counts.
 func (e *endpoint) vacate(now time.Time, suspect bool) {
 	e.running--
 	if suspect {
 		e.suspects--
 	}
 	if e.running == 0 && e.hung {
-		// Nothing is left there that could show progress; one request at a time
-		// finds out whether it works again.
+		// No request is left there that could show progress, so probation sends
+		// one request at a time to find out whether the endpoint works again.
 		e.hung = false
 		e.probation.fail(now)
 	}
 }
 
-// compareLoad guesses from the reported load how many requests others have
-// there, such as another scheduler during a handover. The report lags, so the
-// most that this pool had there recently is taken off, and only what two
-// reports in a row show counts, except for the first report of all: a new
-// scheduler meets endpoints whose requests it has not been told of yet.
-func (e *endpoint) compareLoad(load int, first bool) {
+// estimateForeign estimates from the reported load how many requests other
+// senders have there, such as another scheduler during a handover. The report
+// lags, so the recent peak of this pool's own requests is subtracted, and only
+// what two consecutive reports show counts. The first report of an endpoint
+// counts at once, because a new scheduler finds endpoints with running requests
+// that have not been reported to it yet.
+func (e *endpoint) estimateForeign(load int, first bool) {
 	foreign := max(0, load-max(e.peak, e.peakBefore))
-	e.foreign = min(foreign, e.reported)
+	e.foreign = min(foreign, e.reportedForeign)
 	if first {
 		e.foreign = foreign
 	}
-	e.reported = foreign
+	e.reportedForeign = foreign
 	e.peakBefore, e.peak = e.peak, e.running+e.lent
 }
 
-// announced takes an announcement in.
-func (p *Pool) announced(now time.Time, a Announced) {
+// applyAnnouncement processes an announcement of an endpoint.
+func (p *Pool) applyAnnouncement(now time.Time, a Announced) {
 	known := p.endpoints[a.ID]
 	if known != nil && a.Incarnation < known.incarnation {
 		return
 	}
 	if known != nil && a.Incarnation > known.incarnation {
-		p.forget(now, known)
+		p.removeEndpoint(now, known)
 		known = nil
 	}
 	first := known == nil
@@ -143,56 +148,60 @@
 		if a.Leaving {
 			return
 		}
-		known = p.admit(now, a)
+		known = p.addEndpoint(now, a)
 	}
-	p.update(now, known, a, first)
+	p.updateEndpoint(now, known, a, first)
 }
 
-// admit makes room for a new endpoint. One that was known by another id at the
-// same address has been replaced: a process listens there only once.
-func (p *Pool) admit(now time.Time, a Announced) *endpoint {
-	for _, other := range p.seats {
+// addEndpoint registers a new endpoint. An endpoint known under another ID at
+// the same address has been replaced, because only one process can listen
+// there.
+func (p *Pool) addEndpoint(now time.Time, a Announced) *endpoint {
+	for _, other := range p.endpointsByIndex {
 		if other != nil && other.address == a.Address && a.Address.IsValid() {
-			p.forget(now, other)
+			p.removeEndpoint(now, other)
 		}
 	}
-	added := &endpoint{id: a.ID, incarnation: a.Incarnation, index: p.freeSeat(), level: p.level}
-	p.seats[added.index] = added
+	added := &endpoint{id: a.ID, incarnation: a.Incarnation, index: p.freeIndex(), virtualTime: p.virtualTime}
+	p.endpointsByIndex[added.index] = added
 	p.endpoints[a.ID] = added
 	return added
 }
 
-func (p *Pool) freeSeat() int {
-	if free := slices.Index(p.seats, nil); free >= 0 {
+// freeIndex returns an unused index of endpointsByIndex, which grows if needed.
+func (p *Pool) freeIndex() int {
+	if free := slices.Index(p.endpointsByIndex, nil); free >= 0 {
 		return free
 	}
-	p.seats = append(p.seats, nil)
-	return len(p.seats) - 1
+	p.endpointsByIndex = append(p.endpointsByIndex, nil)
+	return len(p.endpointsByIndex) - 1
 }
 
-func (p *Pool) update(now time.Time, e *endpoint, a Announced, first bool) {
-	reach := first || !equalLabels(e.labels, a.Labels) || !slices.Equal(e.models, a.Models)
+// updateEndpoint applies an announcement to a known endpoint; first says that it
+// is the endpoint's first one.
+func (p *Pool) updateEndpoint(now time.Time, e *endpoint, a Announced, first bool) {
+	changed := first || !equalLabels(e.labels, a.Labels) || !slices.Equal(e.models, a.Models)
 	e.address = a.Address
 	e.labels = a.Labels
 	e.models = a.Models
-	e.leaving = e.leaving || a.Leaving // an announcement may be older than what the endpoint's answers say
+	e.leaving = e.leaving || a.Leaving // an announcement may be older than the endpoint's last answer
 	e.expires = now.Add(a.TTL)
-	p.wake(e.expires)
+	p.addDeadline(e.expires)
 	e.throttle.Resize(a.Slots)
 	for _, prefix := range a.Cached {
-		e.prefixes.cached(prefix)
+		e.prefixes.noteCached(prefix)
 	}
 	for _, prefix := range a.Evicted {
-		e.prefixes.evicted(now, prefix)
+		e.prefixes.noteEvicted(now, prefix)
 	}
-	if reach {
-		p.reach(e)
+	if changed {
+		p.updateAllowed(e)
 	}
 	if first {
-		p.attach(now, e)
+		p.attachRequests(now, e)
 	}
-	e.compareLoad(a.Load, first)
-	p.count(now, e)
+	e.estimateForeign(a.Load, first)
+	p.recount(now, e)
 }
 
 func equalLabels(a, b labeler.Labels) bool {
@@ -207,8 +216,9 @@
 	return true
 }
 
-// attach gives a newly known endpoint the requests that routers said run there.
-func (p *Pool) attach(now time.Time, e *endpoint) {
+// attachRequests assigns to a newly announced endpoint the requests that
+// routers reported as running there.
+func (p *Pool) attachRequests(now time.Time, e *endpoint) {
 	for _, r := range p.unplaced[e.id] {
 		if r.running && r.endpoint == nil && r.loan == nil && r.target == e.id {
 			r.endpoint = e
@@ -218,59 +228,60 @@
 	delete(p.unplaced, e.id)
 }
 
-// reach works out again which workspaces' work the endpoint may take.
-func (p *Pool) reach(e *endpoint) {
+// updateAllowed reevaluates the rules on which workspaces may use the endpoint.
+func (p *Pool) updateAllowed(e *endpoint) {
 	if p.rules == nil {
 		return
 	}
 	e.draining = p.rules.Draining(e.id, e.labels)
-	for _, w := range p.order {
+	for _, w := range p.workspaceList {
 		w.allowed.put(e.index, p.rules.Allowed(w.name, e.id, e.labels))
 	}
 	p.regroup = true
 }
 
-// forget drops an endpoint. Its requests go on until their routers finish them,
-// but they hold no slot any more.
-func (p *Pool) forget(now time.Time, e *endpoint) {
+// removeEndpoint removes an endpoint. Its requests continue until their routers
+// finish them, but no longer hold a slot.
+func (p *Pool) removeEndpoint(now time.Time, e *endpoint) {
 	e.gone = true
-	p.count(now, e)
+	p.recount(now, e)
 	p.dropLoans(e)
-	p.seats[e.index] = nil
-	for _, w := range p.order {
+	p.endpointsByIndex[e.index] = nil
+	for _, w := range p.workspaceList {
 		w.allowed.remove(e.index)
 	}
 	delete(p.endpoints, e.id)
 	p.regroup = true
 }
 
-// count brings the sets of open endpoints and the sums of slots up to date. It
-// is called after every change of an endpoint.
-func (p *Pool) count(now time.Time, e *endpoint) {
-	living := e.living(now)
-	if living != e.alive {
-		e.alive = living
-		p.alive.put(e.index, living)
+// recount updates the sets of eligible and available endpoints and the sums of
+// slots. It must be called after every change of an endpoint.
+func (p *Pool) recount(now time.Time, e *endpoint) {
+	eligible := e.isEligible(now)
+	if eligible != e.eligible {
+		e.eligible = eligible
+		p.eligible.put(e.index, eligible)
 		p.regroup = true
 	}
-	open := e.room(now) > 0
-	p.open.put(e.index, open)
-	p.openAlone.put(e.index, open && e.suspects == 0)
+	available := e.freeSlots(now) > 0
+	p.available.put(e.index, available)
+	p.availableAlone.put(e.index, available && e.suspects == 0)
 	usable := e.limit(now)
 	busy := min(e.running+e.lent+e.foreign, usable)
-	p.busy += busy - e.countBusy
-	p.usable += usable - e.countUsable
-	e.countBusy, e.countUsable = busy, usable
+	p.busySlots += busy - e.countedBusy
+	p.usableSlots += usable - e.countedUsable
+	e.countedBusy, e.countedUsable = busy, usable
 }
 
-// paceGain is the weight of a new time per unit.
+// paceGain is the weight of a new sample in the moving average of the time per
+// unit.
 const paceGain = 1.0 / 8
 
-// finished takes in how long a request took that ran to its end. A plain
-// service answers at once when it is done, so its first byte tells nothing
-// about a queue.
-func (e *endpoint) finished(r *request, finish Finish, plain bool) {
-	sample := throttler.Sample{First: finish.First, Took: finish.Took, Prompt: r.prompt, Full: r.full}
+// observeFinish feeds the timing of a completed request into the throttle and
+// the pace. The first-byte time of a plain service is ignored: such a service
+// answers only when it is done, so the first byte says nothing about queueing.
+func (e *endpoint) observeFinish(r *request, finish Finish, plain bool) {
+	sample := throttler.Sample{First: finish.First, Took: finish.Took, Prompt: r.prompt, Full: r.windowFull}
 	if plain {
 		sample.First = 0
 	}
--- a/lib/scheduler/event.go
+++ b/lib/scheduler/event.go
@@ -1,20 +1,26 @@
 // Package scheduler decides which waiting request runs next and on which
 // endpoint, for one pool: a service in an availability zone.
 //
-// A Pool is a pure state machine. The host applies events with the time at
-// which they happened and carries out the returned actions; the pool has no
-// goroutine, socket or clock of its own. All of its state is soft: routers
-// enrol their waiting and running requests again when the pool's scheduler
-// changes, so a lost scheduler costs fairness for a bounded time and never a
-// request.
+// A Pool is a pure state machine. The host applies events together with the
+// time at which they occurred and carries out the returned actions; the pool
+// has no goroutine, socket or clock of its own. All of its state is soft:
+// routers enrol their waiting and running requests again when another scheduler
+// takes over the pool, so the loss of a scheduler impairs fairness for a bounded
+// time and never loses a request.
+//
+// Each workspace has a service counter, its virtual time of fair queueing: the
+// units served to it in all zones, divided by its weight. Requests wait in
+// lanes, one per workspace and set of endpoints. Pools of the same service in
+// different zones exchange their totals and demand, and lend each other slots.
 //
 // Invariants:
-//   - capacity is never idle while an eligible request waits;
+//   - no slot is idle while a request waits that may use it;
 //   - among workspaces that can use a free slot, the one with the smallest
 //     weighted service counter is served first;
-//   - a grant names one waiting request, and a request has one grant at a time;
-//   - an endpoint that is leaving, draining or silent beyond its time to live
-//     gets no grant.
+//   - a grant is for one waiting request, and a request has at most one grant at
+//     a time;
+//   - an endpoint that is leaving or draining, or whose announcement has exceeded
+//     its time to live, receives no grant.
 package scheduler
 
 import (
@@ -24,39 +30,40 @@
 	"shallotkeel.example/lib/labeler"
 )
 
-// RouterID names one life of a router: a restart is a new incarnation.
+// RouterID identifies one incarnation of a router; a restart makes a new one.
 type RouterID struct {
 	Name        string
 	Incarnation uint64
 }
 
-// RequestID names one request at one router.
+// RequestID identifies a request at a router.
 type RequestID struct {
 	Router RouterID
 	Seq    uint64
 }
 
-// Event is something that happened to the pool.
+// Event is an input of the pool.
 type Event interface{ event() }
 
-// Action is something that the host has to do.
+// Action is an output of the pool, which the host carries out.
 type Action interface{ action() }
 
-// Ticket is a waiting request. Costs are in service units: generated tokens
-// for models, milliseconds of busy time for plain services.
+// Ticket is a waiting request. Costs are in service units: generated tokens for
+// models, milliseconds of busy time for plain services.
 type Ticket struct {
 	Seq       uint64
 	Workspace string
 	Model     string // empty for plain services
-	Hint      uint32 // the caller's bound on cost, 0 if none
+	Hint      uint32 // the caller's upper bound of the cost in units, 0 if none
 	Prompt    uint32 // prompt size in units
 	Prefix    uint64 // hash of the prompt's prefix, 0 if none
 	Waited    time.Duration
-	Avoid     []string // endpoints that already failed this request
-	Alone     bool     // a suspect of crashing endpoints: no other suspect may run beside it
+	Avoid     []string // IDs of endpoints that have already failed this request
+	Alone     bool     // suspected of crashing endpoints; must not run beside another suspect
 }
 
-// Running is a request that held a slot before the pool's scheduler changed.
+// Running is a request that already held a slot when the pool's scheduler
+// changed.
 type Running struct {
 	Seq       uint64
 	Workspace string
@@ -65,38 +72,38 @@
 	Charged   uint32
 }
 
-// Progress is the units that a running request has used in all so far.
+// Progress is the total number of units that a running request has used so far.
 type Progress struct {
 	Seq     uint64
 	Charged uint32
 }
 
-// Ending says how an attempt at an endpoint ended.
+// Ending is the way in which an attempt at an endpoint ended.
 type Ending uint8
 
-// The endings of an attempt.
+// Endings of an attempt.
 const (
 	Done Ending = iota + 1
 	Cancelled
-	Refused     // the endpoint said that it did not start
-	Failed      // cut or failed after the first byte left
-	Unreachable // no connection was made
-	Declined    // the grant came for a request that no longer waits
+	Refused     // the endpoint reported that it did not start the request
+	Failed      // aborted or failed after the first byte was sent
+	Unreachable // no connection could be made
+	Declined    // the grant arrived for a request that was no longer waiting
 )
 
-// Finish ends an attempt, or takes a waiting ticket back when it never ran.
+// Finish ends an attempt, or withdraws a ticket that was never granted.
 type Finish struct {
 	Seq     uint64
 	Charged uint32
 	Ending  Ending
-	First   time.Duration // time to the first unit, 0 if none came
-	Took    time.Duration // whole time at the endpoint
-	Backoff time.Duration // for which the endpoint wants no more requests, 0 if it did not say
-	Leaving bool          // the endpoint said that it leaves
+	First   time.Duration // time to the first unit, 0 if none was received
+	Took    time.Duration // total time at the endpoint
+	Backoff time.Duration // how long the endpoint wants no further requests, 0 if unspecified
+	Leaving bool          // the endpoint reported that it is leaving
 }
 
-// Report is a router's news. With Full, Tickets and Running are all that the
-// router has and replace what the pool knew of it.
+// Report is an update from a router. If Full is set, Tickets and Running are
+// complete and replace everything that the pool knew of the router.
 type Report struct {
 	Router   RouterID
 	Full     bool
@@ -106,16 +113,16 @@
 	Finished []Finish
 }
 
-// RouterGone says that a router's lease is over: its tickets are forgotten and
-// the slots that it held are freed.
+// RouterGone reports that a router's lease has expired. Its tickets are dropped
+// and its slots are freed.
 type RouterGone struct{ Router RouterID }
 
-// Announced says that an endpoint announced itself or renewed its lease.
+// Announced reports that an endpoint announced itself or renewed its lease.
 type Announced struct {
 	ID          string
 	Incarnation uint64
 	Address     netip.AddrPort
-	Labels      labeler.Labels // with zone, service and endpoint
+	Labels      labeler.Labels // including zone, service and endpoint
 	Models      []string
 	Slots       int
 	TTL         time.Duration
@@ -125,8 +132,9 @@
 	Evicted     []uint64
 }
 
-// Compared is what another zone's scheduler of the same service told: its own
-// totals, and what it would like to run here.
+// Compared is one exchange sent by the scheduler of the same service in another
+// zone: its own totals, its demand for slots in this zone, and the state of the
+// loans that it has from this zone.
 type Compared struct {
 	Zone     string
 	Origin   uint64
@@ -137,43 +145,47 @@
 	Idle     int
 }
 
-// Lent is the other zone's answer: slots that this pool may use.
+// Lent is the other zone's answer to an exchange: the slots that this pool may
+// use.
 type Lent struct {
 	Zone   string
 	Origin uint64
 	Loans  []Loan
 	Totals []Total
 	Idle   int
-	// Asked is when the exchange that this answers was sent: the leases run from
-	// then at the latest. Zero stands for now.
-	Asked time.Time
+	// RequestedAt is when the exchange was sent that this event answers. The
+	// leases count from this time at the latest. Zero means the time of the
+	// event.
+	RequestedAt time.Time
 }
 
-// History is the collapsed totals with which a pool joins a running fleet.
+// History is the collapsed totals from which a pool starts when it joins a
+// running fleet.
 type History struct{ Totals []Total }
 
-// Declinations are grants that a router gave back because the request no
-// longer waits.
+// Declinations lists grants that a router returned because the requests were no
+// longer waiting.
 type Declinations struct {
 	Router RouterID
 	Seqs   []uint64
 }
 
-// Tick lets time pass: leases end, windows adapt, loans expire.
+// Tick advances the time: leases end, windows adapt, loans expire.
 type Tick struct{}
 
-// Configured says that the rules have changed.
+// Configured replaces the rules.
 type Configured struct{ Rules Rules }
 
-// Rules is what the pool needs of the configuration.
+// Rules is the part of the configuration that the pool uses.
 type Rules interface {
 	Weight(workspace string) float64
 	Allowed(workspace, endpoint string, labels labeler.Labels) bool
 	Draining(endpoint string, labels labeler.Labels) bool
 }
 
-// Total is one workspace's row of an origin, grow-only, merged by maximum, so
-// that lost, repeated and reordered exchanges do no harm.
+// Total is the row of one workspace from one origin. Its values only grow and
+// are merged by maximum, so lost, repeated and reordered exchanges are
+// harmless.
 type Total struct {
 	Workspace string
 	Charged   uint64
@@ -181,16 +193,17 @@
 	Forgiven  uint64
 }
 
-// Demand is how many requests of a workspace would run elsewhere.
+// Demand is the number of waiting requests of a workspace that could run in
+// another zone.
 type Demand struct {
 	Workspace string
 	Model     string
 	Waiting   int
 }
 
-// Loan is one slot lent to another zone for requests of one workspace, one after
-// the other. A loan with the id of a former one extends it, and then only ID,
-// Lease and Term count.
+// Loan is one slot lent to another zone for requests of one workspace, one
+// request at a time. A loan with the ID of an earlier one extends it; then only
+// ID, Lease and Term are used.
 type Loan struct {
 	ID          uint64
 	Workspace   string
@@ -198,11 +211,10 @@
 	Endpoint    string
 	Incarnation uint64
 	Address     netip.AddrPort
-	// Lease is how long the lender keeps the slot without hearing that the loan is
-	// still in use.
+	// Lease is how long the lender reserves the slot after the last renewal.
 	Lease time.Duration
-	// Term is how long further requests may begin in the slot, at most the lease;
-	// with 0 it is for one request.
+	// Term is how long further requests may begin in the slot, at most Lease; 0
+	// means that the slot is for a single request.
 	Term time.Duration
 }
 
@@ -214,14 +226,15 @@
 	Address     netip.AddrPort
 }
 
-// Refusal tells a router that a request cannot be served and when to come back.
+// Refusal tells a router that a request cannot be served, and after which time
+// to retry.
 type Refusal struct {
 	Request RequestID
 	Reason  string
 	Retry   time.Duration
 }
 
-// Lend answers a Compared event of that zone with loans.
+// Lend answers a Compared event from this zone with loans.
 type Lend struct {
 	Zone  string
 	Loans []Loan
@@ -229,7 +242,8 @@
 
 // Reasons of a Refusal.
 const (
-	// ReasonNoEndpoint: no endpoint that the selectors allow has been there for a while.
+	// ReasonNoEndpoint refuses a ticket for which no endpoint that the
+	// selectors allow has been present for Options.NoEndpointAfter.
 	ReasonNoEndpoint = "no_endpoint"
 )
 
--- a/lib/scheduler/exchange.go
+++ b/lib/scheduler/exchange.go
@@ -7,31 +7,35 @@
 	"shallotkeel.example/lib/accountant"
 )
 
-// maxDemand is how many tickets one row of demand tells of.
-const maxDemand = 32
+// maxDemandPerRow is the largest number of tickets that one row of demand
+// reports.
+const maxDemandPerRow = 32
 
-// Times of the exchange between zones.
+// Durations and weights of the exchange between zones.
 const (
-	// demandMemory is how long demand counts after it was last told, and at least
-	// memoryIntervals exchanges.
-	demandMemory    = 2 * time.Second
-	memoryIntervals = 3
-	// returnRepeat is how long the end of a loan is told again and again, because
-	// the message may be lost, and at least returnIntervals exchanges.
-	returnRepeat    = 2 * time.Second
+	// Demand counts for the longer of demandRetention and retentionIntervals
+	// exchange intervals after its last report.
+	demandRetention    = 2 * time.Second
+	retentionIntervals = 3
+	// The end of a loan is repeated for the longer of minReturnRepeat and
+	// returnIntervals exchange intervals, because the message may be lost.
+	minReturnRepeat = 2 * time.Second
 	returnIntervals = 2
-	intervalGain    = 1.0 / 4
+	// intervalGain is the weight of a new sample in the moving average of a zone's
+	// exchange interval.
+	intervalGain = 1.0 / 4
 )
 
-// zone is what another zone's scheduler of this service has told.
+// zone is the state reported by another zone's scheduler of this service.
 type zone struct {
-	name  string
-	heard time.Time
-	every time.Duration // mean time between its exchanges
-	idle  int
-	holds []hold
+	name         string
+	lastExchange time.Time
+	interval     time.Duration // moving average of the time between its exchanges
+	freeSlots    int           // as reported by its last exchange or answer
+	holds        []hold        // slots here that wait for its next exchange
 }
 
+// zone returns the state of the named zone and creates it on first use.
 func (p *Pool) zone(name string) *zone {
 	if known, found := p.zones[name]; found {
 		return known
@@ -42,42 +46,45 @@
 	return added
 }
 
-func (z *zone) hear(now time.Time) {
-	if !z.heard.IsZero() {
-		passed := min(max(now.Sub(z.heard), 0), max(CompareMost, demandMemory))
-		if z.every == 0 {
-			z.every = passed
+// noteExchange records the time of an exchange and updates the mean interval.
+func (z *zone) noteExchange(now time.Time) {
+	if !z.lastExchange.IsZero() {
+		elapsed := min(max(now.Sub(z.lastExchange), 0), max(MaxCompareInterval, demandRetention))
+		if z.interval == 0 {
+			z.interval = elapsed
 		}
-		z.every += time.Duration(intervalGain * float64(passed-z.every))
+		z.interval += time.Duration(intervalGain * float64(elapsed-z.interval))
 	}
-	z.heard = now
+	z.lastExchange = now
 }
 
-// memory is how long the zone's demand counts when it is not heard.
-func (z *zone) memory() time.Duration {
-	return max(demandMemory, memoryIntervals*z.every)
+// retention returns how long the zone's demand counts after its last exchange.
+func (z *zone) retention() time.Duration {
+	return max(demandRetention, retentionIntervals*z.interval)
 }
 
-// compared takes in what another zone told and answers it with loans.
-func (p *Pool) compared(now time.Time, c Compared) {
+// applyCompared processes an exchange from another zone and answers it with
+// loans.
+func (p *Pool) applyCompared(now time.Time, c Compared) {
 	if c.Zone == "" || c.Zone == p.options.Zone {
 		return
 	}
 	p.merge(now, c.Origin, c.Totals)
 	from := p.zone(c.Zone)
-	if now.Sub(from.heard) > from.memory() {
+	if now.Sub(from.lastExchange) > from.retention() {
 		p.ledger.ResendAll()
 	}
-	from.hear(now)
-	from.idle = c.Idle
-	p.wake(now.Add(from.memory()))
+	from.noteExchange(now)
+	from.freeSlots = c.Idle
+	p.addDeadline(now.Add(from.retention()))
 	p.endLoans(now, from, c.Returned)
 	p.renewLoans(now, from, c.Renewed)
-	p.demand(now, from, c.Demand)
-	p.answer(now, from, c.Renewed)
+	p.applyDemand(now, from, c.Demand)
+	p.answerZone(now, from, c.Renewed)
 }
 
-// merge takes an origin's totals in and bounds the debt that they make.
+// merge merges an origin's totals into the ledger and bounds the resulting
+// debt.
 func (p *Pool) merge(now time.Time, origin uint64, totals []Total) {
 	if origin == p.options.Origin {
 		return
@@ -91,19 +98,20 @@
 		if w == nil {
 			w = p.workspace(change.Account.Workspace)
 		}
-		p.moved(w, change)
+		p.applyChange(w, change)
 	}
 }
 
-func (p *Pool) moved(w *workspace, change accountant.Change) {
+// applyChange updates a workspace whose counter was changed by a merge.
+func (p *Pool) applyChange(w *workspace, change accountant.Change) {
 	before := w.account.Counter() - change.Jump
 	if !change.Rejoined {
 		p.boundLift(w, change)
 	}
 	switch {
-	case change.Rejoined && !w.jumped:
-		w.jumped = true
-		w.lead = max(0, before-p.standing(w))
+	case change.Rejoined && !w.rejoined:
+		w.rejoined = true
+		w.leadBeforeMerge = max(0, before-p.virtualTimeFor(w))
 	case !change.Rejoined:
 		p.peakJump = max(p.peakJump, w.account.Counter()-before)
 	}
@@ -113,22 +121,23 @@
 	p.reprice(w)
 }
 
-// boundLift bounds what it counts here that another zone lifted or forgave a
-// workspace. That zone measures from what it serves itself; where one of the two
-// joined without its history, that lies a whole past away from all counters here.
-// One notices a workspace that waits alone with a counter far above the rest, and
-// starves, or far below, and starves the rest. So neither leads further away from
-// what is served here than the bound of debt.
+// boundLift limits the effect here of a lift or a forgiveness by another zone.
+// That zone computes it from its own virtual time. If one of the two zones
+// joined without its history, this differs from all counters here by the whole
+// past: a workspace that waits with a counter far above the rest starves, and
+// one far below the rest starves the others. So neither moves a counter further
+// from the virtual time here than maxDebt.
 func (p *Pool) boundLift(w *workspace, change accountant.Change) {
-	ahead := w.account.Counter() - p.standing(w)
+	ahead := w.account.Counter() - p.virtualTimeFor(w)
 	switch {
-	case change.Lift > 0 && ahead > p.debt():
-		w.account.Absorb(min(ahead-p.debt(), change.Lift))
-	case change.Lift < 0 && ahead < -p.debt():
-		w.account.Absorb(max(ahead+p.debt(), change.Lift))
+	case change.Lift > 0 && ahead > p.maxDebt():
+		w.account.Absorb(min(ahead-p.maxDebt(), change.Lift))
+	case change.Lift < 0 && ahead < -p.maxDebt():
+		w.account.Absorb(max(ahead+p.maxDebt(), change.Lift))
 	}
 }
 
+// entry converts a total to an entry of the ledger.
 func (t Total) entry() accountant.Entry {
 	return accountant.Entry{
 		Workspace: t.Workspace,
@@ -136,6 +145,7 @@
 	}
 }
 
+// totals converts entries of the ledger to totals.
 func totals(entries []accountant.Entry) []Total {
 	rows := make([]Total, 0, len(entries))
 	for _, e := range entries {
@@ -144,10 +154,10 @@
 	return rows
 }
 
-// join takes a peer's collapsed history in. What it says of workspaces without
-// work is older than what it says of the others, so a workspace that comes next
-// is lifted to the highest counter less the bound of debt.
-func (p *Pool) join(history History) {
+// joinHistory merges a peer's collapsed history. Its entries for workspaces
+// without work are older than the others, so a workspace that becomes active
+// next is lifted to the highest counter less maxDebt.
+func (p *Pool) joinHistory(history History) {
 	entries := make([]accountant.Entry, 0, len(history.Totals))
 	for _, total := range history.Totals {
 		entries = append(entries, total.entry())
@@ -157,31 +167,31 @@
 	for _, account := range p.ledger.Accounts() {
 		highest = max(highest, account.Counter())
 	}
-	p.level = max(p.level, highest-p.debt())
-	for _, e := range p.seats {
+	p.virtualTime = max(p.virtualTime, highest-p.maxDebt())
+	for _, e := range p.endpointsByIndex {
 		if e != nil {
-			e.level = max(e.level, p.level)
+			e.virtualTime = max(e.virtualTime, p.virtualTime)
 		}
 	}
-	for _, w := range p.order {
+	for _, w := range p.workspaceList {
 		p.reprice(w)
 	}
 }
 
-// demand replaces what the zone would like to run here.
-func (p *Pool) demand(now time.Time, from *zone, rows []Demand) {
-	p.margin = p.localAdvantage() + termMargin*p.yield(p.term(from))
+// applyDemand replaces the zone's demand for slots here.
+func (p *Pool) applyDemand(now time.Time, from *zone, rows []Demand) {
+	p.remotePenalty = p.localAdvantage() + termMarginShare*p.unitsPerSlot(p.term(from))
 	listed := make(map[*lane]bool, len(rows))
 	for _, row := range rows {
 		if row.Waiting <= 0 {
 			continue
 		}
 		l := p.lane(p.workspace(row.Workspace), laneKey{model: row.Model, zone: from.name}, nil)
-		l.count = min(row.Waiting, maxDemand)
+		l.count = min(row.Waiting, maxDemandPerRow)
 		listed[l] = true
-		p.admitDemand(now, l)
+		p.activateDemand(now, l)
 	}
-	for _, w := range p.order {
+	for _, w := range p.workspaceList {
 		for _, l := range slices.Clone(w.active) {
 			if l.key.zone == from.name && !listed[l] {
 				p.dropDemand(l)
@@ -189,41 +199,45 @@
 		}
 		p.reprice(w)
 	}
-	p.noteAbroad()
+	p.updateMinRemoteCounter()
 }
 
-// admitDemand lets demand compete. Its own zone has lifted it when it came up.
-func (p *Pool) admitDemand(now time.Time, l *lane) {
+// activateDemand lets a zone's demand compete for slots. It is not lifted here:
+// its own zone lifted the workspace when it became backlogged.
+func (p *Pool) activateDemand(now time.Time, l *lane) {
 	p.forgive(l.workspace)
 	p.activate(now, l)
-	l.settle()
+	l.updateHeap()
 }
 
-// noteAbroad remembers the smallest counter that waits in other zones.
-func (p *Pool) noteAbroad() {
-	p.abroad = 0
-	for _, w := range p.order {
+// updateMinRemoteCounter recomputes the smallest counter with demand from other
+// zones.
+func (p *Pool) updateMinRemoteCounter() {
+	p.minRemoteCounter = 0
+	for _, w := range p.workspaceList {
 		for _, l := range w.active {
-			if counter := w.account.Counter(); l.remote() && (p.abroad == 0 || counter < p.abroad) {
-				p.abroad = counter
+			if counter := w.account.Counter(); l.remote() && (p.minRemoteCounter == 0 || counter < p.minRemoteCounter) {
+				p.minRemoteCounter = counter
 			}
 		}
 	}
 }
 
+// dropDemand removes the demand of another zone.
 func (p *Pool) dropDemand(l *lane) {
 	l.count = 0
-	l.settle()
-	p.retire(l)
+	l.updateHeap()
+	p.deactivate(l)
 }
 
-// localAdvantage is by how much local work is preferred to another zone's. The
-// other zone's work in flight is not known here, so as much is assumed as local
-// workspaces have; and crossing has to be worth one request at least. Without
-// it, zones that are equally busy would swap half of their work for nothing.
+// localAdvantage returns by how many units by weight local work is preferred to
+// that of another zone. The other zone's work in flight is unknown here and
+// assumed equal to that of local workspaces. In addition, running remotely has
+// to gain at least one request of the mean cost; otherwise zones that are
+// equally busy would swap half of their work without benefit.
 func (p *Pool) localAdvantage() float64 {
 	sum, waiting := 0.0, 0
-	for _, w := range p.order {
+	for _, w := range p.workspaceList {
 		if w.waiting > 0 {
 			sum += w.reservedByWeight()
 			waiting++
@@ -232,33 +246,36 @@
 	return sum/float64(max(1, waiting)) + p.estimator.Mean()
 }
 
-// termMargin is the part of a term's worth of work by which local work is preferred
-// besides: lending for less makes slots go back and forth.
-const termMargin = 0.5
+// termMarginShare is the part of a term's work by which local work is preferred
+// in addition. With less, slots would be lent back and forth.
+const termMarginShare = 0.5
 
-// yield is the mean of the units that a slot yields in a time.
-func (p *Pool) yield(term time.Duration) float64 {
-	sum, known := 0.0, 0
-	for _, e := range p.seats {
+// unitsPerSlot returns the mean number of units that a slot completes in the
+// given time.
+func (p *Pool) unitsPerSlot(term time.Duration) float64 {
+	sum, count := 0.0, 0
+	for _, e := range p.endpointsByIndex {
 		if e != nil && e.pace > 0 {
 			sum += float64(term) / e.pace
-			known++
+			count++
 		}
 	}
-	return sum / float64(max(1, known))
+	return sum / float64(max(1, count))
 }
 
+// expireZones drops the demand and the holds of zones that have sent no exchange
+// within their retention.
 func (p *Pool) expireZones(now time.Time) {
 	for _, z := range p.zoneList {
-		silent := z.heard.Add(z.memory())
-		if now.Before(silent) {
-			p.wake(silent)
+		expires := z.lastExchange.Add(z.retention())
+		if now.Before(expires) {
+			p.addDeadline(expires)
 			continue
 		}
-		z.idle = 0
-		p.abroad = 0
+		z.freeSlots = 0
+		p.minRemoteCounter = 0
 		p.releaseHolds(now, z)
-		for _, w := range p.order {
+		for _, w := range p.workspaceList {
 			for _, l := range slices.Clone(w.active) {
 				if l.key.zone == z.name {
 					p.dropDemand(l)
@@ -268,9 +285,10 @@
 	}
 }
 
-// mayCross tells whether another zone may run a lane's tickets. Suspects stay,
-// because only this pool can keep them apart, and so does what failed elsewhere.
-func (p *Pool) mayCross(l *lane) bool {
+// mayRunRemotely reports whether another zone may run a lane's tickets.
+// Suspects stay in this zone because only this pool can keep them apart, and so
+// do tickets that have already failed in another zone.
+func (p *Pool) mayRunRemotely(l *lane) bool {
 	if l.remote() || l.key.alone || l.count == 0 {
 		return false
 	}
@@ -282,7 +300,8 @@
 	return true
 }
 
-// History returns the collapsed totals for another zone's scheduler that joins.
+// History returns the collapsed totals for the scheduler of another zone that
+// joins.
 func (p *Pool) History() []Total {
 	return totals(p.ledger.Collapse())
 }
--- a/lib/scheduler/exchange_test.go
+++ b/lib/scheduler/exchange_test.go
@@ -98,7 +98,7 @@
 // others have caught up. Sequence: one is served in the far zone during the
 // cut, then rejoins a near zone where two waits. Cause: its whole lead counts.
 func TestDebtIsBoundedAtRejoin(t *testing.T) {
-	m := newModel(t, scheduler.Options{Origin: 1, Debt: 500})
+	m := newModel(t, scheduler.Options{Origin: 1, MaxDebt: 500})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 1, TTL: time.Hour})
 	far := func(charged uint64) scheduler.Compared {
 		return scheduler.Compared{Zone: "verona-b", Origin: 2, Totals: []scheduler.Total{{Workspace: "one", Charged: charged}}}
@@ -166,7 +166,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			m := newModel(t, scheduler.Options{Origin: 1, Debt: 500})
+			m := newModel(t, scheduler.Options{Origin: 1, MaxDebt: 500})
 			m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 1, TTL: time.Hour})
 			m.enrol(router1, scheduler.Ticket{Seq: 1, Workspace: "two"}, scheduler.Ticket{Seq: 2, Workspace: "two"},
 				scheduler.Ticket{Seq: 3, Workspace: "one"})
@@ -190,7 +190,7 @@
 			p := newPair(t)
 			p.far.announce(scheduler.Announced{ID: "b", Incarnation: 1, Slots: 1, TTL: time.Hour})
 			p.near.enrol(router1, scheduler.Ticket{Seq: 1, Workspace: "one"}, scheduler.Ticket{Seq: 2, Workspace: "one"})
-			answer := scheduler.Lent{Zone: "verona-b", Origin: 2, Loans: compare(p.near, p.far), Asked: p.near.now}
+			answer := scheduler.Lent{Zone: "verona-b", Origin: 2, Loans: compare(p.near, p.far), RequestedAt: p.near.now}
 			p.near.now = p.near.now.Add(time.Millisecond)
 			if used {
 				require.Len(t, p.near.pool.Apply(p.near.now, answer), 1)
--- a/lib/scheduler/expire.go
+++ b/lib/scheduler/expire.go
@@ -3,20 +3,23 @@
 import "time"
 
 const (
-	// peakAge is how long a remembered peak takes to fall to the share peakHalf.
-	peakAge  = 10 * time.Second
-	peakHalf = 0.5
-	// routerMemory is how long the incarnation of a router that is gone is
-	// remembered, so that a late report of that life is not taken for news.
-	routerMemory = 10 * time.Minute
-	// maxRouters bounds the routers remembered, whatever the fleet's size.
+	// peakHalfLife is the time in which a recorded peak decays by the factor
+	// peakDecay.
+	peakHalfLife = 10 * time.Second
+	peakDecay    = 0.5
+	// routerRetention is how long the incarnation of a router that is gone is
+	// remembered, so that a late report of that incarnation is rejected.
+	routerRetention = 10 * time.Minute
+	// maxRouters bounds the number of remembered routers, whatever the fleet's
+	// size.
 	maxRouters = 4096
 )
 
-// expire ends everything whose time is over and works out the next deadline.
+// expire ends everything whose deadline has passed and computes the next
+// deadline.
 func (p *Pool) expire(now time.Time) {
-	p.due = time.Time{}
-	for _, e := range p.seats {
+	p.nextDeadline = time.Time{}
+	for _, e := range p.endpointsByIndex {
 		if e != nil {
 			p.expireEndpoint(now, e)
 		}
@@ -25,80 +28,84 @@
 	p.expireZones(now)
 	p.expireStranded(now)
 	p.expireRouters(now)
-	p.age(now)
+	p.agePeaks(now)
 }
 
+// expireEndpoint removes an idle endpoint whose time to live has ended, detects a
+// hung one, and schedules the next check.
 func (p *Pool) expireEndpoint(now time.Time, e *endpoint) {
 	if !now.Before(e.expires) && e.busy() == 0 {
-		p.forget(now, e)
+		p.removeEndpoint(now, e)
 		return
 	}
 	if e.running > 0 && !e.hung {
-		silent := e.sign.Add(e.patience(p.options))
-		if now.Before(silent) {
-			p.wake(silent)
+		hungAt := e.lastProgress.Add(e.hangTimeout(p.options))
+		if now.Before(hungAt) {
+			p.addDeadline(hungAt)
 		} else {
 			e.hung = true
 		}
 	}
 	if now.Before(e.expires) {
-		p.wake(e.expires)
+		p.addDeadline(e.expires)
 	}
 	if e.probation.closed(now) {
-		p.wake(e.probation.opens())
+		p.addDeadline(e.probation.reopensAt())
 	}
-	p.count(now, e)
+	p.recount(now, e)
 }
 
-// expireStranded refuses tickets that no endpoint could serve for the stated
-// time, so that their callers learn when to come back.
+// expireStranded refuses tickets that no endpoint could serve for
+// Options.NoEndpointAfter, and tells their callers when to retry.
 func (p *Pool) expireStranded(now time.Time) {
-	for _, w := range p.order {
+	for _, w := range p.workspaceList {
 		for _, l := range append([]*lane(nil), w.active...) {
 			p.refuseStranded(now, l)
 		}
 	}
 }
 
+// refuseStranded refuses the tickets of one lane whose time is up.
 func (p *Pool) refuseStranded(now time.Time, l *lane) {
-	if l.stranded.IsZero() || l.remote() {
+	if l.strandedSince.IsZero() || l.remote() {
 		return
 	}
 	for l.first != nil {
-		since := l.stranded
+		since := l.strandedSince
 		if l.first.arrived.After(since) {
 			since = l.first.arrived
 		}
 		deadline := since.Add(p.options.NoEndpointAfter)
 		if now.Before(deadline) {
-			p.wake(deadline)
+			p.addDeadline(deadline)
 			return
 		}
 		r := l.first
 		p.dropTicket(r)
-		p.act(Refusal{Request: r.id(), Reason: ReasonNoEndpoint, Retry: p.options.NoEndpointAfter})
+		p.emit(Refusal{Request: r.id(), Reason: ReasonNoEndpoint, Retry: p.options.NoEndpointAfter})
 	}
 }
 
+// expireRouters forgets routers that have been gone for routerRetention.
 func (p *Pool) expireRouters(now time.Time) {
 	for name, r := range p.routers {
-		if r.gone && now.Sub(r.heard) > routerMemory {
+		if r.gone && now.Sub(r.lastSeen) > routerRetention {
 			delete(p.routers, name)
 		}
 	}
 }
 
-// age halves what is remembered of the peaks.
-func (p *Pool) age(now time.Time) {
-	if now.Sub(p.aged) < peakAge {
+// agePeaks halves the recorded peaks every peakHalfLife.
+func (p *Pool) agePeaks(now time.Time) {
+	if now.Sub(p.peaksAgedAt) < peakHalfLife {
 		return
 	}
-	p.aged = now
-	p.peakInFlight *= peakHalf
-	p.peakRunning *= peakHalf
-	p.peakJump *= peakHalf
-	p.largest *= peakHalf
-	for _, w := range p.order {
-		p.notePeak(w)
+	p.peaksAgedAt = now
+	p.peakInFlight *= peakDecay
+	p.peakRunning *= peakDecay
+	p.peakJump *= peakDecay
+	p.maxRequestCost *= peakDecay
+	for _, w := range p.workspaceList {
+		p.updatePeaks(w)
 	}
 }
--- a/lib/scheduler/failure_test.go
+++ b/lib/scheduler/failure_test.go
@@ -26,9 +26,9 @@
 		m.enrol(router1, scheduler.Ticket{Seq: seq + 1, Workspace: "one"})
 		m.announce(scheduler.Announced{ID: "z", Incarnation: seq, Slots: 1, TTL: time.Millisecond})
 		again := m.now.Add(wait)
-		m.now = m.pool.Next(m.now) // something else is due before
+		m.now = m.pool.NextDeadline(m.now) // something else is due before
 		m.apply(scheduler.Tick{})
-		require.Equal(t, again, m.pool.Next(m.now))
+		require.Equal(t, again, m.pool.NextDeadline(m.now))
 		require.Empty(t, m.requests[request(seq+1)].endpoint)
 		m.now = again
 		m.apply(scheduler.Tick{})
@@ -47,8 +47,8 @@
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 4, TTL: time.Hour})
 	m.enrol(router1, scheduler.Ticket{Seq: 1, Workspace: "one"})
-	require.Equal(t, zero.Add(scheduler.DefaultHungAfter), m.pool.Next(m.now))
-	m.now = m.pool.Next(m.now)
+	require.Equal(t, zero.Add(scheduler.DefaultHungAfter), m.pool.NextDeadline(m.now))
+	m.now = m.pool.NextDeadline(m.now)
 	m.apply(scheduler.Tick{})
 	m.enrol(router1, scheduler.Ticket{Seq: 2, Workspace: "one"})
 	require.Empty(t, m.requests[request(2)].endpoint)
@@ -99,10 +99,10 @@
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 1})
 	m.enrol(router1, scheduler.Ticket{Seq: 1, Workspace: "one"}, scheduler.Ticket{Seq: 2, Workspace: "one"})
-	require.False(t, m.pool.Knows(router1))
+	require.False(t, m.pool.HasFullReport(router1))
 	delete(m.requests, request(1))
 	m.apply(scheduler.Report{Router: router1, Full: true, Tickets: []scheduler.Ticket{m.requests[request(2)].ticket}})
-	require.True(t, m.pool.Knows(router1))
+	require.True(t, m.pool.HasFullReport(router1))
 	require.Equal(t, "a", m.requests[request(2)].endpoint)
 	require.Equal(t, 1, m.pool.Stats(m.now).Running)
 }
@@ -191,7 +191,7 @@
 			happens(m)
 			for m.now.Before(ends) {
 				require.Empty(t, m.requests[request(3)].endpoint)
-				next := m.pool.Next(m.now)
+				next := m.pool.NextDeadline(m.now)
 				require.True(t, next.After(m.now) && !next.After(ends), "it looks at it again when the backoff is over")
 				m.now = next
 				m.apply(scheduler.Tick{})
--- a/lib/scheduler/lending_test.go
+++ b/lib/scheduler/lending_test.go
@@ -31,7 +31,7 @@
 // exchange carries an offer there and loans back, and returns them.
 func (p pair) exchange() []scheduler.Loan {
 	loans := compare(p.near, p.far)
-	p.near.apply(scheduler.Lent{Zone: "verona-b", Origin: 2, Loans: loans, Asked: p.near.now})
+	p.near.apply(scheduler.Lent{Zone: "verona-b", Origin: 2, Loans: loans, RequestedAt: p.near.now})
 	return loans
 }
 
--- a/lib/scheduler/loan.go
+++ b/lib/scheduler/loan.go
@@ -5,30 +5,33 @@
 	"time"
 )
 
-// Limits of lending slots to another zone.
+// Limits of lending slots to other zones.
 const (
-	// holdShare of the usable slots may be held at a time.
-	holdShare = 8
-	// holdWorth is how many exchange intervals a loan must last before a slot is
-	// held for one: the slot idles for up to an interval before it and after it.
-	holdWorth = 10
-	// holdMost is the longest interval for which a slot is held.
-	holdMost = time.Second
-	// termIntervals is how many exchange intervals a slot is lent for at a time.
-	// Short terms follow the counters closely; each is extended by a message.
+	// At most 1/heldDivisor of the usable slots, but at least one slot, may be held
+	// at a time.
+	heldDivisor = 8
+	// minHoldIntervals is how many exchange intervals a loan must be expected
+	// to last before a slot is held for it, because the slot idles for up to
+	// one interval before the loan and one after it.
+	minHoldIntervals = 10
+	// maxHoldInterval is the longest exchange interval at which slots are held.
+	maxHoldInterval = time.Second
+	// termIntervals is the term of a loan in exchange intervals. Short terms
+	// follow the counters closely, but every extension costs a message.
 	termIntervals = 4
-	// extendBefore is how many intervals before the end of its term a loan may be
-	// extended.
-	extendBefore = 2
-	// usualTerms is how many terms a loan is taken to last with its extensions.
-	usualTerms = 5
-	// extendSlack is how many terms' worth of work a loan's workspace may be ahead
-	// of the next in line when its loan is extended, so that slots do not idle
-	// while they go back and forth.
-	extendSlack = 2
+	// extendBeforeIntervals is how many intervals before the end of its term a
+	// loan may be extended.
+	extendBeforeIntervals = 2
+	// expectedTerms is the assumed duration of a loan in terms, extensions
+	// included.
+	expectedTerms = 5
+	// extendSlackTerms is by how many terms' worth of work a loan's workspace
+	// may be ahead of the next in line when its loan is extended, so that slots
+	// do not idle on being passed back and forth.
+	extendSlackTerms = 2
 )
 
-// hold is a slot kept free for a zone until its next exchange fetches it.
+// hold is a slot kept free for a zone until that zone's next exchange.
 type hold struct {
 	lane     *lane
 	endpoint *endpoint
@@ -41,62 +44,69 @@
 	lane     *lane
 	endpoint *endpoint
 	lease    time.Duration
-	expires  time.Time
-	until    time.Time // end of its term
-	reserved uint64    // units, so that one workspace does not win every slot until its charges arrive
+	expires  time.Time // end of the lease
+	termEnd  time.Time // end of the term, after which no request begins in the slot
+	reserved uint64    // estimated units, so that one workspace does not win every slot before its charges arrive
 }
 
-// borrowing is a slot of another zone that one request here uses at a time.
+// borrowing is a slot borrowed from another zone, used by one local request at
+// a time.
 type borrowing struct {
 	Loan
-	zone  string
-	until time.Time // no request begins there after
-	ended time.Time
+	zone    string
+	termEnd time.Time // no request begins in the slot after this
+	endedAt time.Time
 }
 
-// lendTo gives a slot to another zone's demand: at once while that zone's
-// exchange is being answered, otherwise by keeping it until the next.
-func (p *Pool) lendTo(now time.Time, l *lane) {
+// lendSlot gives a slot to another zone's demand: at once if that zone's
+// exchange is being answered, otherwise by holding the slot until its next
+// exchange.
+func (p *Pool) lendSlot(now time.Time, l *lane) {
 	z := p.zones[l.key.zone]
-	e := p.choose(l, 0)
+	e := p.chooseEndpoint(l, 0)
 	switch {
-	case z == p.answering:
+	case z == p.answeredZone:
 		e.lent++
-		p.lend(now, z, l, e)
+		p.makeLoan(now, z, l, e)
 	case p.mayHold(z, e):
 		e.held++
-		p.held++
+		p.heldSlots++
 		z.holds = append(z.holds, hold{lane: l, endpoint: e})
 	default:
 		p.dropDemand(l)
 		return
 	}
-	p.serveLevel(e, l.workspace)
-	p.count(now, e)
+	p.setVirtualTime(e, l.workspace)
+	p.recount(now, e)
 	l.count--
 	p.reprice(l.workspace)
-	p.retire(l)
+	p.deactivate(l)
 }
 
+// mayHold reports whether a slot of the endpoint may be held for the zone: there
+// are few holds, and a loan is worth the idle time of a hold.
 func (p *Pool) mayHold(z *zone, e *endpoint) bool {
-	lasts := max(e.throttle.Service(), usualTerms*p.term(z))
-	return p.held < max(1, p.usable/holdShare) && z.every > 0 && lasts >= holdWorth*z.every && z.every <= holdMost
+	duration := max(e.throttle.Service(), expectedTerms*p.term(z))
+	return p.heldSlots < max(1, p.usableSlots/heldDivisor) && z.interval > 0 && duration >= minHoldIntervals*z.interval && z.interval <= maxHoldInterval
 }
 
-// term is how long a slot is lent to a zone. Short requests use it one after the
-// other: a slot for each would idle for longer than it is used.
+// term returns for how long a slot is lent to a zone. Short requests use the
+// slot one after the other; with one loan per request the slot would idle for
+// longer than it is used.
 func (p *Pool) term(z *zone) time.Duration {
-	return min(termIntervals*z.every, p.lease(z))
+	return min(termIntervals*z.interval, p.lease(z))
 }
 
-// lease is how long a slot is kept for a zone that is not heard. Zones compare the
-// less often the more there are.
+// lease returns how long a slot is reserved for a zone after its last renewal.
+// Exchanges become less frequent with more zones, so the lease covers several
+// intervals.
 func (p *Pool) lease(z *zone) time.Duration {
-	return max(p.options.Lease, termIntervals*z.every)
+	return max(p.options.Lease, termIntervals*z.interval)
 }
 
-// batch is the units that a slot yields in a term, at least one request.
-func (l *loan) batch(term time.Duration) uint64 {
+// termUnits returns the units that the slot completes in a term, at least those
+// of one request.
+func (l *loan) termUnits(term time.Duration) uint64 {
 	units := uint64(l.lane.record.Estimate(0))
 	if pace := l.endpoint.pace; pace > 0 {
 		units = max(units, uint64(float64(max(0, term))/pace))
@@ -104,26 +114,27 @@
 	return units
 }
 
-// lend makes the loan of a slot that is counted as lent already.
-func (p *Pool) lend(now time.Time, z *zone, l *lane, e *endpoint) {
+// makeLoan records the loan of a slot that is already counted as lent.
+func (p *Pool) makeLoan(now time.Time, z *zone, l *lane, e *endpoint) {
 	p.loanNumber++
 	term, lease := p.term(z), p.lease(z)
 	made := &loan{
 		id: loanID(p.options.Origin, p.loanNumber), zone: z, lane: l, endpoint: e,
-		lease: lease, expires: now.Add(lease), until: now.Add(term),
+		lease: lease, expires: now.Add(lease), termEnd: now.Add(term),
 	}
 	p.loans[made.id] = made
 	p.loanList = append(p.loanList, made)
-	p.reserve(made, made.batch(term))
+	p.reserve(made, made.termUnits(term))
 	e.peak = max(e.peak, e.running+e.lent)
-	p.wake(made.expires)
-	p.lending = append(p.lending, Loan{
+	p.addDeadline(made.expires)
+	p.answerLoans = append(p.answerLoans, Loan{
 		ID: made.id, Workspace: l.workspace.name, Model: l.key.model,
 		Endpoint: e.id, Incarnation: e.incarnation, Address: e.address, Lease: lease, Term: term,
 	})
 }
 
-// reserve charges what a loan is likely to cost its workspace.
+// reserve sets the estimated cost of a loan that is counted against its
+// workspace.
 func (p *Pool) reserve(l *loan, units uint64) {
 	w := l.lane.workspace
 	w.reserved += units - l.reserved
@@ -131,68 +142,74 @@
 	p.reprice(w)
 }
 
-// loanBits is how many bits of a loan's id count; the rest tell the lender, for
-// a borrower tells all zones at once which loans are over.
-const loanBits = 24
+// loanNumberBits is the number of bits of a loan's ID that hold its serial
+// number. The other bits identify the lender, because a borrower sends one list
+// of ended loans to all zones.
+const loanNumberBits = 24
 
+// loanID combines the hashed origin of the lender with the loan's serial number.
 func loanID(origin, number uint64) uint64 {
-	mixed := origin + 0x9e3779b97f4a7c15
-	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
-	mixed = (mixed ^ mixed>>27) * 0x94d049bb133111eb
-	mixed ^= mixed >> 31
-	return mixed<<loanBits | number&(1<<loanBits-1)
+	hash := origin + 0x9e3779b97f4a7c15
+	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
+	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
+	hash ^= hash >> 31
+	return hash<<loanNumberBits | number&(1<<loanNumberBits-1)
 }
 
-// answer gives a zone the slots held for it and those that it wins now.
-func (p *Pool) answer(now time.Time, z *zone, renewed []uint64) {
-	p.answering, p.lending = z, nil
+// answerZone answers a zone's exchange with the slots held for it and the slots
+// that its demand wins now.
+func (p *Pool) answerZone(now time.Time, z *zone, renewed []uint64) {
+	p.answeredZone, p.answerLoans = z, nil
 	if p.regroup {
-		p.rebuild(now)
+		p.rebuildGroups(now)
 	}
 	p.extendLoans(now, z, renewed)
 	p.fetchHolds(now, z)
 	p.dispatch(now)
-	if len(p.lending) > 0 {
-		p.answers(p.lending)
-		p.act(Lend{Zone: z.name, Loans: p.lending})
+	if len(p.answerLoans) > 0 {
+		p.countAnswerBytes(p.answerLoans)
+		p.emit(Lend{Zone: z.name, Loans: p.answerLoans})
 	}
-	p.answering, p.lending = nil, nil
+	p.answeredZone, p.answerLoans = nil, nil
 }
 
 // fetchHolds turns held slots into loans where there is still demand.
 func (p *Pool) fetchHolds(now time.Time, z *zone) {
 	holds := z.holds
 	z.holds = nil
-	p.held -= len(holds)
+	p.heldSlots -= len(holds)
 	for _, h := range holds {
 		h.endpoint.held--
-		if h.lane.count > 0 && h.endpoint.room(now) > 0 {
+		if h.lane.count > 0 && h.endpoint.freeSlots(now) > 0 {
 			h.endpoint.lent++
-			p.lend(now, z, h.lane, h.endpoint)
+			p.makeLoan(now, z, h.lane, h.endpoint)
 			h.lane.count--
-			h.lane.settle()
+			h.lane.updateHeap()
 			p.reprice(h.lane.workspace)
-			p.retire(h.lane)
+			p.deactivate(h.lane)
 		}
-		p.countLiving(now, h.endpoint)
+		p.recountUnlessGone(now, h.endpoint)
 	}
 }
 
+// releaseHolds frees the slots held for a zone.
 func (p *Pool) releaseHolds(now time.Time, z *zone) {
-	p.held -= len(z.holds)
+	p.heldSlots -= len(z.holds)
 	for _, h := range z.holds {
 		h.endpoint.held--
-		p.countLiving(now, h.endpoint)
+		p.recountUnlessGone(now, h.endpoint)
 	}
 	z.holds = nil
 }
 
-func (p *Pool) countLiving(now time.Time, e *endpoint) {
+// recountUnlessGone calls recount unless the endpoint has been removed.
+func (p *Pool) recountUnlessGone(now time.Time, e *endpoint) {
 	if !e.gone {
-		p.count(now, e)
+		p.recount(now, e)
 	}
 }
 
+// endLoans ends the loans that a zone has returned.
 func (p *Pool) endLoans(now time.Time, from *zone, ids []uint64) {
 	for _, id := range ids {
 		if ended := p.loans[id]; ended != nil && ended.zone == from {
@@ -201,132 +218,142 @@
 	}
 }
 
+// renewLoans renews the leases of the loans that a zone still uses.
 func (p *Pool) renewLoans(now time.Time, from *zone, ids []uint64) {
 	for _, id := range ids {
 		if renewed := p.loans[id]; renewed != nil && renewed.zone == from {
 			renewed.expires = now.Add(renewed.lease)
-			// What it used so far is in the borrower's charges.
-			p.reserve(renewed, renewed.batch(renewed.until.Sub(now)))
+			// What the loan has used so far is in the borrower's charges.
+			p.reserve(renewed, renewed.termUnits(renewed.termEnd.Sub(now)))
 		}
 	}
 }
 
-// extendLoans lends slots on whose term ends before the next exchange, where the
-// slot would be lent again to the same workspace's work. It would idle until the
-// borrower has told that it is free, and until it is fetched again.
+// extendLoans extends loans whose term ends soon where the slot would be lent
+// again to the same workspace. Without an extension the slot would idle until
+// the borrower has returned it and it has been lent again.
 func (p *Pool) extendLoans(now time.Time, from *zone, ids []uint64) {
-	slack := p.margin + extendSlack*p.yield(p.term(from))
+	slack := p.remotePenalty + extendSlackTerms*p.unitsPerSlot(p.term(from))
 	for _, id := range ids {
 		if l := p.loans[id]; l != nil && l.zone == from && p.mayExtend(now, l) {
-			p.extend(now, l, slack)
+			p.extendLoan(now, l, slack)
 		}
 	}
 }
 
-// mayExtend tells whether a loan's term ends soon, and its endpoint may still have
-// all the requests that it has.
+// mayExtend reports whether a loan's term ends soon, there is demand left, and
+// its endpoint is not over its limit.
 func (p *Pool) mayExtend(now time.Time, l *loan) bool {
-	return l.lane.count > 0 && l.until.Sub(now) <= extendBefore*l.zone.every && l.endpoint.busy() <= l.endpoint.limit(now)
+	return l.lane.count > 0 && l.termEnd.Sub(now) <= extendBeforeIntervals*l.zone.interval && l.endpoint.busy() <= l.endpoint.limit(now)
 }
 
-// extend lends a slot on, unless another lane is next in line by more than slack.
-func (p *Pool) extend(now time.Time, l *loan, slack float64) {
+// extendLoan extends a loan, unless another lane is ahead of it by more than
+// slack, in units by weight.
+func (p *Pool) extendLoan(now time.Time, l *loan, slack float64) {
 	p.reserve(l, 0)
-	if best := p.best(l.endpoint); best != l.lane && l.lane.counter-slack > best.counter {
-		p.reserve(l, l.batch(l.until.Sub(now)))
+	if best := p.bestLane(l.endpoint); best != l.lane && l.lane.counter-slack > best.counter {
+		p.reserve(l, l.termUnits(l.termEnd.Sub(now)))
 		return
 	}
 	term := p.term(l.zone)
 	l.lease = p.lease(l.zone)
 	l.expires = now.Add(l.lease)
-	l.until = now.Add(term)
-	p.reserve(l, l.batch(term))
-	p.lending = append(p.lending, Loan{ID: l.id, Lease: l.lease, Term: term})
+	l.termEnd = now.Add(term)
+	p.reserve(l, l.termUnits(term))
+	p.answerLoans = append(p.answerLoans, Loan{ID: l.id, Lease: l.lease, Term: term})
 }
 
-// best returns the lane with the smallest price that an endpoint may serve.
-func (p *Pool) best(e *endpoint) *lane {
+// bestLane returns the lane with the smallest price that this endpoint may
+// serve.
+func (p *Pool) bestLane(e *endpoint) *lane {
 	var best *lane
 	for _, g := range p.groupList {
-		if len(g.lanes) > 0 && g.set.has(e.index) && (best == nil || g.lanes[0].before(best)) {
+		if len(g.lanes) > 0 && g.endpoints.has(e.index) && (best == nil || g.lanes[0].before(best)) {
 			best = g.lanes[0]
 		}
 	}
 	return best
 }
 
+// endLoan ends a loan and frees its slot and its reservation.
 func (p *Pool) endLoan(now time.Time, ended *loan) {
 	delete(p.loans, ended.id)
 	p.loanList = slices.DeleteFunc(p.loanList, func(other *loan) bool { return other == ended })
 	w := ended.lane.workspace
 	w.reserved -= ended.reserved
 	ended.endpoint.lent--
-	p.countLiving(now, ended.endpoint)
+	p.recountUnlessGone(now, ended.endpoint)
 	p.reprice(w)
 }
 
-// expireLoans frees the slots of loans whose borrower has not been heard. Its
-// requests may still run there; the engine queues what is too much for it.
+// expireLoans frees the slots of loans that their borrower has not renewed in
+// time. The borrower's requests may still run there; the engine queues those
+// that exceed its capacity.
 func (p *Pool) expireLoans(now time.Time) {
 	for _, l := range slices.Clone(p.loanList) {
 		if now.Before(l.expires) {
-			p.wake(l.expires)
+			p.addDeadline(l.expires)
 			continue
 		}
 		p.endLoan(now, l)
 	}
 }
 
-// lent gives borrowed slots to waiting tickets, and returns what none can use.
-func (p *Pool) lent(now time.Time, l Lent) {
+// applyLent uses borrowed slots for waiting tickets and returns the slots that
+// no ticket can use.
+func (p *Pool) applyLent(now time.Time, l Lent) {
 	p.merge(now, l.Origin, l.Totals)
 	if l.Zone != "" {
-		p.zone(l.Zone).idle = l.Idle
+		p.zone(l.Zone).freeSlots = l.Idle
 	}
 	for _, offered := range l.Loans {
-		if l.lapsed(now, offered) {
+		if l.mayHaveExpired(now, offered) {
 			continue
 		}
-		asked := l.Asked
-		if asked.IsZero() {
-			asked = now
+		requestedAt := l.RequestedAt
+		if requestedAt.IsZero() {
+			requestedAt = now
 		}
-		until := asked.Add(min(offered.Term, offered.Lease))
+		until := requestedAt.Add(min(offered.Term, offered.Lease))
 		if known := p.borrowings[offered.ID]; known != nil && offered.Endpoint == "" {
-			known.until = until
-		} else if offered.Endpoint != "" && !p.borrowed(offered.ID) {
+			known.termEnd = until
+		} else if offered.Endpoint != "" && !p.wasBorrowed(offered.ID) {
 			p.borrow(now, offered, until, l.Zone)
 		}
 	}
 }
 
-// lapsed tells whether an offered loan may have ended at its lender, who counts
-// the lease from making it. An answer that was late on its way would otherwise
-// put a second request into a slot that was lent or granted again. One notices
-// an engine with more requests than slots after a pause of the network.
-func (l Lent) lapsed(now time.Time, offered Loan) bool {
-	return !l.Asked.IsZero() && now.Sub(l.Asked) >= offered.Lease
+// mayHaveExpired reports whether an offered loan may already have expired at
+// its lender, where the lease starts when the loan is made. Accepting a delayed
+// answer would put a second request into a slot that has been lent or granted
+// again, so that an engine gets more requests than it has slots after a network
+// pause.
+func (l Lent) mayHaveExpired(now time.Time, offered Loan) bool {
+	return !l.RequestedAt.IsZero() && now.Sub(l.RequestedAt) >= offered.Lease
 }
 
-// borrowed tells whether a loan has been taken before: answers may be repeated.
-func (p *Pool) borrowed(id uint64) bool {
+// wasBorrowed reports whether a loan has already been accepted, because answers
+// may be repeated.
+func (p *Pool) wasBorrowed(id uint64) bool {
 	if _, used := p.borrowings[id]; used {
 		return true
 	}
-	return slices.ContainsFunc(p.over, func(b *borrowing) bool { return b.ID == id })
+	return slices.ContainsFunc(p.endedBorrowings, func(b *borrowing) bool { return b.ID == id })
 }
 
+// borrow accepts an offered loan and uses or returns its slot.
 func (p *Pool) borrow(now time.Time, offered Loan, until time.Time, zone string) {
-	taken := &borrowing{Loan: offered, zone: zone, until: until}
+	taken := &borrowing{Loan: offered, zone: zone, termEnd: until}
 	p.borrowings[taken.ID] = taken
-	if !p.use(now, taken) {
-		p.giveBack(now, taken)
+	if !p.useBorrowing(now, taken) {
+		p.endBorrowing(now, taken)
 	}
 }
 
-// use begins the next request in a borrowed slot, if there is one.
-func (p *Pool) use(now time.Time, b *borrowing) bool {
-	l := p.borrower(b.Loan)
+// useBorrowing begins the next suitable request in a borrowed slot and reports
+// whether there was one.
+func (p *Pool) useBorrowing(now time.Time, b *borrowing) bool {
+	l := p.borrowingLane(b.Loan)
 	if l == nil {
 		return false
 	}
@@ -334,76 +361,78 @@
 	p.unqueue(l, r)
 	r.target = b.Endpoint
 	r.loan = b
-	p.begin(now, r)
+	p.beginAttempt(now, r)
 	p.reprice(l.workspace)
-	p.retire(l)
-	if !l.stranded.IsZero() {
-		l.stranded = now
+	p.deactivate(l)
+	if !l.strandedSince.IsZero() {
+		l.strandedSince = now
 	}
-	p.act(Grant{Request: r.id(), Endpoint: b.Endpoint, Incarnation: b.Incarnation, Address: b.Address})
+	p.emit(Grant{Request: r.id(), Endpoint: b.Endpoint, Incarnation: b.Incarnation, Address: b.Address})
 	return true
 }
 
-// leave takes note that a request has left a borrowed slot. The next begins there
-// within the term, unless the last one failed.
-func (p *Pool) leave(now time.Time, b *borrowing, well bool) {
-	if !well {
-		p.giveBack(now, b)
+// vacateBorrowing records that a request has left a borrowed slot. The slot is
+// reused within its term if the request ended normally, and returned otherwise.
+func (p *Pool) vacateBorrowing(now time.Time, b *borrowing, reusable bool) {
+	if !reusable {
+		p.endBorrowing(now, b)
 		return
 	}
-	p.idle = append(p.idle, b)
+	p.idleBorrowings = append(p.idleBorrowings, b)
 }
 
-// reuse begins requests in borrowed slots that are free. One that finds none is
-// kept until the next offer, since its lender does not hear of it before.
-func (p *Pool) reuse(now time.Time) {
-	p.idle = slices.DeleteFunc(p.idle, func(b *borrowing) bool {
-		if now.Before(b.until) {
-			return p.use(now, b)
+// reuseBorrowings begins requests in idle borrowed slots. A slot without a
+// suitable request is kept until the next offer, because its lender cannot be
+// notified earlier.
+func (p *Pool) reuseBorrowings(now time.Time) {
+	p.idleBorrowings = slices.DeleteFunc(p.idleBorrowings, func(b *borrowing) bool {
+		if now.Before(b.termEnd) {
+			return p.useBorrowing(now, b)
 		}
-		p.giveBack(now, b)
+		p.endBorrowing(now, b)
 		return true
 	})
 }
 
-// giveBackIdle ends the borrowings that no request uses.
-func (p *Pool) giveBackIdle(now time.Time) {
-	for _, b := range p.idle {
-		p.giveBack(now, b)
+// endIdleBorrowings ends the borrowings that no request uses.
+func (p *Pool) endIdleBorrowings(now time.Time) {
+	for _, b := range p.idleBorrowings {
+		p.endBorrowing(now, b)
 	}
-	p.idle = nil
+	p.idleBorrowings = nil
 }
 
-// borrower returns the lane whose first ticket a loan may serve, the oldest.
-func (p *Pool) borrower(offered Loan) *lane {
+// borrowingLane returns the lane with the oldest first ticket that the loan may
+// serve, or nil.
+func (p *Pool) borrowingLane(offered Loan) *lane {
 	w := p.workspaces[offered.Workspace]
 	if w == nil {
 		return nil
 	}
 	var best *lane
 	for _, l := range w.active {
-		if l.key.model != offered.Model || !p.mayCross(l) || l.avoids(offered.Endpoint) {
+		if l.key.model != offered.Model || !p.mayRunRemotely(l) || l.avoids(offered.Endpoint) {
 			continue
 		}
-		if best == nil || l.first.order < best.first.order {
+		if best == nil || l.first.arrivalNumber < best.first.arrivalNumber {
 			best = l
 		}
 	}
 	return best
 }
 
-// giveBack ends a borrowing; the lender is told with the next offers.
-func (p *Pool) giveBack(now time.Time, b *borrowing) {
+// endBorrowing ends a borrowing. The next offers notify the lender.
+func (p *Pool) endBorrowing(now time.Time, b *borrowing) {
 	delete(p.borrowings, b.ID)
-	b.ended = now
-	p.over = append(p.over, b)
+	b.endedAt = now
+	p.endedBorrowings = append(p.endedBorrowings, b)
 }
 
-// dropLoans forgets the loans and holds of an endpoint that is gone.
+// dropLoans drops the loans and holds of an endpoint that has been removed.
 func (p *Pool) dropLoans(e *endpoint) {
 	for _, z := range p.zoneList {
 		kept := slices.DeleteFunc(slices.Clone(z.holds), func(h hold) bool { return h.endpoint == e })
-		p.held -= len(z.holds) - len(kept)
+		p.heldSlots -= len(z.holds) - len(kept)
 		z.holds = kept
 	}
 	for _, l := range slices.Clone(p.loanList) {
--- a/lib/scheduler/offer.go
+++ b/lib/scheduler/offer.go
@@ -7,56 +7,61 @@
 	"time"
 )
 
-// Limits of what the exchange between zones may cost a node.
+// Limits on the cost of the exchange between zones per node.
 const (
-	// CompareBudget is the bytes a second that a node may send and receive for all
-	// of its pools' exchanges, as encoded, without framing, unless Options say more.
-	CompareBudget = 6000
-	// CompareLeast and CompareMost bound the time between two exchanges;
-	// compareQuiet is the least while nothing waits or is lent.
-	CompareLeast = 200 * time.Millisecond
-	CompareMost  = 10 * time.Second
-	compareQuiet = time.Second
-	// offerRows is how many rows of totals, and how many of demand, the messages of
-	// one exchange carry together. What is left out waits for the next.
-	offerRows     = 128
-	leastRows     = 8
-	mostRows      = 64
-	worthBacklog  = 100 // of the row of a workspace that waits somewhere
-	bothWays      = 2   // other zones send as much as they get
-	bytesEnvelope = 48  // zone, service, origin, round, idle, and the empty answer
-	bytesRow      = 6   // a row without its numbers and its name
-	bytesFirst    = 12  // the first of a list of loans
-	bytesNext     = 2   // each other one, packed
-	bytesLoan     = 60  // a loan in an answer with its share of names
-	bytesExtended = 18
+	// DefaultCompareBudget is the default of Options.CompareBudget: the bytes
+	// per second that a node may send and receive for the exchanges of all of
+	// its pools, as encoded, without framing.
+	DefaultCompareBudget = 6000
+	// MinCompareInterval and MaxCompareInterval bound the time between two
+	// exchanges; minIdleCompareInterval is the minimum while nothing waits or
+	// is lent.
+	MinCompareInterval     = 200 * time.Millisecond
+	MaxCompareInterval     = 10 * time.Second
+	minIdleCompareInterval = time.Second
+	// offerRows is the number of rows of totals, and of rows of demand, that
+	// the messages of one exchange carry to all zones together. The remaining
+	// rows wait for the next exchange.
+	offerRows         = 128
+	minRows           = 8   // least rows of a kind in one message
+	maxRows           = 64  // most rows of a kind in one message
+	backlogUrgency    = 100 // urgency of a workspace with waiting work
+	trafficDirections = 2   // other zones send as much as they receive
+	bytesEnvelope     = 48  // zone, service, origin, round, idle, and the empty answer
+	bytesRow          = 6   // a row without its numbers and its name
+	bytesFirstLoanID  = 12  // the first ID of a list of loans
+	bytesNextLoanID   = 2   // each further ID of the list, packed
+	bytesLoan         = 60  // a loan in an answer, with its share of names
+	bytesExtension    = 18  // the extension of a loan in an answer
 )
 
-// Offer returns what the host sends to the same service's schedulers of the
-// other zones: own totals that are due, what waits here, the loans that are over
-// and those still in use, and the free slots. Totals are due once, so an offer is
-// made once per round and sent to every zone. LoansOf tells which of the loans
-// concern a zone; the others need not be sent there.
+// Offer returns what the host sends to the schedulers of this service in the
+// other zones: the own totals that are due, the unmet demand here, the loans
+// that have ended, the loans still in use, and the number of free slots.
+// Returned totals are no longer due, so the host calls Offer once per round and
+// sends the result to every zone. LoansOf selects the loans that concern a
+// zone; the others need not be sent there.
 func (p *Pool) Offer(now time.Time) (rows []Total, demand []Demand, returned, renewed []uint64, idle int) {
 	rows = totals(p.ledger.Urgent(now, p.rowLimit(), p.urgency))
-	demand = p.unmet()
-	p.giveBackIdle(now)
-	p.forgetOver(now)
+	demand = p.unmetDemand()
+	p.endIdleBorrowings(now)
+	p.pruneEndedBorrowings(now)
 	returned, renewed = p.LoansOf("", now)
-	for _, e := range p.seats {
+	for _, e := range p.endpointsByIndex {
 		if e != nil {
-			idle += max(0, e.room(now))
+			idle += max(0, e.freeSlots(now))
 		}
 	}
-	p.spent = p.offerBytes(rows, demand, len(returned)+len(renewed))
+	p.exchangeBytes = p.offerBytes(rows, demand, len(returned)+len(renewed))
 	return rows, demand, returned, renewed, idle
 }
 
-// LoansOf returns the loans of a zone that are over and those still in use, in
-// order, or those of all zones for an empty name. It belongs to the last Offer.
+// LoansOf returns the loans of a zone that have ended and those still in use,
+// sorted, or those of all zones if the name is empty. It refers to the last
+// Offer.
 func (p *Pool) LoansOf(zone string, now time.Time) (returned, renewed []uint64) {
-	for _, b := range p.over {
-		if now.Sub(b.ended) <= p.repeatFor() && (zone == "" || b.zone == zone) {
+	for _, b := range p.endedBorrowings {
+		if now.Sub(b.endedAt) <= p.returnRepeatTime() && (zone == "" || b.zone == zone) {
 			returned = append(returned, b.ID)
 		}
 	}
@@ -70,8 +75,9 @@
 	return returned, renewed
 }
 
-// PackLoans makes a sorted list of loans short: each but the first stands as the
-// difference from the one before, for the loans of one lender count up.
+// PackLoans shortens the encoding of a sorted list of loans: each ID but the
+// first is replaced by its difference from the previous one, which is small
+// because the loans of one lender are numbered consecutively.
 func PackLoans(ids []uint64) []uint64 {
 	packed := slices.Clone(ids)
 	for i := len(packed) - 1; i > 0; i-- {
@@ -80,7 +86,7 @@
 	return packed
 }
 
-// UnpackLoans undoes PackLoans.
+// UnpackLoans reverses PackLoans.
 func UnpackLoans(packed []uint64) []uint64 {
 	ids := slices.Clone(packed)
 	for i := 1; i < len(ids); i++ {
@@ -89,107 +95,112 @@
 	return ids
 }
 
-// repeatFor is how long the end of a loan is told.
-func (p *Pool) repeatFor() time.Duration {
-	return max(returnRepeat, returnIntervals*p.interval)
+// returnRepeatTime returns for how long the end of a loan is repeated.
+func (p *Pool) returnRepeatTime() time.Duration {
+	return max(minReturnRepeat, returnIntervals*p.interval)
 }
 
-// forgetOver forgets loans that are over. An answer may be repeated for as long as
-// its loans' lease. Whoever forgets a loan sooner uses it a second time.
-func (p *Pool) forgetOver(now time.Time) {
-	p.over = slices.DeleteFunc(p.over, func(b *borrowing) bool {
-		return now.Sub(b.ended) > max(p.repeatFor(), b.Lease)
+// pruneEndedBorrowings forgets ended loans. An answer may be repeated during
+// the lease of its loans, so forgetting a loan earlier would use it a second
+// time.
+func (p *Pool) pruneEndedBorrowings(now time.Time) {
+	p.endedBorrowings = slices.DeleteFunc(p.endedBorrowings, func(b *borrowing) bool {
+		return now.Sub(b.endedAt) > max(p.returnRepeatTime(), b.Lease)
 	})
 }
 
-// CompareAfter returns how long after an exchange the next is due, for a host that
-// compares with this many other zones and schedules this many pools. The node
-// keeps to its budget: what the last exchange cost is paid off first, so that
-// exchanges get rarer with more zones and with more to tell, and no figure of this
-// package is exceeded whatever happens.
-func (p *Pool) CompareAfter(_ time.Time, zones, pools int) time.Duration {
-	p.peers = max(1, zones)
-	least := CompareLeast
+// CompareInterval returns the time from an exchange to the next, for a host
+// that compares with this many other zones and schedules this many pools. The
+// interval is long enough to pay for the bytes of the last exchange from the
+// node's budget. So exchanges become less frequent with more zones and more
+// rows, and the limits of this package always hold.
+func (p *Pool) CompareInterval(_ time.Time, zones, pools int) time.Duration {
+	p.peerZones = max(1, zones)
+	minInterval := MinCompareInterval
 	if p.waiting == 0 && len(p.borrowings) == 0 && len(p.loans) == 0 {
-		least = compareQuiet
+		minInterval = minIdleCompareInterval
 	}
-	spent := time.Duration(bothWays * p.spent * max(1, pools))
-	p.interval = min(max(least, spent*time.Second/time.Duration(p.options.CompareBudget)), CompareMost)
+	cost := time.Duration(trafficDirections * p.exchangeBytes * max(1, pools))
+	p.interval = min(max(minInterval, cost*time.Second/time.Duration(p.options.CompareBudget)), MaxCompareInterval)
 	return p.interval
 }
 
-// Spent is the estimated bytes of the last exchange with all zones, with the answers
-// since the one before.
-func (p *Pool) Spent() int {
-	return p.spent
+// ExchangeBytes returns the estimated bytes of the last exchange with all
+// zones, including the answers sent since the previous one.
+func (p *Pool) ExchangeBytes() int {
+	return p.exchangeBytes
 }
 
-// rowLimit is how many rows of a kind one message carries.
+// rowLimit returns how many rows of each kind one message carries.
 func (p *Pool) rowLimit() int {
-	return min(max(leastRows, offerRows/max(1, p.peers)), mostRows)
+	return min(max(minRows, offerRows/max(1, p.peerZones)), maxRows)
 }
 
-// urgency is what it is worth to tell a workspace's charges. Only workspaces that
-// wait are compared with others; the rest are lifted when they come back.
+// urgency returns the weight with which a workspace's charges compete for the
+// rows of an exchange. Only workspaces that wait are compared with others; the
+// rest are lifted when they become active again.
 func (p *Pool) urgency(name string) float64 {
 	if w := p.workspaces[name]; w != nil && len(w.active) > 0 {
-		return worthBacklog
+		return backlogUrgency
 	}
 	return 1
 }
 
-// offerBytes estimates what an exchange with all zones costs, answers included.
+// offerBytes estimates the bytes of an exchange with all zones, answers
+// included.
 func (p *Pool) offerBytes(rows []Total, demand []Demand, loans int) int {
 	size := bytesEnvelope + len(p.options.Zone) + len(p.options.Service)
 	named := make(map[string]bool)
-	name := func(text string) {
+	addName := func(text string) {
 		if !named[text] {
 			named[text] = true
 			size += 2 + len(text)
 		}
 	}
 	for _, row := range rows {
-		size += bytesRow + varint(row.Charged) + varint(row.Lifted) + varint(row.Forgiven)
-		name(row.Workspace)
+		size += bytesRow + varintBytes(row.Charged) + varintBytes(row.Lifted) + varintBytes(row.Forgiven)
+		addName(row.Workspace)
 	}
 	for _, row := range demand {
 		size += bytesRow + 3
-		name(row.Workspace)
-		name(row.Model)
+		addName(row.Workspace)
+		addName(row.Model)
 	}
-	total := p.peers*size + min(loans, p.peers)*bytesFirst + loans*bytesNext + p.answered
-	p.answered = 0
+	total := p.peerZones*size + min(loans, p.peerZones)*bytesFirstLoanID + loans*bytesNextLoanID + p.answerBytes
+	p.answerBytes = 0
 	return total
 }
 
 const varintBits = 7
 
-func varint(n uint64) int {
+// varintBytes returns the length of n encoded as a varint.
+func varintBytes(n uint64) int {
 	return bits.Len64(n)/varintBits + 1
 }
 
-// answers counts the bytes of loans in an answer.
-func (p *Pool) answers(loans []Loan) {
+// countAnswerBytes adds the estimated bytes of the loans in an answer.
+func (p *Pool) countAnswerBytes(loans []Loan) {
 	for _, l := range loans {
 		if l.Endpoint == "" {
-			p.answered += bytesExtended
+			p.answerBytes += bytesExtension
 		} else {
-			p.answered += bytesLoan
+			p.answerBytes += bytesLoan
 		}
 	}
 }
 
-// unmet lists what waits here and may run elsewhere, smallest price first.
-func (p *Pool) unmet() []Demand {
+// unmetDemand lists the waiting work that may run in other zones, smallest
+// price first.
+func (p *Pool) unmetDemand() []Demand {
 	var rows []Demand
 	var prices []float64
-	for _, w := range p.order {
+	for _, w := range p.workspaceList {
 		if w.waiting == 0 {
 			continue
 		}
 		from := len(rows)
 		for _, l := range w.active {
-			if p.mayCross(l) {
+			if p.mayRunRemotely(l) {
 				rows = addDemand(rows, from, l)
 			}
 		}
@@ -209,12 +220,14 @@
 	return sorted
 }
 
+// addDemand adds a lane's tickets to the row for its model among the rows of its
+// workspace, which begin at index from.
 func addDemand(rows []Demand, from int, l *lane) []Demand {
 	for i := from; i < len(rows); i++ {
 		if rows[i].Model == l.key.model {
-			rows[i].Waiting = min(rows[i].Waiting+l.count, maxDemand)
+			rows[i].Waiting = min(rows[i].Waiting+l.count, maxDemandPerRow)
 			return rows
 		}
 	}
-	return append(rows, Demand{Workspace: l.workspace.name, Model: l.key.model, Waiting: min(l.count, maxDemand)})
+	return append(rows, Demand{Workspace: l.workspace.name, Model: l.key.model, Waiting: min(l.count, maxDemandPerRow)})
 }
--- a/lib/scheduler/offer_test.go
+++ b/lib/scheduler/offer_test.go
@@ -31,23 +31,23 @@
 		least, most              time.Duration
 	}{
 		"quiet":             {workspaces: 0, zones: 2, pools: 1, least: time.Second, most: time.Second},
-		"a few":             {workspaces: 2, zones: 1, pools: 1, least: scheduler.CompareLeast, most: scheduler.CompareLeast},
+		"a few":             {workspaces: 2, zones: 1, pools: 1, least: scheduler.MinCompareInterval, most: scheduler.MinCompareInterval},
 		"many workspaces":   {workspaces: 100, zones: 2, pools: 1, least: time.Second, most: 3 * time.Second},
 		"many zones":        {workspaces: 100, zones: 18, pools: 1, least: time.Second, most: 3 * time.Second},
 		"many pools":        {workspaces: 100, zones: 18, pools: 2, least: 2 * time.Second, most: 6 * time.Second},
-		"as much as can be": {workspaces: 100, zones: 500, pools: 9, least: scheduler.CompareMost, most: scheduler.CompareMost},
+		"as much as can be": {workspaces: 100, zones: 500, pools: 9, least: scheduler.MaxCompareInterval, most: scheduler.MaxCompareInterval},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			m := newOfferer(t, test.workspaces)
-			m.pool.CompareAfter(m.now, test.zones, test.pools) // the host tells how many zones there are
+			m.pool.CompareInterval(m.now, test.zones, test.pools) // the host tells how many zones there are
 			m.pool.Offer(m.now)
-			after := m.pool.CompareAfter(m.now, test.zones, test.pools)
+			after := m.pool.CompareInterval(m.now, test.zones, test.pools)
 			require.GreaterOrEqual(t, after, test.least)
 			require.LessOrEqual(t, after, test.most)
-			spent := test.pools * 2 * m.pool.Spent()
-			if after < scheduler.CompareMost {
-				require.LessOrEqual(t, float64(spent), 1.01*scheduler.CompareBudget*after.Seconds())
+			spent := test.pools * 2 * m.pool.ExchangeBytes()
+			if after < scheduler.MaxCompareInterval {
+				require.LessOrEqual(t, float64(spent), 1.01*scheduler.DefaultCompareBudget*after.Seconds())
 			}
 		})
 	}
@@ -58,7 +58,7 @@
 // in the order of names.
 func TestRowsOfThoseThatWaitGoFirst(t *testing.T) {
 	m := newOfferer(t, 0)
-	m.pool.CompareAfter(m.now, 18, 1)
+	m.pool.CompareInterval(m.now, 18, 1)
 	for i := range 40 {
 		id := request(uint64(i + 1))
 		m.enrol(router1, scheduler.Ticket{Seq: id.Seq, Workspace: fmt.Sprintf("workspace-%03d", i)})
--- a/lib/scheduler/policy_test.go
+++ b/lib/scheduler/policy_test.go
@@ -165,7 +165,7 @@
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 1, TTL: time.Minute})
 	m.enrol(router1, scheduler.Ticket{Seq: 1, Workspace: "one", Model: "absent"})
-	next := m.pool.Next(m.now)
+	next := m.pool.NextDeadline(m.now)
 	require.Equal(t, zero.Add(scheduler.DefaultNoEndpointAfter), next)
 	m.now = next.Add(-time.Millisecond)
 	require.Empty(t, m.apply(scheduler.Tick{}))
--- a/lib/scheduler/pool.go
+++ b/lib/scheduler/pool.go
@@ -7,29 +7,31 @@
 	"shallotkeel.example/lib/estimator"
 )
 
-// Options say which pool this is. The zero value of every field but Zone,
-// Service and Origin stands for its default.
+// Options configures a pool. The zero value of every field except Zone, Service
+// and Origin selects the default.
 type Options struct {
 	Zone    string
 	Service string
-	// Origin is this scheduler's incarnation: unique in the fleet, for it names
-	// the rows of totals that only this scheduler raises.
+	// Origin is this scheduler's incarnation. It identifies the rows of totals
+	// that only this scheduler increases, so it must be unique in the fleet.
 	Origin uint64
-	// Plain says that units are milliseconds of busy time, not tokens.
+	// Plain says that units are milliseconds of busy time instead of tokens.
 	Plain bool
-	// Debt bounds what a workspace that is ahead has to wait for the others,
-	// in units by weight. By default it is some requests of the mean cost.
-	Debt float64
-	// Lease is how long a loan lasts without being renewed.
+	// MaxDebt bounds how far ahead of the others a workspace may be after a
+	// partition, and so how long it waits for them, in units by weight. The
+	// default is a multiple of the mean cost of a request.
+	MaxDebt float64
+	// Lease is how long a loan lasts without renewal.
 	Lease time.Duration
 	// HungAfter is how long an endpoint with work may show no progress.
 	HungAfter time.Duration
-	// NoEndpointAfter is how long a ticket waits where no endpoint can serve it.
+	// NoEndpointAfter is how long a ticket waits while no endpoint can serve
+	// it.
 	NoEndpointAfter time.Duration
-	// CompareBudget is the bytes a second that this node's exchanges may cost, the
-	// constant of that name by default.
+	// CompareBudget is the bytes per second that this node's exchanges may
+	// cost, DefaultCompareBudget by default.
 	CompareBudget int
-	// MaxWaiting bounds the tickets that the pool holds.
+	// MaxWaiting bounds the number of waiting tickets.
 	MaxWaiting int
 }
 
@@ -52,7 +54,7 @@
 		o.NoEndpointAfter = DefaultNoEndpointAfter
 	}
 	if o.CompareBudget <= 0 {
-		o.CompareBudget = CompareBudget
+		o.CompareBudget = DefaultCompareBudget
 	}
 	if o.MaxWaiting <= 0 {
 		o.MaxWaiting = DefaultMaxWaiting
@@ -68,61 +70,62 @@
 	ledger    accountant.Ledger
 	estimator estimator.Estimator
 
-	workspaces map[string]*workspace
-	order      []*workspace // by creation
-	routers    map[string]*router
-	endpoints  map[string]*endpoint
-	seats      []*endpoint // by index, nil where free
-	unplaced   map[string][]*request
-	groups     map[groupKey]*group
-	groupList  []*group // by creation
-	zones      map[string]*zone
-	zoneList   []*zone // by creation
-	loans      map[uint64]*loan
-	loanList   []*loan // by creation
-	borrowings map[uint64]*borrowing
-	idle       []*borrowing // those that no request uses now
-	over       []*borrowing // ended, still told to their lenders
-
-	alive     bitset // endpoints that may get work, now or once recovered
-	open      bitset // endpoints with room
-	openAlone bitset // endpoints with room and no suspect
-	regroup   bool   // lanes have to be put into groups again
-
-	started      time.Time
-	last         time.Time
-	due          time.Time // no deadline is earlier; zero if there is none
-	aged         time.Time
-	arrivals     uint64
-	lanes        uint64
-	reports      uint64
-	loanNumber   uint64
-	waiting      int
-	running      int
-	held         int
-	busy         int
-	usable       int
-	busyTime     time.Duration
-	usableTime   time.Duration
-	peakInFlight float64 // most estimated and uncharged of one workspace, by weight
-	peakRunning  float64 // most requests of one workspace at once, by weight
-	peakJump     float64 // most that one merge brought, by weight
-	largest      float64 // cost of one request, units
-	margin       float64
-	level        float64 // standing at endpoints that have served nobody yet
-	abroad       float64 // smallest counter that waits in other zones, 0 if none
-	answering    *zone   // whose exchange is being answered
-	lending      []Loan
-	generation   uint64        // of the groups
-	interval     time.Duration // between own exchanges, as last asked for
-	peers        int           // other zones, as last told
-	spent        int           // bytes of the last exchange with all zones
-	answered     int           // bytes of answers since
-	actions      []Action
+	workspaces       map[string]*workspace
+	workspaceList    []*workspace // in order of creation
+	routers          map[string]*router
+	endpoints        map[string]*endpoint
+	endpointsByIndex []*endpoint           // nil where the index is free
+	unplaced         map[string][]*request // running requests at endpoints not announced yet, by endpoint ID
+	groups           map[groupKey]*group
+	groupList        []*group // in order of creation
+	zones            map[string]*zone
+	zoneList         []*zone // in order of creation
+	loans            map[uint64]*loan
+	loanList         []*loan // in order of creation
+	borrowings       map[uint64]*borrowing
+	idleBorrowings   []*borrowing // borrowings that no request uses now
+	endedBorrowings  []*borrowing // ended borrowings that are still reported to their lenders
+
+	eligible       bitset // endpoints that may receive work, now or after recovery
+	available      bitset // endpoints with a free slot
+	availableAlone bitset // endpoints with a free slot and no suspect
+	regroup        bool   // lanes have to be assigned to groups again
+
+	startedAt        time.Time     // time of the first event
+	lastAdvance      time.Time     // time of the last event
+	nextDeadline     time.Time     // earliest deadline, zero if none
+	peaksAgedAt      time.Time     // last decay of the peaks
+	arrivalNumber    uint64        // of the last ticket
+	laneNumber       uint64        // of the last lane
+	reportNumber     uint64        // of the last report
+	loanNumber       uint64        // of the last loan made
+	waiting          int           // number of tickets
+	running          int           // number of running requests
+	heldSlots        int           // slots kept for another zone's next exchange
+	busySlots        int           // slots in use, as counted by recount
+	usableSlots      int           // slots that may be used, as counted by recount
+	busyTime         time.Duration // integral of busySlots over time
+	usableTime       time.Duration // integral of usableSlots over time
+	peakInFlight     float64       // maximum estimated and uncharged units of one workspace, by weight
+	peakRunning      float64       // maximum number of running requests of one workspace, by weight
+	peakJump         float64       // maximum change of a counter by one merge, units by weight
+	maxRequestCost   float64       // maximum cost of one request, in units
+	remotePenalty    float64       // added to the price of another zone's demand, in units by weight
+	virtualTime      float64       // initial virtual time of new endpoints: the counter last served
+	minRemoteCounter float64       // smallest counter with demand from other zones, 0 if none
+	answeredZone     *zone         // zone whose exchange is being answered, nil if none
+	answerLoans      []Loan        // loans of that answer
+	groupGeneration  uint64        // incremented when all groups are rebuilt
+	interval         time.Duration // between own exchanges, as last computed by CompareInterval
+	peerZones        int           // number of other zones, as last passed to CompareInterval
+	exchangeBytes    int           // estimated bytes of the last exchange with all zones
+	answerBytes      int           // estimated bytes of answers since that exchange
+	actions          []Action      // result of the current Apply
 }
 
 // New returns an empty pool. It grants nothing before the first Configured
-// event, because without rules it cannot know what is allowed.
+// event, because without rules it cannot know which endpoints a workspace may
+// use.
 func New(options Options) *Pool {
 	return &Pool{
 		options:    options.withDefaults(),
@@ -137,82 +140,85 @@
 	}
 }
 
-// Apply takes one event and returns what the host has to do, in order.
+// Apply processes one event and returns the actions that the host has to carry
+// out, in order.
 func (p *Pool) Apply(now time.Time, event Event) []Action {
 	p.actions = nil
-	p.pass(now)
+	p.advance(now)
 	switch e := event.(type) {
 	case Report:
-		p.report(now, e)
+		p.applyReport(now, e)
 	case RouterGone:
 		p.routerGone(now, e.Router)
 	case Announced:
-		p.announced(now, e)
+		p.applyAnnouncement(now, e)
 	case Compared:
-		p.compared(now, e)
+		p.applyCompared(now, e)
 	case Lent:
-		p.lent(now, e)
+		p.applyLent(now, e)
 	case History:
-		p.join(e)
+		p.joinHistory(e)
 	case Declinations:
-		p.declined(now, e)
+		p.applyDeclinations(now, e)
 	case Configured:
-		p.configured(now, e.Rules)
+		p.applyRules(now, e.Rules)
 	case Tick:
 	}
 	p.dispatch(now)
 	return p.actions
 }
 
-func (p *Pool) act(action Action) {
+// emit appends an action to the result of Apply.
+func (p *Pool) emit(action Action) {
 	p.actions = append(p.actions, action)
 }
 
-// pass lets time go on to now.
-func (p *Pool) pass(now time.Time) {
-	if p.started.IsZero() {
-		p.started, p.last, p.aged = now, now, now
+// advance moves the pool's time forward to now and handles expired deadlines.
+func (p *Pool) advance(now time.Time) {
+	if p.startedAt.IsZero() {
+		p.startedAt, p.lastAdvance, p.peaksAgedAt = now, now, now
 	}
-	if passed := now.Sub(p.last); passed > 0 {
-		p.busyTime += passed * time.Duration(p.busy)
-		p.usableTime += passed * time.Duration(p.usable)
-		p.last = now
+	if elapsed := now.Sub(p.lastAdvance); elapsed > 0 {
+		p.busyTime += elapsed * time.Duration(p.busySlots)
+		p.usableTime += elapsed * time.Duration(p.usableSlots)
+		p.lastAdvance = now
 	}
-	if !p.due.IsZero() && !now.Before(p.due) {
+	if !p.nextDeadline.IsZero() && !now.Before(p.nextDeadline) {
 		p.expire(now)
 	}
 }
 
-// wake makes sure that time passes at the deadline.
-func (p *Pool) wake(at time.Time) {
-	if p.due.IsZero() || at.Before(p.due) {
-		p.due = at
+// addDeadline requests a Tick no later than this time.
+func (p *Pool) addDeadline(at time.Time) {
+	if p.nextDeadline.IsZero() || at.Before(p.nextDeadline) {
+		p.nextDeadline = at
 	}
 }
 
-// Next returns when the next Tick is needed, the zero time if none is. It may
-// be in the past: then a Tick is due now.
-func (p *Pool) Next(_ time.Time) time.Time {
-	return p.due
+// NextDeadline returns when the next Tick is needed, or the zero time if none
+// is. If the time is in the past, a Tick is due now.
+func (p *Pool) NextDeadline(_ time.Time) time.Time {
+	return p.nextDeadline
 }
 
-// Knows tells whether this life of a router has sent a full report. A host
-// asks a router that it does not know for everything it has.
-func (p *Pool) Knows(id RouterID) bool {
+// HasFullReport reports whether this incarnation of a router has sent a full
+// report. If it has not, the host requests one from the router.
+func (p *Pool) HasFullReport(id RouterID) bool {
 	known := p.routers[id.Name]
-	return known != nil && known.id == id && known.known && !known.gone
+	return known != nil && known.id == id && known.reportedFull && !known.gone
 }
 
-func (p *Pool) configured(now time.Time, rules Rules) {
+// applyRules puts new rules into force for all workspaces and endpoints.
+func (p *Pool) applyRules(now time.Time, rules Rules) {
 	p.rules = rules
-	for _, w := range p.order {
-		p.bind(w)
+	for _, w := range p.workspaceList {
+		p.bindRules(w)
 		p.reprice(w)
 	}
-	for _, e := range p.seats {
+	for _, e := range p.endpointsByIndex {
 		if e != nil {
 			e.draining = rules != nil && rules.Draining(e.id, e.labels)
-			p.count(now, e)
+			p.recount(now, e)
 		}
 	}
 	p.regroup = true
--- a/lib/scheduler/probation.go
+++ b/lib/scheduler/probation.go
@@ -4,70 +4,72 @@
 
 // Limits of probation.
 const (
-	probationFirst = 250 * time.Millisecond
-	probationMost  = 30 * time.Second
-	// cutsInRow and refusalsInRow are how many such endings without a success
-	// between them put an endpoint on probation. One cut may be the fault of
-	// the request.
-	cutsInRow     = 3
-	refusalsInRow = 2
+	minProbation = 250 * time.Millisecond
+	maxProbation = 30 * time.Second
+	// cutThreshold and refusalThreshold are how many of these endings without a
+	// success in between put an endpoint on probation. A single cut may be the
+	// fault of the request.
+	cutThreshold     = 3
+	refusalThreshold = 2
 )
 
-// probation keeps work from an endpoint that fails: none for a time that
-// doubles with each failure, then one request at a time until one succeeds.
-// Without it, an endpoint that fails at once looks idle and draws every request
-// of the pool into failing. One that asks for backoff gets none for as long as it
-// wants, whatever its earlier requests still show.
+// probation keeps work away from an endpoint that fails: it receives no request
+// for a time that doubles with each failure, then one at a time until one
+// succeeds. Without it, an endpoint that fails immediately would appear idle
+// and attract every request of the pool. An endpoint that asks for backoff
+// receives no request for that time, whatever the outcome of its earlier
+// requests.
 type probation struct {
-	failures int
-	until    time.Time
-	backoff  time.Time // end of the backoff that it has asked for
-	probing  bool
-	cuts     int
-	refusals int
+	failures     int       // counted failures since the last success
+	blockedUntil time.Time // end of the period without requests
+	backoffUntil time.Time // end of the backoff that the endpoint asked for
+	probing      bool      // one request at a time until one succeeds
+	cuts         int       // endings Failed since the last success
+	refusals     int       // endings Refused since the last success
 }
 
-// fail counts a failure. Those that arrive while the endpoint is already kept
-// free of work were sent before, and say nothing new.
+// fail counts a failure. Failures during a blocked period are ignored: their
+// requests were sent before it and carry no new information.
 func (p *probation) fail(now time.Time) {
-	if now.Before(p.until) {
+	if now.Before(p.blockedUntil) {
 		return
 	}
-	wait := probationMost
+	wait := maxProbation
 	if p.failures < 7 {
-		wait = min(wait, probationFirst<<p.failures)
+		wait = min(wait, minProbation<<p.failures)
 	}
 	p.failures++
-	p.until = now.Add(wait)
+	p.blockedUntil = now.Add(wait)
 	p.probing = true
 }
 
+// succeed ends probation after a completed request, but not a requested backoff.
 func (p *probation) succeed() {
-	*p = probation{backoff: p.backoff}
+	*p = probation{backoffUntil: p.backoffUntil}
 }
 
-// backOff keeps all requests away until a time, as the endpoint asked.
+// backOff blocks all requests until the given time, as the endpoint asked.
 func (p *probation) backOff(until time.Time) {
-	if until.After(p.backoff) {
-		p.backoff = until
+	if until.After(p.backoffUntil) {
+		p.backoffUntil = until
 	}
 }
 
-// opens returns when the endpoint gets a request again.
-func (p *probation) opens() time.Time {
-	if p.backoff.After(p.until) {
-		return p.backoff
+// reopensAt returns when the endpoint may receive requests again.
+func (p *probation) reopensAt() time.Time {
+	if p.backoffUntil.After(p.blockedUntil) {
+		return p.backoffUntil
 	}
-	return p.until
+	return p.blockedUntil
 }
 
-// closed tells whether the endpoint gets no request at all.
+// closed reports whether the endpoint may receive no request at all.
 func (p *probation) closed(now time.Time) bool {
-	return now.Before(p.opens())
+	return now.Before(p.reopensAt())
 }
 
-// end takes in how a request ended there.
-func (p *probation) end(now time.Time, ending Ending) {
+// observe records how a request at the endpoint ended.
+func (p *probation) observe(now time.Time, ending Ending) {
 	switch ending {
 	case Done:
 		p.succeed()
@@ -75,12 +77,12 @@
 		p.fail(now)
 	case Refused:
 		p.refusals++
-		if p.probing || p.refusals >= refusalsInRow {
+		if p.probing || p.refusals >= refusalThreshold {
 			p.fail(now)
 		}
 	case Failed:
 		p.cuts++
-		if p.probing || p.cuts >= cutsInRow {
+		if p.probing || p.cuts >= cutThreshold {
 			p.fail(now)
 		}
 	case Cancelled, Declined:
--- a/lib/scheduler/report.go
+++ b/lib/scheduler/report.go
@@ -7,31 +7,33 @@
 	"time"
 )
 
-// grantGrace is how long a grant may be on its way. A router that lists a
-// granted request as waiting before that has yet to get the grant; after it the
-// grant was lost, and the request needs another.
+// grantGrace is how long a grant may be in transit. If a router lists a granted
+// request as waiting within this time, the grant has not arrived yet; after it,
+// the grant was lost and the request needs another.
 const grantGrace = 2 * time.Second
 
-// ReasonFull refuses a ticket because the pool holds as many as it may.
+// ReasonFull refuses a ticket because the pool already holds Options.MaxWaiting
+// tickets.
 const ReasonFull = "queue_full"
 
-// report takes a router's news in.
-func (p *Pool) report(now time.Time, report Report) {
+// applyReport processes a router's report.
+func (p *Pool) applyReport(now time.Time, report Report) {
 	from := p.router(now, report.Router)
 	if from == nil {
 		return
 	}
-	p.reports++
-	from.known = from.known || report.Full
-	// Endings come first: they free the slots that the rest may need.
+	p.reportNumber++
+	from.reportedFull = from.reportedFull || report.Full
+	// Endings are processed first because they free slots that the rest may
+	// need.
 	for _, finish := range report.Finished {
-		p.finish(now, from, finish)
+		p.applyFinish(now, from, finish)
 	}
 	for _, running := range report.Running {
 		p.enrolRunning(now, from, running)
 	}
 	for _, progress := range report.Progress {
-		p.progress(now, from, progress)
+		p.applyProgress(now, from, progress)
 	}
 	for i := range report.Tickets {
 		p.enrol(now, from, &report.Tickets[i])
@@ -41,8 +43,10 @@
 	}
 }
 
-// router returns that life of a router, nil for one that is over. A restarted
-// router has no memory: whatever its former life waited for or ran is gone.
+// router returns the state of this incarnation of a router and creates it if
+// necessary. It returns nil for a superseded incarnation or if there are too
+// many routers. A restarted router has lost its state, so the requests of its
+// former incarnation are dropped.
 func (p *Pool) router(now time.Time, id RouterID) *router {
 	known := p.routers[id.Name]
 	if known != nil && id.Incarnation < known.id.Incarnation {
@@ -63,10 +67,11 @@
 		known.requests = make(map[uint64]*request)
 	}
 	known.gone = false
-	known.heard = now
+	known.lastSeen = now
 	return known
 }
 
+// routerGone drops the requests of a router whose lease has expired.
 func (p *Pool) routerGone(now time.Time, id RouterID) {
 	known := p.routers[id.Name]
 	if known == nil || known.id != id {
@@ -74,56 +79,59 @@
 	}
 	p.dropRequests(now, known)
 	known.gone = true
-	known.known = false
-	known.heard = now
-	p.wake(now.Add(routerMemory + 1))
+	known.reportedFull = false
+	known.lastSeen = now
+	p.addDeadline(now.Add(routerRetention + 1))
 }
 
+// dropRequests drops all requests of a router, in order, so that the result is
+// deterministic.
 func (p *Pool) dropRequests(now time.Time, from *router) {
 	for _, seq := range slices.Sorted(maps.Keys(from.requests)) {
-		p.drop(now, from.requests[seq])
+		p.dropRequest(now, from.requests[seq])
 	}
 	from.requests = nil
 }
 
+// dropUnlisted drops the requests that the current full report did not list.
 func (p *Pool) dropUnlisted(now time.Time, from *router) {
 	for _, seq := range slices.Sorted(maps.Keys(from.requests)) {
-		if r := from.requests[seq]; r.mark != p.reports {
-			p.drop(now, r)
+		if r := from.requests[seq]; r.reportNumber != p.reportNumber {
+			p.dropRequest(now, r)
 		}
 	}
 }
 
-// drop forgets a request, waiting or running.
-func (p *Pool) drop(now time.Time, r *request) {
+// dropRequest drops a request, waiting or running.
+func (p *Pool) dropRequest(now time.Time, r *request) {
 	if r.running {
-		p.release(now, r)
+		p.releaseRequest(now, r)
 		return
 	}
 	p.dropTicket(r)
 }
 
-// enrol takes a ticket in, or one that is known already.
+// enrol adds a ticket, or processes the repetition of a known one.
 func (p *Pool) enrol(now time.Time, from *router, t *Ticket) {
 	if r := from.requests[t.Seq]; r != nil {
-		r.mark = p.reports
-		if r.running && !r.heard && now.Sub(r.granted) >= grantGrace {
+		r.reportNumber = p.reportNumber
+		if r.running && !r.confirmed && now.Sub(r.granted) >= grantGrace {
 			p.requeue(now, r)
 		}
 		return
 	}
 	if p.waiting >= p.options.MaxWaiting {
-		p.act(Refusal{Request: RequestID{Router: from.id, Seq: t.Seq}, Reason: ReasonFull, Retry: p.options.NoEndpointAfter})
+		p.emit(Refusal{Request: RequestID{Router: from.id, Seq: t.Seq}, Reason: ReasonFull, Retry: p.options.NoEndpointAfter})
 		return
 	}
 	r := &request{
-		seq: t.Seq, router: from, arrived: now, mark: p.reports,
+		seq: t.Seq, router: from, arrived: now, reportNumber: p.reportNumber,
 		hint: t.Hint, prompt: t.Prompt, prefix: t.Prefix,
 	}
 	w := p.workspace(t.Workspace)
-	// A ticket older than this pool was backlogged before: its workspace keeps
-	// what it was owed.
-	if w.waiting == 0 && !now.Add(-t.Waited).Before(p.started) {
+	// A ticket older than this pool was already backlogged under the former
+	// scheduler, so its workspace keeps its credit and is not lifted.
+	if w.waiting == 0 && !now.Add(-t.Waited).Before(p.startedAt) {
 		p.lift(w)
 	}
 	if w.waiting == 0 {
@@ -137,9 +145,10 @@
 	return laneKey{model: t.Model, alone: t.Alone, avoid: strings.Join(t.Avoid, "\x00")}
 }
 
+// queue appends a request to a lane.
 func (p *Pool) queue(now time.Time, l *lane, r *request) {
-	p.arrivals++
-	r.order = p.arrivals
+	p.arrivalNumber++
+	r.arrivalNumber = p.arrivalNumber
 	l.push(r)
 	l.workspace.waiting++
 	p.waiting++
@@ -154,28 +163,28 @@
 	p.queue(now, l, r)
 }
 
-// dropTicket forgets a waiting request.
+// dropTicket drops a waiting request.
 func (p *Pool) dropTicket(r *request) {
 	l := r.lane
 	p.unqueue(l, r)
 	delete(r.router.requests, r.seq)
-	p.retire(l)
+	p.deactivate(l)
 }
 
-// unqueue takes a request out of its lane.
+// unqueue removes a request from its lane.
 func (p *Pool) unqueue(l *lane, r *request) {
 	l.unlink(r)
 	l.workspace.waiting--
 	p.waiting--
-	l.settle()
+	l.updateHeap()
 }
 
-// enrolRunning takes in a request that another scheduler granted.
+// enrolRunning adds a running request that another scheduler granted.
 func (p *Pool) enrolRunning(now time.Time, from *router, running Running) {
 	if r := from.requests[running.Seq]; r != nil {
-		r.mark = p.reports
+		r.reportNumber = p.reportNumber
 		if r.running {
-			r.heard = true
+			r.confirmed = true
 			p.charge(now, r, running.Charged)
 			return
 		}
@@ -184,19 +193,19 @@
 	w := p.workspace(running.Workspace)
 	l := p.lane(w, laneKey{model: running.Model}, nil)
 	r := &request{
-		seq: running.Seq, router: from, lane: l, arrived: now, granted: now, mark: p.reports,
-		running: true, heard: true, target: running.Endpoint,
-		baseline: uint64(running.Charged), used: uint64(running.Charged),
+		seq: running.Seq, router: from, lane: l, arrived: now, granted: now, reportNumber: p.reportNumber,
+		running: true, confirmed: true, target: running.Endpoint,
+		inheritedUnits: uint64(running.Charged), used: uint64(running.Charged),
 	}
 	r.estimate = max(uint64(l.record.Estimate(0)), r.used)
 	from.requests[r.seq] = r
-	p.start(r)
-	p.place(now, r)
+	p.countRunning(r)
+	p.attachRunning(now, r)
 	p.reprice(w)
 }
 
-// place counts a request at the endpoint that its router named.
-func (p *Pool) place(now time.Time, r *request) {
+// attachRunning counts a request at the endpoint that its router named.
+func (p *Pool) attachRunning(now time.Time, r *request) {
 	e := p.endpoints[r.target]
 	if e == nil {
 		p.unplaced[r.target] = append(p.unplaced[r.target], r)
@@ -205,31 +214,32 @@
 	r.endpoint = e
 	e.foreign = max(0, e.foreign-1)
 	e.occupy(now, r.lane.key.alone)
-	p.wake(now.Add(e.patience(p.options)))
-	p.count(now, e)
+	p.addDeadline(now.Add(e.hangTimeout(p.options)))
+	p.recount(now, e)
 }
 
-// start counts a request as running.
-func (p *Pool) start(r *request) {
+// countRunning counts a request as running.
+func (p *Pool) countRunning(r *request) {
 	w := r.lane.workspace
 	w.running++
 	w.reserved += r.reserved()
 	p.running++
-	p.notePeak(w)
+	p.updatePeaks(w)
 }
 
-// progress charges what a request has used since the last news of it.
-func (p *Pool) progress(now time.Time, from *router, progress Progress) {
+// applyProgress charges the units that a request has used since the last
+// report.
+func (p *Pool) applyProgress(now time.Time, from *router, progress Progress) {
 	r := from.requests[progress.Seq]
 	if r == nil || !r.running {
 		return
 	}
-	r.heard = true
+	r.confirmed = true
 	p.charge(now, r, progress.Charged)
 }
 
-// charge brings the request's charge up to the units used in all. An older
-// number than the last is late news and changes nothing.
+// charge raises the request's charge to the total units used. A total that does
+// not exceed the last one comes from a delayed report and is ignored.
 func (p *Pool) charge(now time.Time, r *request, units uint32) {
 	if units == 0 {
 		return
@@ -242,20 +252,20 @@
 	w.reserved -= r.reserved()
 	w.account.Charge(total - r.used)
 	r.used = total
-	p.largest = max(p.largest, float64(total))
+	p.maxRequestCost = max(p.maxRequestCost, float64(total))
 	w.reserved += r.reserved()
 	p.reprice(w)
 	if e := r.endpoint; e != nil {
 		hung := e.hung
-		e.signal(now)
+		e.noteProgress(now)
 		if hung && !e.gone {
-			p.count(now, e)
+			p.recount(now, e)
 		}
 	}
 }
 
-// finish ends an attempt, or takes a waiting ticket back.
-func (p *Pool) finish(now time.Time, from *router, finish Finish) {
+// applyFinish ends an attempt, or withdraws a waiting ticket.
+func (p *Pool) applyFinish(now time.Time, from *router, finish Finish) {
 	r := from.requests[finish.Seq]
 	if r == nil {
 		return
@@ -265,58 +275,59 @@
 		return
 	}
 	p.charge(now, r, finish.Charged)
-	p.learn(now, r, finish)
-	r.well = finish.Ending == Done || finish.Ending == Cancelled
-	p.release(now, r)
+	p.learnFromEnding(now, r, finish)
+	r.slotReusable = finish.Ending == Done || finish.Ending == Cancelled
+	p.releaseRequest(now, r)
 }
 
-// learn lets the ending teach what it can about cost and about the endpoint.
-func (p *Pool) learn(now time.Time, r *request, finish Finish) {
-	if finish.Ending == Done && r.baseline == 0 {
+// learnFromEnding updates the cost estimate and the endpoint's state from the
+// ending of an attempt.
+func (p *Pool) learnFromEnding(now time.Time, r *request, finish Finish) {
+	if finish.Ending == Done && r.inheritedUnits == 0 {
 		r.lane.record.Learn(r.hint, finish.Charged)
 	}
 	e := r.endpoint
 	if e == nil || e.gone {
 		return
 	}
-	e.probation.end(now, finish.Ending)
+	e.probation.observe(now, finish.Ending)
 	if finish.Backoff > 0 {
 		e.probation.backOff(now.Add(finish.Backoff))
 	}
 	e.leaving = e.leaving || finish.Leaving
 	switch finish.Ending {
 	case Done:
-		e.signal(now)
-		e.finished(r, finish, p.options.Plain)
+		e.noteProgress(now)
+		e.observeFinish(r, finish, p.options.Plain)
 	case Refused:
 		e.throttle.Refused()
 	case Cancelled, Failed, Unreachable, Declined:
 	}
 	if e.probation.closed(now) {
-		p.wake(e.probation.opens())
+		p.addDeadline(e.probation.reopensAt())
 	}
 }
 
-// declined takes grants back that came for requests that no longer wait.
-func (p *Pool) declined(now time.Time, declinations Declinations) {
+// applyDeclinations takes back grants for requests that are no longer waiting.
+func (p *Pool) applyDeclinations(now time.Time, declinations Declinations) {
 	from := p.routers[declinations.Router.Name]
 	if from == nil || from.id != declinations.Router {
 		return
 	}
 	for _, seq := range declinations.Seqs {
 		if r := from.requests[seq]; r != nil && r.running && r.used == 0 {
-			p.release(now, r)
+			p.releaseRequest(now, r)
 		}
 	}
 }
 
-// release forgets a running request and frees its slot. What its estimate
-// reserved and it did not use is given back to its workspace.
-func (p *Pool) release(now time.Time, r *request) {
+// releaseRequest removes a running request and frees its slot. The unused part of its
+// reservation is returned to its workspace.
+func (p *Pool) releaseRequest(now time.Time, r *request) {
 	p.vacate(now, r)
 	delete(r.router.requests, r.seq)
 	p.reprice(r.lane.workspace)
-	p.retire(r.lane)
+	p.deactivate(r.lane)
 }
 
 // vacate frees the slot of a running request.
@@ -327,32 +338,33 @@
 	p.running--
 	r.running = false
 	if r.loan != nil {
-		p.leave(now, r.loan, r.well)
+		p.vacateBorrowing(now, r.loan, r.slotReusable)
 		r.loan = nil
 	}
 	if e := r.endpoint; e != nil {
 		r.endpoint = nil
 		e.vacate(now, r.lane.key.alone)
 		if e.probation.closed(now) {
-			p.wake(e.probation.opens())
+			p.addDeadline(e.probation.reopensAt())
 		}
 		if !e.gone {
-			p.count(now, e)
+			p.recount(now, e)
 		}
 		return
 	}
-	p.forgetUnplaced(r)
+	p.removeUnplaced(r)
 }
 
-func (p *Pool) forgetUnplaced(r *request) {
-	waiting := p.unplaced[r.target]
-	at := slices.Index(waiting, r)
-	if at < 0 {
+// removeUnplaced removes a request from those whose endpoint is unknown.
+func (p *Pool) removeUnplaced(r *request) {
+	requests := p.unplaced[r.target]
+	index := slices.Index(requests, r)
+	if index < 0 {
 		return
 	}
-	if len(waiting) == 1 {
+	if len(requests) == 1 {
 		delete(p.unplaced, r.target)
 		return
 	}
-	p.unplaced[r.target] = slices.Delete(waiting, at, at+1)
+	p.unplaced[r.target] = slices.Delete(requests, index, index+1)
 }
--- a/lib/scheduler/request.go
+++ b/lib/scheduler/request.go
@@ -4,32 +4,32 @@
 
 // request is one ticket, waiting or running.
 type request struct {
-	seq      uint64
-	router   *router
-	lane     *lane
-	previous *request
-	next     *request
-	order    uint64 // of arrival at this pool
-	arrived  time.Time
-	hint     uint32
-	prompt   uint32
-	prefix   uint64
+	seq           uint64
+	router        *router
+	lane          *lane
+	previous      *request
+	next          *request
+	arrivalNumber uint64 // position in the order of arrival at this pool
+	arrived       time.Time
+	hint          uint32
+	prompt        uint32
+	prefix        uint64
 
-	running  bool
-	granted  time.Time
-	heard    bool      // its router has confirmed that it runs
-	full     bool      // the window was the limit when it was granted
-	endpoint *endpoint // nil with a loan, or while the endpoint is not known
-	target   string    // endpoint id
-	loan     *borrowing
-	well     bool   // it ended so that its borrowed slot may be used again
-	estimate uint64 // units reserved at dispatch, prompt included
-	used     uint64 // units charged so far, prompt included
-	baseline uint64 // units that another scheduler charged
-	mark     uint64 // of the last full report that listed it
+	running        bool
+	granted        time.Time
+	confirmed      bool      // the router has confirmed that the request runs
+	windowFull     bool      // the grant took the endpoint's last free slot
+	endpoint       *endpoint // nil if it runs in a borrowed slot or its endpoint is unknown
+	target         string    // endpoint ID
+	loan           *borrowing
+	slotReusable   bool   // its ending allows reuse of its borrowed slot
+	estimate       uint64 // units reserved at dispatch, including the prompt
+	used           uint64 // units charged so far, including the prompt
+	inheritedUnits uint64 // units that another scheduler charged
+	reportNumber   uint64 // number of the last report that listed it
 }
 
-// reserved is what is left of the estimate, in units.
+// reserved returns the uncharged part of the estimate, in units.
 func (r *request) reserved() uint64 {
 	if !r.running || r.used >= r.estimate {
 		return 0
@@ -41,11 +41,11 @@
 	return RequestID{Router: r.router.id, Seq: r.seq}
 }
 
-// router is one life of a router as this pool knows it.
+// router is one incarnation of a router as known to this pool.
 type router struct {
-	id       RouterID
-	known    bool // a full report has come
-	gone     bool
-	heard    time.Time
-	requests map[uint64]*request
+	id           RouterID
+	reportedFull bool // a full report has been received
+	gone         bool
+	lastSeen     time.Time
+	requests     map[uint64]*request
 }
--- a/lib/scheduler/stats.go
+++ b/lib/scheduler/stats.go
@@ -6,26 +6,30 @@
 	"time"
 )
 
-// Stats is what a pool tells status pages and explanations.
+// Stats is the state of a pool for status pages and explanations.
 type Stats struct {
 	Zone    string
 	Service string
 	Origin  uint64
-	Waiting int // tickets
-	Running int // requests holding a slot here or a loan
-	// Workspaces is sorted by name and leaves out those that never had work here.
+	Waiting int // number of tickets
+	Running int // number of requests holding a local or a borrowed slot
+	// Workspaces is sorted by name and contains only workspaces that have had
+	// work here.
 	Workspaces []WorkspaceStats
-	// Endpoints is sorted by id.
+	// Endpoints is sorted by ID.
 	Endpoints []EndpointStats
-	// Gap is the largest difference of settled counters, in units by weight,
-	// between two workspaces that both wait and reach a common endpoint.
+	// Gap is the largest difference of counters between two workspaces that both
+	// wait and share an eligible endpoint, in units by weight and without the
+	// estimates of work in flight.
 	Gap float64
-	// Bound is what the formula of docs/FAIRNESS.md allows for Gap now.
+	// Bound is the current upper bound of Gap by the formula of
+	// docs/FAIRNESS.md.
 	Bound float64
-	// Utilisation is the slots in use over the slots that may be used, now.
+	// Utilisation is the current ratio of used to usable slots.
 	Utilisation float64
-	// Busy and Usable are slot-time since the pool began; their quotient over
-	// an interval is the utilisation in that interval.
+	// Busy and Usable are the integrals of used and usable slots over time
+	// since the pool started. The ratio of their increases over an interval is
+	// the utilisation in that interval.
 	Busy   time.Duration
 	Usable time.Duration
 	// Lent and Borrowed count loans that are in use.
@@ -35,55 +39,57 @@
 	Held int
 }
 
-// WorkspaceStats is one workspace at a pool.
+// WorkspaceStats is the state of one workspace at a pool.
 type WorkspaceStats struct {
 	Workspace string
 	Weight    float64
 	Waiting   int
 	Running   int
-	// Charged is the units that this pool charged in its life.
+	// Charged is the units that this pool has charged since it started.
 	Charged uint64
-	// Counter is the settled service counter: units by weight, of the whole
-	// fleet as far as it is known here.
+	// Counter is the service counter without Reserved: units by weight over the whole
+	// fleet, as far as known here.
 	Counter float64
-	// Reserved is the estimated units in flight that are not yet charged.
+	// Reserved is the estimated units in flight that have not been charged yet.
 	Reserved uint64
-	// Oldest is how long the oldest ticket has waited.
+	// Oldest is the waiting time of the oldest ticket.
 	Oldest time.Duration
 }
 
-// EndpointStats is one endpoint of a pool.
+// EndpointStats is the state of one endpoint of a pool.
 type EndpointStats struct {
 	Endpoint    string
 	Incarnation uint64
-	Slots       int // announced
+	Slots       int // as announced
 	Window      int // requests allowed at once, at most Slots
-	Limit       int // requests allowed now: Window, less while it fails or leaves
+	Limit       int // requests allowed now: Window, or less while the endpoint fails or leaves
 	Busy        int // own requests, loans and holds
-	Foreign     int // requests there that this pool did not send, by report
+	Foreign     int // requests that this pool did not send, as reported
 	Draining    bool
 	Leaving     bool
 	Hung        bool
-	// Probation is how long the endpoint gets no request after failures.
+	// Probation is the remaining time for which the endpoint receives no
+	// request because of failures or a requested backoff.
 	Probation time.Duration
 }
 
-// Stats describes the pool. It walks everything and is meant for status pages.
+// Stats returns the state of the pool. It iterates over all workspaces, lanes
+// and endpoints and is meant for status pages.
 func (p *Pool) Stats(now time.Time) Stats {
 	stats := Stats{
 		Zone: p.options.Zone, Service: p.options.Service, Origin: p.options.Origin,
 		Waiting: p.waiting, Running: p.running,
 		Gap: p.gap(), Bound: p.bound(),
 		Busy: p.busyTime, Usable: p.usableTime,
-		Lent: len(p.loanList), Borrowed: len(p.borrowings), Held: p.held,
+		Lent: len(p.loanList), Borrowed: len(p.borrowings), Held: p.heldSlots,
 	}
-	if p.usable > 0 {
-		stats.Utilisation = float64(p.busy) / float64(p.usable)
+	if p.usableSlots > 0 {
+		stats.Utilisation = float64(p.busySlots) / float64(p.usableSlots)
 	}
-	for _, w := range p.order {
+	for _, w := range p.workspaceList {
 		stats.Workspaces = append(stats.Workspaces, w.stats(now))
 	}
-	for _, e := range p.seats {
+	for _, e := range p.endpointsByIndex {
 		if e != nil {
 			stats.Endpoints = append(stats.Endpoints, e.stats(now))
 		}
@@ -111,59 +117,61 @@
 		Endpoint: e.id, Incarnation: e.incarnation,
 		Slots: e.throttle.Slots(), Window: e.throttle.Window(), Limit: e.limit(now), Busy: e.busy(), Foreign: e.foreign,
 		Draining: e.draining, Leaving: e.leaving, Hung: e.hung,
-		Probation: max(0, e.probation.opens().Sub(now)),
+		Probation: max(0, e.probation.reopensAt().Sub(now)),
 	}
 }
 
-// span is the smallest and the largest counter of a group's workspaces.
-type span struct {
-	group       *group
-	least, most float64
-	some        bool
+// counterRange is the smallest and the largest counter of a group's workspaces.
+type counterRange struct {
+	group             *group
+	smallest, largest float64
+	found             bool
 }
 
 // gap returns the largest difference of counters between two workspaces that
-// both wait and whose endpoints have one in common.
+// both wait and share an endpoint.
 func (p *Pool) gap() float64 {
-	spans := p.spans()
+	ranges := p.counterRanges()
 	largest := 0.0
-	for i, a := range spans {
-		for _, b := range spans[i:] {
-			if a.group.set.intersects(b.group.set) {
-				largest = max(largest, a.most-b.least, b.most-a.least)
+	for i, a := range ranges {
+		for _, b := range ranges[i:] {
+			if a.group.endpoints.intersects(b.group.endpoints) {
+				largest = max(largest, a.largest-b.smallest, b.largest-a.smallest)
 			}
 		}
 	}
 	return largest
 }
 
-func (p *Pool) spans() []span {
-	var spans []span
+// counterRanges returns the range of each group with a local waiting workspace.
+func (p *Pool) counterRanges() []counterRange {
+	var ranges []counterRange
 	for _, g := range p.groupList {
-		s := span{group: g}
+		s := counterRange{group: g}
 		for _, l := range g.lanes {
 			if l.remote() {
 				continue
 			}
 			counter := l.workspace.account.Counter()
-			if !s.some || counter < s.least {
-				s.least = counter
+			if !s.found || counter < s.smallest {
+				s.smallest = counter
 			}
-			if !s.some || counter > s.most {
-				s.most = counter
+			if !s.found || counter > s.largest {
+				s.largest = counter
 			}
-			s.some = true
+			s.found = true
 		}
-		if s.some {
-			spans = append(spans, s)
+		if s.found {
+			ranges = append(ranges, s)
 		}
 	}
-	return spans
+	return ranges
 }
 
-// bound is the formula of docs/FAIRNESS.md with what was seen lately: the
-// estimates that one workspace had in flight, the most that its requests in
-// flight can still cost, and what one exchange between zones brings.
+// bound applies the formula of docs/FAIRNESS.md to recent peaks: the estimated
+// units that one workspace had in flight, the maximum further cost of its
+// requests in flight, and the change of a counter by one exchange between
+// zones.
 func (p *Pool) bound() float64 {
-	return p.peakInFlight + p.peakRunning*p.largest + p.peakJump
+	return p.peakInFlight + p.peakRunning*p.maxRequestCost + p.peakJump
 }
--- a/lib/scheduler/usage.go
+++ b/lib/scheduler/usage.go
@@ -1,6 +1,7 @@
 package scheduler
 
-// Usage is the work of a pool by model, for deciding which models to load where.
+// Usage is the work of a pool by model, from which the host decides which
+// models to load where.
 type Usage struct {
 	Models    map[string]ModelUsage
 	Endpoints map[string]EndpointUsage
@@ -9,19 +10,19 @@
 // ModelUsage counts the requests for one model that this pool schedules.
 type ModelUsage struct {
 	Waiting int
-	Running int // also at other zones' endpoints
+	Running int // including those at endpoints of other zones
 }
 
-// EndpointUsage is what runs at one endpoint.
+// EndpointUsage is the work running at one endpoint.
 type EndpointUsage struct {
-	Models  map[string]int // requests, and slots lent for a model
-	Foreign int            // requests there that this pool did not send, by report
+	Models  map[string]int // requests and lent slots by model
+	Foreign int            // requests that this pool did not send, as reported
 }
 
-// Usage returns the work by model. It walks all requests.
+// Usage returns the work by model. It iterates over all requests.
 func (p *Pool) Usage() Usage {
 	usage := Usage{Models: make(map[string]ModelUsage), Endpoints: make(map[string]EndpointUsage)}
-	for _, e := range p.seats {
+	for _, e := range p.endpointsByIndex {
 		if e != nil {
 			usage.Endpoints[e.id] = EndpointUsage{Models: make(map[string]int), Foreign: e.foreign}
 		}
--- a/lib/scheduler/world_test.go
+++ b/lib/scheduler/world_test.go
@@ -245,7 +245,7 @@
 	}
 	w.mail = append(w.mail, parcel{
 		from: s, to: answer.from, life: answer.asker, asked: answer.asked,
-		event: scheduler.Lent{Zone: s.name, Origin: s.origin, Loans: lend.Loans, Asked: answer.asked},
+		event: scheduler.Lent{Zone: s.name, Origin: s.origin, Loans: lend.Loans, RequestedAt: answer.asked},
 	})
 }
 
--- a/router/internal/conductor/compare.go
+++ b/router/internal/conductor/compare.go
@@ -49,7 +49,7 @@
 		}
 		c.compareOne(now, h)
 		// The pool knows what its exchange costs; the setting is the least pause.
-		h.compareAt = now.Add(max(c.options.Compare, h.desk.Pool.CompareAfter(now, zones, len(c.pools))))
+		h.compareAt = now.Add(max(c.options.Compare, h.desk.Pool.CompareInterval(now, zones, len(c.pools))))
 	}
 }
 
@@ -101,7 +101,7 @@
 			c.join(now, h, answer)
 		}
 		h.desk.Apply(now, scheduler.Lent{
-			Zone: zone, Origin: answer.GetOrigin(), Idle: int(answer.GetIdle()), Asked: asked,
+			Zone: zone, Origin: answer.GetOrigin(), Idle: int(answer.GetIdle()), RequestedAt: asked,
 			Totals: decodeTotals(answer.GetNames(), answer.GetTotals()), Loans: decodeLoans(answer),
 		})
 	})
--- a/router/internal/conductor/hosted.go
+++ b/router/internal/conductor/hosted.go
@@ -102,12 +102,12 @@
 // stepPools lets the pools' time pass and sends their grants.
 func (c *Conductor) stepPools(now time.Time) (next time.Time) {
 	for _, h := range c.pools {
-		due := h.desk.Pool.Next(now)
+		due := h.desk.Pool.NextDeadline(now)
 		if !due.IsZero() && !due.After(now) {
 			if now.Sub(h.ticked) >= tickPause {
 				h.ticked = now
 				h.desk.Apply(now, scheduler.Tick{})
-				due = h.desk.Pool.Next(now)
+				due = h.desk.Pool.NextDeadline(now)
 			}
 			if !due.IsZero() && !due.After(now) {
 				due = h.ticked.Add(tickPause)
