--- a/lib/enlister/names.go
+++ b/lib/enlister/codec.go
@@ -8,10 +8,11 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// maxNames bounds a session's table of names. A router starts a new session
-// before its table outgrows it; names are bounded to 128 bytes each.
+// maxNames is the largest number of entries in a session's name table. A new session
+// starts when a table is half full. Names are at most 128 bytes each.
 const maxNames = 4096
 
+// milliseconds returns d in whole milliseconds, limited to what a message carries.
 func milliseconds(d time.Duration) uint32 {
 	return uint32(min(max(d.Milliseconds(), 0), 1<<31))
 }
@@ -56,8 +57,8 @@
 	}
 }
 
-// report is a batch as the pool understands it.
-func report(r *interner.Reader, router scheduler.RouterID, request *messenger.ExchangeRequest) scheduler.Report {
+// decodeReport converts a router's batch to the pool's event.
+func decodeReport(r *interner.Reader, router scheduler.RouterID, request *messenger.ExchangeRequest) scheduler.Report {
 	decoded := scheduler.Report{Router: router, Full: request.GetFull()}
 	for _, t := range request.GetTickets() {
 		decoded.Tickets = append(decoded.Tickets, decodeTicket(r, t))
--- a/lib/scheduler/bench_test.go
+++ b/lib/scheduler/bench_test.go
@@ -9,14 +9,14 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// benchPool is a pool at the size of the target: 320 workspaces, 23 endpoints,
-// 410 routers, of whose requests some thousands wait.
+// benchPool returns a pool of the target size, with 320 workspaces and 23 endpoints,
+// and a number of enrolled requests: in a fleet of 410 routers some thousands wait.
 func benchPool(b *testing.B, waiting int, denied map[string]bool) (*scheduler.Pool, []scheduler.Grant, func(i int) scheduler.Ticket, scheduler.RouterID) {
 	b.Helper()
 	pool := scheduler.New(scheduler.Options{Zone: "trento-a", Service: "modelli", Origin: 1})
-	pool.Apply(zero, scheduler.Configured{Rules: rules{denied: denied}})
+	pool.Apply(testStart, scheduler.Configured{Rules: rules{denied: denied}})
 	for i := range 23 {
-		pool.Apply(zero, scheduler.Announced{
+		pool.Apply(testStart, scheduler.Announced{
 			ID: fmt.Sprintf("worker-%02d", i), Incarnation: 1, Slots: 16, TTL: 24 * time.Hour, Models: []string{"draft"},
 			Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(9000+i)),
 		})
@@ -31,14 +31,14 @@
 	router := scheduler.RouterID{Name: "router-001", Incarnation: 1}
 	var grants []scheduler.Grant
 	for i := range waiting {
-		for _, action := range pool.Apply(zero, scheduler.Report{Router: router, Tickets: []scheduler.Ticket{ticket(i)}}) {
+		for _, action := range pool.Apply(testStart, scheduler.Report{Router: router, Tickets: []scheduler.Ticket{ticket(i)}}) {
 			grants = append(grants, action.(scheduler.Grant))
 		}
 	}
 	return pool, grants, ticket, router
 }
 
-// BenchmarkRequest is one request's whole life: ticket, grant, two reports of
+// BenchmarkRequest measures the lifecycle of one request: ticket, grant, two reports of
 // progress, ending.
 func BenchmarkRequest(b *testing.B) {
 	denied := make(map[string]bool)
@@ -60,7 +60,7 @@
 	for name, test := range tests {
 		b.Run(name, func(b *testing.B) {
 			pool, running, ticket, router := benchPool(b, test.waiting, test.denied)
-			now, next := zero, test.waiting
+			now, next := testStart, test.waiting
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
--- a/lib/scheduler/failure_test.go
+++ b/lib/scheduler/failure_test.go
@@ -9,24 +9,24 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// Symptom: every request of a pool fails. Sequence: an endpoint dies but its
-// lease lasts on; connections to it fail at once. Cause: an endpoint that fails
-// at once always has room and draws all work.
-func TestUnreachableEndpointIsLeftAloneLongerEachTime(t *testing.T) {
+// Guards against a pool in which every request fails: an endpoint is dead but its lease
+// has not ended, connections to it fail at once, and so it always has free slots and
+// attracts all requests.
+func TestUnreachableEndpointBackoffGrows(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 4, TTL: time.Hour})
 	m.enrol(router1, scheduler.Ticket{Seq: 1, Workspace: "one"})
 	m.rules.denied = map[string]bool{"one/z": true}
 	m.apply(scheduler.Configured{Rules: m.rules})
-	waits := []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second}
-	for i, wait := range waits {
+	backoffs := []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second}
+	for i, backoff := range backoffs {
 		seq := uint64(i + 1)
 		require.Equal(t, "a", m.requests[request(seq)].endpoint)
 		m.finish(request(seq), scheduler.Unreachable, 0)
 		m.enrol(router1, scheduler.Ticket{Seq: seq + 1, Workspace: "one"})
 		m.announce(scheduler.Announced{ID: "z", Incarnation: seq, Slots: 1, TTL: time.Millisecond})
-		again := m.now.Add(wait)
-		m.now = m.pool.NextDeadline(m.now) // something else is due before
+		again := m.now.Add(backoff)
+		m.now = m.pool.NextDeadline(m.now) // the lease of endpoint z ends before the backoff
 		m.apply(scheduler.Tick{})
 		require.Equal(t, again, m.pool.NextDeadline(m.now))
 		require.Empty(t, m.requests[request(seq+1)].endpoint)
@@ -40,14 +40,14 @@
 	require.Equal(t, "a", m.requests[request(10)].endpoint)
 }
 
-// Symptom: requests pile up at an endpoint that answers nothing. Sequence: it
-// takes a request and shows no progress, while it goes on announcing itself.
-// Cause: only its announcements are believed.
-func TestHungEndpointGetsNoWorkUntilItMoves(t *testing.T) {
+// Guards against requests that pile up at a hung endpoint: it accepts a request and
+// makes no progress, but keeps announcing itself, and the pool relies only on the
+// announcements.
+func TestHungEndpointGetsNoWorkUntilProgress(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 4, TTL: time.Hour})
 	m.enrol(router1, scheduler.Ticket{Seq: 1, Workspace: "one"})
-	require.Equal(t, zero.Add(scheduler.DefaultHungAfter), m.pool.NextDeadline(m.now))
+	require.Equal(t, testStart.Add(scheduler.DefaultHungAfter), m.pool.NextDeadline(m.now))
 	m.now = m.pool.NextDeadline(m.now)
 	m.apply(scheduler.Tick{})
 	m.enrol(router1, scheduler.Ticket{Seq: 2, Workspace: "one"})
@@ -56,9 +56,9 @@
 	require.Equal(t, "a", m.requests[request(2)].endpoint)
 }
 
-// Symptom: slots of a restarted endpoint stay taken. Sequence: an endpoint
-// restarts under its old address, by its own id or a new one, while requests
-// run there. Cause: only their endings free the slots of its former life.
+// Guards against slots of a restarted endpoint that stay taken: the endpoint restarts at
+// its old address, with its old id or a new one, while requests run there, and only
+// their endings free the slots of its former incarnation.
 func TestRestartedEndpointHasAllItsSlots(t *testing.T) {
 	tests := map[string]scheduler.Announced{
 		"same id":  {ID: "a", Incarnation: 2, Slots: 1},
@@ -78,24 +78,24 @@
 	}
 }
 
-// Symptom: a request waits for ever. Sequence: its grant is lost on the way;
-// its router goes on listing it as waiting. Cause: the pool thinks that it runs.
+// Guards against a request that waits forever: its grant is lost, its router still lists
+// it as waiting, and the pool counts it as running.
 func TestLostGrantIsGivenAgain(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 1, TTL: time.Hour})
 	ticket := scheduler.Ticket{Seq: 1, Workspace: "one", Model: "draft"}
 	m.enrol(router1, ticket)
 	again := scheduler.Report{Router: router1, Full: true, Tickets: []scheduler.Ticket{ticket}}
-	require.Empty(t, m.apply(again), "the grant may still be on its way")
+	require.Empty(t, m.apply(again), "the grant may still be in flight")
 	m.now = m.now.Add(2 * time.Second)
 	m.requests[request(1)].endpoint = ""
 	require.Len(t, m.apply(again), 1)
 }
 
-// Symptom: a slot stays taken. Sequence: the message with a request's ending is
-// lost; the router's next full report does not list it. Cause: the report only
-// adds to what the pool knows.
-func TestFullReportReplacesWhatWasKnown(t *testing.T) {
+// Guards against a slot that stays taken: the message with a request's ending is lost,
+// the router's next full report does not list the request, and the report only adds to
+// the pool's state.
+func TestFullReportReplacesKnownRequests(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 1})
 	m.enrol(router1, scheduler.Ticket{Seq: 1, Workspace: "one"}, scheduler.Ticket{Seq: 2, Workspace: "one"})
@@ -107,10 +107,10 @@
 	require.Equal(t, 1, m.pool.Stats(m.now).Running)
 }
 
-// Symptom: after a handover engines get twice the requests that they have slots
-// for. Sequence: a new scheduler hears of an endpoint, then of the requests
-// that run there, from routers in any order. Cause: it takes the endpoint for idle.
-func TestNewSchedulerLearnsWhatRuns(t *testing.T) {
+// Guards against twice as many requests as slots at an endpoint after a handover: the
+// new scheduler learns of the endpoint and of the requests running there from the
+// endpoint and the routers in any order, and assumes that the endpoint is idle.
+func TestNewSchedulerCountsRunningRequests(t *testing.T) {
 	running := scheduler.Report{Router: router1, Full: true, Running: []scheduler.Running{
 		{Seq: 1, Workspace: "one", Model: "draft", Endpoint: "a", Charged: 40},
 		{Seq: 2, Workspace: "one", Model: "draft", Endpoint: "a", Charged: 10},
@@ -137,9 +137,9 @@
 	}
 }
 
-// Symptom: as above, but for the time until the routers have reported. Cause: a
-// new scheduler believes what it knows, nothing, more than the endpoint's report.
-func TestNewSchedulerBelievesTheFirstReportedLoad(t *testing.T) {
+// Guards against the same overload before the routers have reported: a new scheduler
+// relies on its own empty state rather than on the load that the endpoint reports.
+func TestNewSchedulerUsesTheFirstReportedLoad(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 2})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 2, Load: 2})
 	m.enrol(router1, scheduler.Ticket{Seq: 1, Workspace: "one"})
@@ -148,16 +148,16 @@
 	require.Zero(t, m.waiting())
 }
 
-// Symptom: two schedulers overfill an endpoint. Sequence: during a handover the
-// other scheduler still grants; the endpoint reports more than this pool sent.
-// Cause: this pool counts only its own.
-func TestReportedLoadOfOthersCounts(t *testing.T) {
+// Guards against two schedulers that overfill an endpoint: during a handover the other
+// scheduler still grants, the endpoint reports more load than this pool sent, and this
+// pool counts only its own requests.
+func TestForeignReportedLoadCounts(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 2})
 	e := scheduler.Announced{ID: "a", Incarnation: 1, Slots: 4}
 	m.announce(e)
 	e.Load = 3
 	m.announce(e)
-	require.Zero(t, m.pool.Stats(m.now).Endpoints[0].Foreign, "one report may be a lag")
+	require.Zero(t, m.pool.Stats(m.now).Endpoints[0].Foreign, "a single report may lag behind")
 	m.announce(e)
 	m.announce(e)
 	require.Equal(t, 3, m.pool.Stats(m.now).Endpoints[0].Foreign)
@@ -168,7 +168,7 @@
 	require.Zero(t, m.waiting())
 }
 
-// Guards against grants at an endpoint within the backoff that it has asked for.
+// Guards against grants at an endpoint during the backoff that it asked for.
 func TestEndpointThatAsksForBackoffGetsNoGrant(t *testing.T) {
 	const backoff = 3 * time.Second
 	tests := map[string]func(m *model){
@@ -192,7 +192,7 @@
 			for m.now.Before(ends) {
 				require.Empty(t, m.requests[request(3)].endpoint)
 				next := m.pool.NextDeadline(m.now)
-				require.True(t, next.After(m.now) && !next.After(ends), "it looks at it again when the backoff is over")
+				require.True(t, next.After(m.now) && !next.After(ends), "the pool checks the endpoint again at the end of the backoff")
 				m.now = next
 				m.apply(scheduler.Tick{})
 			}
@@ -201,9 +201,9 @@
 	}
 }
 
-// Guards against grants at an endpoint that has said in an answer that it leaves, for an
-// announcement that was made before.
-func TestEndpointThatSaysThatItLeavesGetsNoGrant(t *testing.T) {
+// Guards against grants at an endpoint that reported in an answer that it leaves, because
+// of an announcement that it made before.
+func TestLeavingEndpointGetsNoGrant(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 1})
 	announced := scheduler.Announced{ID: "a", Incarnation: 1, Slots: 4, TTL: time.Hour}
 	m.announce(announced)
@@ -214,5 +214,5 @@
 	require.Empty(t, m.requests[request(2)].endpoint)
 	announced.Incarnation = 2
 	m.announce(announced)
-	require.Equal(t, "a", m.requests[request(2)].endpoint, "it has started again")
+	require.Equal(t, "a", m.requests[request(2)].endpoint, "it has restarted")
 }
--- a/lib/scheduler/fairness_test.go
+++ b/lib/scheduler/fairness_test.go
@@ -11,23 +11,23 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// boundWalk is a random interleaving in which every request has a true cost, so
-// that both sides of the bound of docs/FAIRNESS.md are known.
+// boundWalk is a random interleaving in which the true cost of every request is known,
+// so that both sides of the bound in docs/FAIRNESS.md can be computed.
 type boundWalk struct {
 	*walk
-	cost    map[scheduler.RequestID]uint32 // units with the prompt
-	charged map[scheduler.RequestID]uint64 // units that the pool has been told of
-	total   map[string]uint64              // of charged, by workspace
-	since   map[string]int                 // step from which a workspace has waited without a break
-	last    map[string]dispatched
-	step    int
+	cost         map[scheduler.RequestID]uint32 // true cost in units, prompt included
+	charged      map[scheduler.RequestID]uint64 // units reported to the pool
+	chargedTotal map[string]uint64              // sum of charged, by workspace
+	waitingSince map[string]int                 // step since which a workspace has been waiting without interruption
+	lastServed   map[string]dispatched          // by workspace
+	step         int
 }
 
-// dispatched is what was in flight when a workspace was last served.
+// dispatched is the work in flight when a workspace was last served.
 type dispatched struct {
 	step      int
-	uncharged float64            // its own true cost in flight, units by weight
-	reserved  map[string]float64 // the estimates of each workspace, units by weight
+	uncharged float64            // its own uncharged true cost in flight, in units divided by its weight
+	reserved  map[string]float64 // open estimates of each workspace, in units divided by its weight
 }
 
 func (b *boundWalk) enrolSome(t *rapid.T) {
@@ -41,39 +41,40 @@
 		}
 		b.cost[scheduler.RequestID{Router: router, Seq: ticket.Seq}] = ticket.Prompt + rapid.Uint32Range(1, 2000).Draw(t, "cost")
 		b.enrol(router, ticket)
-		b.note()
+		b.recordGrants()
 	}
 }
 
-// use makes a running request report more units, or end.
-func (b *boundWalk) use(t *rapid.T) {
-	id, found := b.pick(t, true)
+// progressOrFinish makes a running request report more units, or end.
+func (b *boundWalk) progressOrFinish(t *rapid.T) {
+	id, found := b.pickRequest(t, true)
 	if !found {
 		return
 	}
 	r := b.requests[id]
-	left := b.cost[id] - r.ticket.Prompt - r.charged
-	units := r.charged + rapid.Uint32Range(0, left).Draw(t, "units")
+	remaining := b.cost[id] - r.ticket.Prompt - r.charged
+	units := r.charged + rapid.Uint32Range(0, remaining).Draw(t, "units")
 	ending := rapid.SampledFrom([]scheduler.Ending{scheduler.Done, scheduler.Cancelled, scheduler.Failed, 0, 0}).Draw(t, "ending")
 	if units > 0 {
-		told := uint64(units) + uint64(r.ticket.Prompt)
-		b.total[r.ticket.Workspace] += told - b.charged[id]
-		b.charged[id] = told
+		reported := uint64(units) + uint64(r.ticket.Prompt)
+		b.chargedTotal[r.ticket.Workspace] += reported - b.charged[id]
+		b.charged[id] = reported
 	}
 	if ending == 0 {
 		report := scheduler.Report{Router: id.Router, Progress: []scheduler.Progress{{Seq: id.Seq, Charged: units}}}
-		b.former = append(b.former, report)
+		b.earlierReports = append(b.earlierReports, report)
 		r.charged = units
 		b.apply(report)
 	} else {
 		finish := b.finish(id, ending, units)
-		b.former = append(b.former, scheduler.Report{Router: id.Router, Finished: []scheduler.Finish{finish}})
+		b.earlierReports = append(b.earlierReports, scheduler.Report{Router: id.Router, Finished: []scheduler.Finish{finish}})
 	}
-	b.note()
+	b.recordGrants()
 }
 
-// note remembers what was in flight at the grants since the last call.
-func (b *boundWalk) note() {
+// recordGrants records the work in flight for each workspace granted since the last call,
+// and since which step each workspace has been waiting.
+func (b *boundWalk) recordGrants() {
 	stats := b.pool.Stats(b.now)
 	for _, workspace := range b.granted {
 		noted := dispatched{step: b.step, reserved: make(map[string]float64)}
@@ -85,34 +86,34 @@
 		for _, w := range stats.Workspaces {
 			noted.reserved[w.Workspace] = float64(w.Reserved) / w.Weight
 		}
-		b.last[workspace] = noted
+		b.lastServed[workspace] = noted
 	}
 	b.granted = nil
 	for _, w := range stats.Workspaces {
 		if w.Waiting == 0 {
-			delete(b.since, w.Workspace)
-		} else if _, waits := b.since[w.Workspace]; !waits {
-			b.since[w.Workspace] = b.step
+			delete(b.waitingSince, w.Workspace)
+		} else if _, waits := b.waitingSince[w.Workspace]; !waits {
+			b.waitingSince[w.Workspace] = b.step
 		}
 	}
 	b.step++
 }
 
-// check asserts the formula for every two workspaces that have both waited since
+// check asserts the formula for every two workspaces that have both been waiting since
 // before the first one was last served:
 // counter(i) - counter(j) <= U(i)/w(i) + R(j)/w(j). Every unit counts once,
-// however often it is told.
+// however often it is reported.
 func (b *boundWalk) check(t *rapid.T) {
 	workspaces := b.pool.Stats(b.now).Workspaces
 	for _, i := range workspaces {
-		require.Equal(t, b.total[i.Workspace], i.Charged, "charges of %s", i.Workspace)
-		served, found := b.last[i.Workspace]
-		from, waits := b.since[i.Workspace]
+		require.Equal(t, b.chargedTotal[i.Workspace], i.Charged, "charges of %s", i.Workspace)
+		served, found := b.lastServed[i.Workspace]
+		from, waits := b.waitingSince[i.Workspace]
 		if !found || !waits || served.step <= from {
 			continue
 		}
 		for _, j := range workspaces {
-			if other, waitsToo := b.since[j.Workspace]; waitsToo && other < served.step {
+			if other, waitsToo := b.waitingSince[j.Workspace]; waitsToo && other < served.step {
 				require.LessOrEqual(t, i.Counter-j.Counter, served.uncharged+served.reserved[j.Workspace]+1e-6,
 					"%s is ahead of %s", i.Workspace, j.Workspace)
 			}
@@ -120,14 +121,14 @@
 	}
 }
 
-// TestWalkKeepsTheBound asserts the formula of the bound while requests cost
-// anything, hints lie, progress is repeated and late, and endpoints come and go.
-func TestWalkKeepsTheBound(t *testing.T) {
+// TestRandomWalkKeepsTheFairnessBound asserts the fairness bound while costs are
+// arbitrary, hints are wrong, progress is repeated and late, and endpoints come and go.
+func TestRandomWalkKeepsTheFairnessBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &boundWalk{
 			walk: &walk{model: newModel(t, scheduler.Options{Origin: 1}), routers: map[string]uint64{}},
 			cost: map[scheduler.RequestID]uint32{}, charged: map[scheduler.RequestID]uint64{},
-			total: map[string]uint64{}, since: map[string]int{}, last: map[string]dispatched{},
+			chargedTotal: map[string]uint64{}, waitingSince: map[string]int{}, lastServed: map[string]dispatched{},
 		}
 		b.rules.weights = map[string]float64{"alpha": rapid.Float64Range(0.5, 4).Draw(t, "weight")}
 		b.apply(scheduler.Configured{Rules: b.rules})
@@ -136,19 +137,19 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"enrol":   b.enrolSome,
-			"use":     b.use,
-			"use2":    b.use,
-			"use3":    b.use,
-			"repeat":  func(t *rapid.T) { b.repeatFormer(t); b.note() },
-			"repeat2": func(t *rapid.T) { b.repeatFormer(t); b.note() },
-			"stray":   func(t *rapid.T) { b.stray(t); b.note() },
-			"give up": func(t *rapid.T) { b.giveUp(t); b.note() },
-			"pass":    func(t *rapid.T) { b.pass(t); b.note() },
+			"use":     b.progressOrFinish,
+			"use2":    b.progressOrFinish,
+			"use3":    b.progressOrFinish,
+			"repeat":  func(t *rapid.T) { b.repeatEarlier(t); b.recordGrants() },
+			"repeat2": func(t *rapid.T) { b.repeatEarlier(t); b.recordGrants() },
+			"stray":   func(t *rapid.T) { b.strayEvent(t); b.recordGrants() },
+			"give up": func(t *rapid.T) { b.giveUp(t); b.recordGrants() },
+			"pass":    func(t *rapid.T) { b.advance(t); b.recordGrants() },
 			"endpoint": func(t *rapid.T) {
 				b.announce(scheduler.Announced{
 					ID: endpointNames().Draw(t, "endpoint"), Incarnation: 1, Slots: 1, TTL: time.Hour,
 				})
-				b.note()
+				b.recordGrants()
 			},
 			"": b.check,
 		})
--- a/lib/scheduler/model_test.go
+++ b/lib/scheduler/model_test.go
@@ -12,14 +12,14 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// zero is the time at which every test begins.
-var zero = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// testStart is the time at the start of every test.
+var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// rules is a configuration by plain tables.
+// rules is a configuration given as tables.
 type rules struct {
 	weights map[string]float64
-	denied  map[string]bool // workspace/endpoint
-	drained map[string]bool
+	denied  map[string]bool // by workspace/endpoint
+	drained map[string]bool // by endpoint
 }
 
 func (r rules) Weight(workspace string) float64 {
@@ -35,16 +35,16 @@
 
 func (r rules) Draining(endpoint string, _ labeler.Labels) bool { return r.drained[endpoint] }
 
-// known is what the model knows of a request.
-type known struct {
-	ticket   scheduler.Ticket
-	endpoint string // empty while it waits
-	life     uint64
-	charged  uint32
+// knownRequest is the expected state of an unfinished request.
+type knownRequest struct {
+	ticket      scheduler.Ticket
+	endpoint    string // of its grant, empty while it waits
+	incarnation uint64 // of the endpoint
+	charged     uint32 // units used so far
 }
 
-// model drives a pool and holds its own view of what is true, against which
-// every action is checked.
+// model is a reference model: it applies events to a pool, keeps the expected state
+// itself, and checks every action of the pool against it.
 type model struct {
 	t         require.TestingT
 	pool      *scheduler.Pool
@@ -52,23 +52,24 @@
 	rules     rules
 	endpoints map[string]scheduler.Announced
 	expires   map[string]time.Time
-	requests  map[scheduler.RequestID]*known
+	requests  map[scheduler.RequestID]*knownRequest
 	refused   int
-	granted   []string // workspaces in the order of their grants
+	granted   []string // workspaces of the grants, in their order
 }
 
 func newModel(t require.TestingT, options scheduler.Options) *model {
 	options.Zone, options.Service = "trento-a", "modelli"
 	m := &model{
-		t: t, now: zero, pool: scheduler.New(options),
+		t: t, now: testStart, pool: scheduler.New(options),
 		endpoints: make(map[string]scheduler.Announced),
 		expires:   make(map[string]time.Time),
-		requests:  make(map[scheduler.RequestID]*known),
+		requests:  make(map[scheduler.RequestID]*knownRequest),
 	}
 	m.apply(scheduler.Configured{Rules: m.rules})
 	return m
 }
 
+// apply applies an event to the pool and checks and records the actions.
 func (m *model) apply(event scheduler.Event) []scheduler.Action {
 	actions := m.pool.Apply(m.now, event)
 	for _, action := range actions {
@@ -87,13 +88,13 @@
 
 func (m *model) checkGrant(grant scheduler.Grant) {
 	request := m.requests[grant.Request]
-	require.NotNil(m.t, request, "grant for a request that is not there")
+	require.NotNil(m.t, request, "grant for an unknown request")
 	require.Empty(m.t, request.endpoint, "second grant for one request")
 	e, found := m.endpoints[grant.Endpoint]
 	require.True(m.t, found, "grant to an unknown endpoint")
 	require.Equal(m.t, e.Incarnation, grant.Incarnation)
 	require.True(m.t, m.eligible(request.ticket, e), "grant to %s breaks the rules", e.ID)
-	request.endpoint, request.life = e.ID, e.Incarnation
+	request.endpoint, request.incarnation = e.ID, e.Incarnation
 	require.LessOrEqual(m.t, m.running(e, false), e.Slots, "more requests than slots at %s", e.ID)
 	if request.ticket.Alone {
 		require.Equal(m.t, 1, m.running(e, true), "two suspects at %s", e.ID)
@@ -101,17 +102,18 @@
 	m.granted = append(m.granted, request.ticket.Workspace)
 }
 
-// eligible tells whether the ticket may go to the endpoint, room left aside.
+// eligible reports whether the ticket may go to the endpoint, regardless of free slots.
 func (m *model) eligible(t scheduler.Ticket, e scheduler.Announced) bool {
 	return m.now.Before(m.expires[e.ID]) && !e.Leaving && !m.rules.drained[e.ID] &&
 		!m.rules.denied[t.Workspace+"/"+e.ID] && !slices.Contains(t.Avoid, e.ID) &&
 		slices.Contains(e.Models, t.Model)
 }
 
+// running counts the requests at an endpoint's incarnation, with alone only the suspects.
 func (m *model) running(e scheduler.Announced, alone bool) int {
 	count := 0
 	for _, request := range m.requests {
-		if request.endpoint == e.ID && request.life == e.Incarnation && (!alone || request.ticket.Alone) {
+		if request.endpoint == e.ID && request.incarnation == e.Incarnation && (!alone || request.ticket.Alone) {
 			count++
 		}
 	}
@@ -128,25 +130,27 @@
 	return count
 }
 
-// checkConserved requires that no request waits while an endpoint that may
-// serve it has room.
-func (m *model) checkConserved() {
+// checkWorkConserving requires that no request waits while an endpoint that may serve it
+// has a free slot.
+func (m *model) checkWorkConserving() {
 	stats := m.pool.Stats(m.now)
 	require.Equal(m.t, m.waiting(), stats.Waiting)
 	for _, e := range stats.Endpoints {
 		announced := m.endpoints[e.Endpoint]
-		room := e.Limit - m.running(announced, false) - e.Foreign
+		free := e.Limit - m.running(announced, false) - e.Foreign
 		for id, request := range m.requests {
-			if request.endpoint != "" || room <= 0 || announced.Incarnation != e.Incarnation {
+			if request.endpoint != "" || free <= 0 || announced.Incarnation != e.Incarnation {
 				continue
 			}
-			held := request.ticket.Alone && m.running(announced, true) > 0
-			require.False(m.t, !held && m.eligible(request.ticket, announced),
-				"%v of %s waits while %s has room for %d", id, request.ticket.Workspace, e.Endpoint, room)
+			blocked := request.ticket.Alone && m.running(announced, true) > 0
+			require.False(m.t, !blocked && m.eligible(request.ticket, announced),
+				"%v of %s waits while %s has %d free slots", id, request.ticket.Workspace, e.Endpoint, free)
 		}
 	}
 }
 
+// announce makes an endpoint announce itself. A TTL, models and address that are not
+// given get defaults.
 func (m *model) announce(a scheduler.Announced) {
 	if a.TTL == 0 {
 		a.TTL = 3 * time.Second
@@ -165,7 +169,7 @@
 	m.apply(a)
 }
 
-// renew repeats all announcements.
+// renew repeats the announcements of all endpoints.
 func (m *model) renew() {
 	for i := range len(m.endpoints) {
 		id := m.ids()[i]
@@ -182,21 +186,24 @@
 	return ids
 }
 
+// enrol reports waiting requests of a router to the pool.
 func (m *model) enrol(router scheduler.RouterID, tickets ...scheduler.Ticket) {
 	for i := range tickets {
 		if tickets[i].Model == "" {
 			tickets[i].Model = "draft"
 		}
-		m.requests[scheduler.RequestID{Router: router, Seq: tickets[i].Seq}] = &known{ticket: tickets[i]}
+		m.requests[scheduler.RequestID{Router: router, Seq: tickets[i].Seq}] = &knownRequest{ticket: tickets[i]}
 	}
 	m.apply(scheduler.Report{Router: router, Tickets: tickets})
 }
 
+// progress reports the total of units that a running request has used.
 func (m *model) progress(id scheduler.RequestID, charged uint32) {
 	m.requests[id].charged = charged
 	m.apply(scheduler.Report{Router: id.Router, Progress: []scheduler.Progress{{Seq: id.Seq, Charged: charged}}})
 }
 
+// finish ends a request and returns the reported ending.
 func (m *model) finish(id scheduler.RequestID, ending scheduler.Ending, charged uint32) scheduler.Finish {
 	finish := scheduler.Finish{
 		Seq: id.Seq, Charged: charged, Ending: ending,
@@ -207,7 +214,8 @@
 	return finish
 }
 
-// at lists the requests at endpoints, or with an empty name the waiting ones, in order.
+// sorted returns the ids of the running requests, or else of the waiting ones, in a fixed
+// order.
 func (m *model) sorted(running bool) []scheduler.RequestID {
 	var ids []scheduler.RequestID
 	for id, request := range m.requests {
--- a/lib/scheduler/offer_test.go
+++ b/lib/scheduler/offer_test.go
@@ -12,8 +12,9 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// newOfferer is a pool at which many workspaces wait for one slot.
-func newOfferer(t *testing.T, workspaces int) *model {
+// newWaitingPool returns a pool with one slot and one request of each of a number of
+// workspaces.
+func newWaitingPool(t *testing.T, workspaces int) *model {
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 1, TTL: time.Hour})
 	for i := range workspaces {
@@ -22,29 +23,29 @@
 	return m
 }
 
-// Symptom: with more zones, nodes spend their whole control budget on comparing.
-// Sequence: every pool tells every zone all it has, at a fixed interval. Cause:
-// the cost grows with the square of the zones and nothing bounds it.
-func TestExchangesGetRarerWithTheirCost(t *testing.T) {
+// Guards against exchanges that use up the control budget of all nodes as zones are
+// added: with all rows sent to every zone at a fixed interval, the cost grows with the
+// square of the number of zones without a bound.
+func TestExchangeIntervalGrowsWithCost(t *testing.T) {
 	tests := map[string]struct {
 		workspaces, zones, pools int
-		least, most              time.Duration
+		shortest, longest        time.Duration
 	}{
-		"quiet":             {workspaces: 0, zones: 2, pools: 1, least: time.Second, most: time.Second},
-		"a few":             {workspaces: 2, zones: 1, pools: 1, least: scheduler.MinCompareInterval, most: scheduler.MinCompareInterval},
-		"many workspaces":   {workspaces: 100, zones: 2, pools: 1, least: time.Second, most: 3 * time.Second},
-		"many zones":        {workspaces: 100, zones: 18, pools: 1, least: time.Second, most: 3 * time.Second},
-		"many pools":        {workspaces: 100, zones: 18, pools: 2, least: 2 * time.Second, most: 6 * time.Second},
-		"as much as can be": {workspaces: 100, zones: 500, pools: 9, least: scheduler.MaxCompareInterval, most: scheduler.MaxCompareInterval},
+		"quiet":           {workspaces: 0, zones: 2, pools: 1, shortest: time.Second, longest: time.Second},
+		"a few":           {workspaces: 2, zones: 1, pools: 1, shortest: scheduler.MinCompareInterval, longest: scheduler.MinCompareInterval},
+		"many workspaces": {workspaces: 100, zones: 2, pools: 1, shortest: time.Second, longest: 3 * time.Second},
+		"many zones":      {workspaces: 100, zones: 18, pools: 1, shortest: time.Second, longest: 3 * time.Second},
+		"many pools":      {workspaces: 100, zones: 18, pools: 2, shortest: 2 * time.Second, longest: 6 * time.Second},
+		"upper limit":     {workspaces: 100, zones: 500, pools: 9, shortest: scheduler.MaxCompareInterval, longest: scheduler.MaxCompareInterval},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			m := newOfferer(t, test.workspaces)
-			m.pool.CompareInterval(m.now, test.zones, test.pools) // the host tells how many zones there are
+			m := newWaitingPool(t, test.workspaces)
+			m.pool.CompareInterval(m.now, test.zones, test.pools) // sets the number of zones for the first offer
 			m.pool.Offer(m.now)
 			after := m.pool.CompareInterval(m.now, test.zones, test.pools)
-			require.GreaterOrEqual(t, after, test.least)
-			require.LessOrEqual(t, after, test.most)
+			require.GreaterOrEqual(t, after, test.shortest)
+			require.LessOrEqual(t, after, test.longest)
 			spent := test.pools * 2 * m.pool.ExchangeBytes()
 			if after < scheduler.MaxCompareInterval {
 				require.LessOrEqual(t, float64(spent), 1.01*scheduler.DefaultCompareBudget*after.Seconds())
@@ -53,11 +54,11 @@
 	}
 }
 
-// Symptom: a workspace that waits is told last, and other zones take it for
-// behind. Sequence: more rows have changed than a message carries. Cause: rows go
-// in the order of names.
-func TestRowsOfThoseThatWaitGoFirst(t *testing.T) {
-	m := newOfferer(t, 0)
+// Guards against rows of waiting workspaces that are sent last, so that other zones
+// assume too low a counter for them: more rows have changed than a message carries, and
+// rows are sent in the order of names.
+func TestRowsOfWaitingWorkspacesGoFirst(t *testing.T) {
+	m := newWaitingPool(t, 0)
 	m.pool.CompareInterval(m.now, 18, 1)
 	for i := range 40 {
 		id := request(uint64(i + 1))
@@ -71,18 +72,18 @@
 	require.Len(t, rows, 8)
 	require.Contains(t, rows, scheduler.Total{Workspace: "zebra", Charged: 50, Lifted: rows[len(rows)-1].Lifted})
 	require.Equal(t, []scheduler.Demand{{Workspace: "zebra", Model: "draft", Waiting: 1}}, demand)
-	told := len(rows)
-	for range 10 { // the others have their turn
+	sent := len(rows)
+	for range 10 { // the other rows follow
 		m.now = m.now.Add(time.Millisecond)
 		rows, demand, _, _, _ = m.pool.Offer(m.now)
 		require.Len(t, demand, 1)
-		told += len(rows)
+		sent += len(rows)
 	}
-	require.Equal(t, 41, told)
+	require.Equal(t, 41, sent)
 }
 
-// Each zone is told of its own loans only.
-func TestLoansAreToldToTheirLenders(t *testing.T) {
+// Returns and renewals of loans go only to the zone that lent the slot.
+func TestLoansAreReportedToTheirLenders(t *testing.T) {
 	p := newLendingPair(t, 1)
 	loans := p.exchange()
 	p.near.apply(scheduler.Lent{Zone: "bolzano-c", Origin: 3, Loans: []scheduler.Loan{{ID: 7, Workspace: "one", Model: "draft", Endpoint: "c", Lease: time.Second}}})
@@ -91,10 +92,11 @@
 	require.Empty(t, returned)
 	require.Equal(t, []uint64{loans[0].ID}, renewed)
 	returned, renewed = p.near.pool.LoansOf("bolzano-c", p.near.now)
-	require.Equal(t, []uint64{7}, returned, "nothing waits that could use it")
+	require.Equal(t, []uint64{7}, returned, "no waiting request can use it")
 	require.Empty(t, renewed)
 }
 
+// Packing and unpacking loan ids returns the same ids.
 func TestPackedLoansUnpack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOf(rapid.Uint64()).Draw(t, "ids")
--- a/lib/scheduler/policy_test.go
+++ b/lib/scheduler/policy_test.go
@@ -12,21 +12,23 @@
 
 var router1 = scheduler.RouterID{Name: "router-1", Incarnation: 1}
 
+// request returns the id of a request at router1.
 func request(seq uint64) scheduler.RequestID {
 	return scheduler.RequestID{Router: router1, Seq: seq}
 }
 
-// bench keeps a model's workspaces backlogged and serves a number of requests.
-type bench struct {
+// backlogged is a model in which workspaces always have waiting requests and every
+// request of a workspace has the same cost.
+type backlogged struct {
 	*model
-	seq    uint64
-	cost   map[string]uint32
-	hint   map[string]uint32
-	served map[string]uint64
+	seq    uint64            // of the last request
+	cost   map[string]uint32 // units of each request, by workspace
+	hint   map[string]uint32 // of each ticket, by workspace
+	served map[string]uint64 // units, by workspace
 }
 
-func newBench(t *testing.T, endpoints, slots int) *bench {
-	b := &bench{
+func newBacklogged(t *testing.T, endpoints, slots int) *backlogged {
+	b := &backlogged{
 		model: newModel(t, scheduler.Options{Origin: 1}),
 		cost:  map[string]uint32{}, hint: map[string]uint32{}, served: map[string]uint64{},
 	}
@@ -36,7 +38,8 @@
 	return b
 }
 
-func (b *bench) fill(workspace string, depth int) {
+// fill adds requests of a workspace until depth of them wait.
+func (b *backlogged) fill(workspace string, depth int) {
 	waiting := 0
 	for _, r := range b.requests {
 		if r.endpoint == "" && r.ticket.Workspace == workspace {
@@ -49,14 +52,14 @@
 	}
 }
 
-// step streams one unit at a time to every running request, ends those that
-// have all, and refills.
-func (b *bench) step(unit uint32, workspaces ...string) {
-	b.now = b.now.Add(time.Duration(unit) * 10 * time.Millisecond)
+// step lets every running request use some units, finishes the completed ones, and
+// refills the queues. A unit takes 10 ms.
+func (b *backlogged) step(units uint32, workspaces ...string) {
+	b.now = b.now.Add(time.Duration(units) * 10 * time.Millisecond)
 	for _, id := range b.sorted(true) {
 		r := b.requests[id]
-		r.charged += unit
-		b.served[r.ticket.Workspace] += uint64(unit)
+		r.charged += units
+		b.served[r.ticket.Workspace] += uint64(units)
 		if r.charged >= b.cost[r.ticket.Workspace] {
 			b.finish(id, scheduler.Done, r.charged)
 		} else {
@@ -67,11 +70,11 @@
 	for _, workspace := range workspaces {
 		b.fill(workspace, 8)
 	}
-	b.checkConserved()
+	b.checkWorkConserving()
 }
 
-// Shares are equal by weight whatever requests cost and whatever callers say
-// that they will cost.
+// Shares are proportional to the weights, whatever requests cost and whatever cost
+// callers announce.
 func TestShares(t *testing.T) {
 	tests := map[string]struct {
 		weights map[string]float64
@@ -86,7 +89,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 2, 4)
+			b := newBacklogged(t, 2, 4)
 			b.cost = test.cost
 			if test.hint != nil {
 				b.hint = test.hint
@@ -104,16 +107,16 @@
 			two := float64(b.served["two"]) / b.rules.Weight("two")
 			inFlight := 8 * float64(max(test.cost["one"], test.cost["two"]))
 			require.Less(t, math.Abs(one-two), 2*inFlight)
-			require.Greater(t, one, 15*inFlight, "too short to tell")
+			require.Greater(t, one, 15*inFlight, "the run is too short for a result")
 		})
 	}
 }
 
-// Symptom: a workspace that was idle for an hour gets all capacity when it
-// comes back. Sequence: one works alone, two arrives, both stay backlogged.
-// Cause: without the lift two's counter lies an hour behind.
+// Guards against a workspace that gets all capacity after an idle hour: workspace one is
+// served alone, workspace two arrives, both stay backlogged, and without the lift two's
+// counter is an hour behind.
 func TestIdleTimeBanksNoCredit(t *testing.T) {
-	b := newBench(t, 2, 4)
+	b := newBacklogged(t, 2, 4)
 	b.cost["one"], b.cost["two"] = 100, 100
 	b.fill("one", 8)
 	for range 1000 {
@@ -127,9 +130,9 @@
 	require.InDelta(t, 0.5, share, 0.05)
 }
 
-// Symptom: a workspace whose callers leave early pays for what it never got.
-// Sequence: a request is granted, its estimate charged, its caller leaves after
-// ten units. Cause: the estimate is not given back.
+// Guards against charging a workspace for units that it did not use: a request is
+// granted, its estimate is reserved, its caller cancels after ten units, and the rest of
+// the estimate is not released.
 func TestAbandonedRequestPaysForWhatItUsed(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 2})
@@ -143,10 +146,10 @@
 	require.Zero(t, stats.Workspaces[0].Reserved+stats.Workspaces[1].Reserved)
 }
 
-// Symptom: capacity idles although work waits. Sequence: the workspace that is
-// first in line may only use a full endpoint; another has room. Cause: the
-// first in line holds up all behind it.
-func TestFullEndpointHoldsUpNoOther(t *testing.T) {
+// Guards against idle capacity while requests wait: the first workspace in line may only
+// use a full endpoint, another endpoint has a free slot, and the first in line blocks
+// all others.
+func TestFullEndpointBlocksNoOther(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.rules.denied = map[string]bool{"one/b": true}
 	m.apply(scheduler.Configured{Rules: m.rules})
@@ -158,15 +161,15 @@
 	require.Empty(t, m.requests[request(2)].endpoint)
 }
 
-// Symptom: callers wait until their timeout for an endpoint that does not
-// exist. Sequence: a ticket arrives for a model that nobody serves, then one
-// does. Cause: nothing ends the wait.
+// Guards against callers that wait until their timeout for an endpoint that does not
+// exist: a ticket arrives for a model that no endpoint serves yet, and nothing ends the
+// wait.
 func TestNoEndpointIsRefused(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 1, TTL: time.Minute})
 	m.enrol(router1, scheduler.Ticket{Seq: 1, Workspace: "one", Model: "absent"})
 	next := m.pool.NextDeadline(m.now)
-	require.Equal(t, zero.Add(scheduler.DefaultNoEndpointAfter), next)
+	require.Equal(t, testStart.Add(scheduler.DefaultNoEndpointAfter), next)
 	m.now = next.Add(-time.Millisecond)
 	require.Empty(t, m.apply(scheduler.Tick{}))
 	m.now = next
@@ -176,6 +179,8 @@
 	}}, actions)
 }
 
+// Requests prefer the endpoint that has their prefix cached, until its load outweighs
+// the benefit.
 func TestPrefixAffinityIsBoundedByLoad(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 1})
 	m.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 8})
@@ -193,5 +198,5 @@
 	}
 	require.Equal(t, first, m.requests[request(3)].endpoint)
 	require.Positive(t, other, "the load outweighs the prefix")
-	require.LessOrEqual(t, other, 4, "once both have it they share it")
+	require.LessOrEqual(t, other, 4, "with the prefix cached at both endpoints, both are used")
 }
--- a/lib/scheduler/property_test.go
+++ b/lib/scheduler/property_test.go
@@ -11,14 +11,15 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// walk is one random interleaving of everything that may happen to a pool.
+// walk is one random interleaving of all events of a pool.
 type walk struct {
 	*model
-	routers map[string]uint64
-	seq     uint64
-	former  []scheduler.Report // sent before, to be repeated
+	routers        map[string]uint64  // restarts, by router name
+	seq            uint64             // of the last request
+	earlierReports []scheduler.Report // may be repeated
 }
 
+// router draws a router in its current incarnation.
 func (w *walk) router(t *rapid.T) scheduler.RouterID {
 	name := rapid.SampledFrom([]string{"router-1", "router-2", "router-3"}).Draw(t, "router")
 	return scheduler.RouterID{Name: name, Incarnation: 1 + w.routers[name]}
@@ -56,7 +57,8 @@
 	w.enrol(w.router(t), tickets...)
 }
 
-func (w *walk) pick(t *rapid.T, running bool) (scheduler.RequestID, bool) {
+// pickRequest draws a running request, or else a waiting one, if there is one.
+func (w *walk) pickRequest(t *rapid.T, running bool) (scheduler.RequestID, bool) {
 	ids := w.sorted(running)
 	if len(ids) == 0 {
 		return scheduler.RequestID{}, false
@@ -65,17 +67,17 @@
 }
 
 func (w *walk) progressOne(t *rapid.T) {
-	if id, found := w.pick(t, true); found {
+	if id, found := w.pickRequest(t, true); found {
 		w.progress(id, w.requests[id].charged+rapid.Uint32Range(1, 300).Draw(t, "units"))
-		w.former = append(w.former, scheduler.Report{
+		w.earlierReports = append(w.earlierReports, scheduler.Report{
 			Router: id.Router, Progress: []scheduler.Progress{{Seq: id.Seq, Charged: w.requests[id].charged}},
 		})
 	}
 }
 
-// stray applies a message that nothing here is an answer to: of requests and
-// routers that are not there, of another zone, of a former life.
-func (w *walk) stray(t *rapid.T) {
+// strayEvent applies an event that does not match the state of the pool: for an unknown
+// request or router, from another zone, or from a former incarnation.
+func (w *walk) strayEvent(t *rapid.T) {
 	seq := w.seq + rapid.Uint64Range(1, 1000).Draw(t, "seq")
 	unknown := scheduler.RouterID{Name: "router-9", Incarnation: 1}
 	w.apply(rapid.SampledFrom([]scheduler.Event{
@@ -95,7 +97,7 @@
 }
 
 func (w *walk) finishOne(t *rapid.T) {
-	id, found := w.pick(t, true)
+	id, found := w.pickRequest(t, true)
 	if !found {
 		return
 	}
@@ -105,23 +107,23 @@
 	}
 	ending := rapid.SampledFrom(endings).Draw(t, "ending")
 	finish := w.finish(id, ending, w.requests[id].charged+rapid.Uint32Range(0, 300).Draw(t, "units"))
-	w.former = append(w.former, scheduler.Report{Router: id.Router, Finished: []scheduler.Finish{finish}})
+	w.earlierReports = append(w.earlierReports, scheduler.Report{Router: id.Router, Finished: []scheduler.Finish{finish}})
 }
 
-func (w *walk) repeatFormer(t *rapid.T) {
-	if len(w.former) > 0 {
-		w.apply(rapid.SampledFrom(w.former).Draw(t, "former"))
+func (w *walk) repeatEarlier(t *rapid.T) {
+	if len(w.earlierReports) > 0 {
+		w.apply(rapid.SampledFrom(w.earlierReports).Draw(t, "former"))
 	}
 }
 
 func (w *walk) giveUp(t *rapid.T) {
-	if id, found := w.pick(t, false); found {
+	if id, found := w.pickRequest(t, false); found {
 		w.finish(id, scheduler.Cancelled, 0)
 	}
 }
 
 func (w *walk) decline(t *rapid.T) {
-	if id, found := w.pick(t, true); found && w.requests[id].charged == 0 {
+	if id, found := w.pickRequest(t, true); found && w.requests[id].charged == 0 {
 		delete(w.requests, id)
 		w.apply(scheduler.Declinations{Router: id.Router, Seqs: []uint64{id.Seq}})
 	}
@@ -134,7 +136,7 @@
 		Leaving: rapid.IntRange(0, 9).Draw(t, "leaving") == 0,
 	}
 	if known, found := w.endpoints[id]; found && !a.Leaving {
-		a.Slots = max(a.Slots, known.Slots) // slots that shrink are checked in a test of their own
+		a.Slots = max(a.Slots, known.Slots) // a separate test covers a shrinking number of slots
 	}
 	if rapid.IntRange(0, 5).Draw(t, "restarted") == 0 {
 		a.Incarnation++
@@ -163,9 +165,11 @@
 	w.apply(scheduler.Configured{Rules: w.rules})
 }
 
+// restartRouter starts a new incarnation of a router. Either the pool is notified that
+// the former one is gone, or a report of the former one arrives after one of the new.
 func (w *walk) restartRouter(t *rapid.T) {
 	id := w.router(t)
-	w.dropLife(id)
+	w.dropRequests(id)
 	if rapid.Bool().Draw(t, "noticed") {
 		w.apply(scheduler.RouterGone{Router: id})
 		w.routers[id.Name]++
@@ -175,10 +179,11 @@
 	late := scheduler.Report{Router: id, Full: true, Tickets: []scheduler.Ticket{w.ticket(t)}}
 	id.Incarnation++
 	w.apply(scheduler.Report{Router: id, Full: true})
-	w.apply(late) // of the former life
+	w.apply(late) // from the former incarnation
 }
 
-func (w *walk) dropLife(id scheduler.RouterID) {
+// dropRequests forgets the requests of a router's incarnation.
+func (w *walk) dropRequests(id scheduler.RouterID) {
 	for request := range w.requests {
 		if request.Router == id {
 			delete(w.requests, request)
@@ -186,12 +191,13 @@
 	}
 }
 
-func (w *walk) reportAll(t *rapid.T) {
+func (w *walk) reportFull(t *rapid.T) {
 	router := w.router(t)
-	w.apply(w.everything(router))
+	w.apply(w.fullReport(router))
 }
 
-func (w *walk) everything(router scheduler.RouterID) scheduler.Report {
+// fullReport returns a full report of a router's requests.
+func (w *walk) fullReport(router scheduler.RouterID) scheduler.Report {
 	report := scheduler.Report{Router: router, Full: true}
 	for _, id := range append(w.sorted(false), w.sorted(true)...) {
 		r := w.requests[id]
@@ -208,16 +214,16 @@
 	return report
 }
 
-func (w *walk) pass(t *rapid.T) {
+func (w *walk) advance(t *rapid.T) {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "milliseconds")) * time.Millisecond)
 	w.apply(scheduler.Tick{})
 }
 
-// TestWalk checks the invariants of the package after every event of random
-// interleavings: one grant at a time for a waiting request, never beyond an
-// endpoint's slots, never where the rules, the lease or the ticket forbid it,
-// and no request waiting where there is room.
-func TestWalk(t *testing.T) {
+// TestRandomWalk checks the invariants of the package after every event of random
+// interleavings: a waiting request has one grant at a time, grants never exceed an
+// endpoint's slots and never violate the rules, the lease or the ticket, and no request
+// waits while an eligible endpoint has a free slot.
+func TestRandomWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &walk{model: newModel(t, scheduler.Options{Origin: 1}), routers: map[string]uint64{}}
 		for _, id := range []string{"worker-1", "worker-2"} {
@@ -228,24 +234,24 @@
 			"progress": w.progressOne,
 			"finish":   w.finishOne,
 			"finish2":  w.finishOne,
-			"repeat":   w.repeatFormer,
-			"stray":    w.stray,
+			"repeat":   w.repeatEarlier,
+			"stray":    w.strayEvent,
 			"give up":  w.giveUp,
 			"decline":  w.decline,
 			"announce": w.announceOne,
 			"renew":    func(*rapid.T) { w.renew() },
 			"rules":    w.configure,
 			"restart":  w.restartRouter,
-			"full":     w.reportAll,
-			"pass":     w.pass,
-			"":         func(*rapid.T) { w.checkConserved() },
+			"full":     w.reportFull,
+			"pass":     w.advance,
+			"":         func(*rapid.T) { w.checkWorkConserving() },
 		})
 		w.drain(t)
 	})
 }
 
-// drain lets everything run to its end on healthy endpoints and requires that
-// nothing is left: no ticket starves and no slot leaks.
+// drain finishes all requests on healthy endpoints and requires that no ticket starves
+// and no slot or estimate leaks.
 func (w *walk) drain(t *rapid.T) {
 	w.rules = rules{}
 	w.apply(scheduler.Configured{Rules: w.rules})
@@ -254,7 +260,7 @@
 		w.announce(scheduler.Announced{ID: id, Incarnation: w.endpoints[id].Incarnation + 1, Slots: 2, Models: []string{"draft", "long"}})
 	}
 	for rounds := 0; len(w.requests) > 0; rounds++ {
-		require.Less(t, rounds, 1000, "work is left: %v", w.sorted(false))
+		require.Less(t, rounds, 1000, "requests are still waiting: %v", w.sorted(false))
 		for _, id := range w.sorted(true) {
 			w.finish(id, scheduler.Done, w.requests[id].charged+10)
 		}
@@ -267,6 +273,6 @@
 		require.Zero(t, e.Busy, "a slot of %s leaked", e.Endpoint)
 	}
 	for _, workspace := range stats.Workspaces {
-		require.Zero(t, workspace.Reserved, "an estimate of %s was not given back", workspace.Workspace)
+		require.Zero(t, workspace.Reserved, "an estimate of %s was not released", workspace.Workspace)
 	}
 }
--- a/lib/scheduler/usage_test.go
+++ b/lib/scheduler/usage_test.go
@@ -9,9 +9,9 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// Symptom: an engine unloads a model under another zone's request. Sequence: a
-// slot is lent for it. Cause: only the pool's own requests count as its use.
-func TestUsageCountsWhatWaitsRunsAndIsLent(t *testing.T) {
+// Guards against an engine that unloads a model while a request of another zone uses it
+// in a lent slot, because only the pool's own requests count as usage.
+func TestUsageCountsWaitingRunningAndLent(t *testing.T) {
 	p := newLendingPair(t, 3)
 	require.Equal(t, map[string]scheduler.ModelUsage{"draft": {Waiting: 3}}, p.near.pool.Usage().Models)
 	p.exchange()
@@ -21,5 +21,5 @@
 
 	p.near.announce(scheduler.Announced{ID: "a", Incarnation: 1, Slots: 1, TTL: time.Hour, Load: 0})
 	require.Equal(t, map[string]int{"draft": 1}, p.near.pool.Usage().Endpoints["a"].Models)
-	require.NotContains(t, p.near.pool.Usage().Endpoints, "b", "it is the other zone's")
+	require.NotContains(t, p.near.pool.Usage().Endpoints, "b", "it belongs to the other zone")
 }
--- a/lib/tracker/tracker.go
+++ b/lib/tracker/tracker.go
@@ -1,20 +1,20 @@
-// Package tracker decides what happens to one request, from its arrival to its
-// one final answer.
+// Package tracker decides the steps of one request, from its arrival to its single
+// final answer.
 //
-// A Tracker is a pure state machine: the host applies what happened and carries
-// out the returned action, which leads to the next event. It has no goroutine,
-// socket or clock of its own.
+// A Tracker is a pure state machine: the host applies events and carries out the
+// returned actions, which lead to the next events. It has no goroutine, socket or
+// clock of its own.
 //
 // Invariants:
-//   - every request ends once, as answered, not run or unknown, and whatever
-//     happens after its end is ignored;
-//   - "not run" is said only if no byte of the request reached an endpoint, or
-//     each endpoint that it reached said that it did not start;
-//   - a request that may not repeat is sent only under a claim, and once a
+//   - every request ends once, as answered, not run or unknown, and events after
+//     its end are ignored;
+//   - the outcome is "not run" only if no byte of the request reached an endpoint, or
+//     every endpoint that it reached reported that it did not start the request;
+//   - a request that is not repeatable is sent only under a claim, and once a
 //     connection to an endpoint was made it is sent again only if that endpoint
-//     said that it did not start;
-//   - an answer of which the caller has a part is continued exactly where it
-//     stopped, or aborted, and never started again or ended cleanly.
+//     reported that it did not start the request;
+//   - a partially delivered answer is continued exactly where it stopped, or aborted,
+//     and never restarted or ended cleanly.
 package tracker
 
 import (
@@ -23,70 +23,72 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// State is how far a request has come.
+// State is the progress of a request.
 type State uint8
 
-// The states of a request. The zero value is where it starts.
+// The states of a request. The zero value is the initial state.
 const (
 	Received  State = iota
-	Queued          // it waits for a slot
-	Granted         // it has a slot; no byte has left
-	Claimed         // it has a slot and its idempotency key is claimed; no byte has left
+	Queued          // waiting for a slot
+	Granted         // holding a slot; no byte was sent
+	Claimed         // as Granted, and its idempotency key is claimed
 	Sent            // a connection was made: the endpoint may have started it
-	Answering       // as Sent, and the caller has a part of the answer
+	Answering       // as Sent, and the caller has received a part of the answer
 	Done
 )
 
-// retrySoon is when to come back after a fault that is likely to pass at once.
-const retrySoon = time.Second
+// shortRetryAfter is the retry delay reported after a fault that is likely to be brief.
+const shortRetryAfter = time.Second
 
-// Nature is what is known of a request when it arrives.
-type Nature struct {
-	// Repeatable says that running it twice does no harm.
+// Traits are the properties of a request that are known when it arrives.
+type Traits struct {
+	// Repeatable means that the request may run twice without harm.
 	Repeatable bool
-	// Replayable says that its body is kept and can be sent again.
+	// Replayable means that the body is kept and can be sent again.
 	Replayable bool
-	// Resumable says that its answer can be continued at another endpoint.
+	// Resumable means that another endpoint can continue a partial answer.
 	Resumable bool
-	// Attempts is how many endpoints it is sent to at most; 0 means 1.
+	// Attempts is the largest number of endpoints that the request is sent to; 0
+	// means 1.
 	Attempts int
 }
 
 // Budget limits the retries of a workspace.
 type Budget interface {
-	// Withdraw takes one retry out of the budget, or tells that it is empty.
+	// Withdraw takes one retry out of the budget. It returns false if the budget is
+	// empty.
 	Withdraw(now time.Time) bool
 }
 
-// Tracker is one request.
+// Tracker is the state machine of one request.
 type Tracker struct {
-	nature   Nature
-	budget   Budget
-	state    State
-	attempts int
-	claimed  bool // the claim is this request's, or may be
-	ran      bool // an earlier endpoint may have started it
-	begun    bool // the caller has a part of the answer
-	detached bool // the caller has gone, the answer is awaited for the record
+	traits         Traits
+	budget         Budget
+	state          State
+	attempts       int  // slots granted so far
+	claimed        bool // the claim belongs, or may belong, to this request
+	mayHaveStarted bool // an endpoint of an earlier attempt may have started the request
+	answerStarted  bool // the caller has received a part of the answer
+	detached       bool // the caller is gone; the answer of a claimed request is still awaited for the record
 }
 
-// New returns the tracker of a request that has been received.
-func New(nature Nature, budget Budget) *Tracker {
-	return &Tracker{nature: nature, budget: budget}
+// New returns the tracker of a newly received request.
+func New(nature Traits, budget Budget) *Tracker {
+	return &Tracker{traits: nature, budget: budget}
 }
 
-// State returns how far the request has come.
+// State returns the state of the request.
 func (t *Tracker) State() State {
 	return t.state
 }
 
-// Attempts returns how many slots the request has been granted.
+// Attempts returns the number of slots that the request was granted so far.
 func (t *Tracker) Attempts() int {
 	return t.attempts
 }
 
-// Apply takes what happened and returns what to do. An event that cannot
-// happen in the present state, such as one that comes late, changes nothing.
+// Apply applies an event and returns the action for the host. An event that is not
+// possible in the current state, such as a late one, has no effect.
 func (t *Tracker) Apply(now time.Time, event Event) Action {
 	if t.state == Done {
 		return Action{}
@@ -94,27 +96,28 @@
 	switch event.Kind {
 	case TimedOut:
 		return t.giveUp(CodeTimedOut, event.Retry)
-	case Stopped:
+	case RouterStopping:
 		return t.giveUp(CodeStopping, event.Retry)
-	case CallerLost:
-		return t.callerLost()
+	case CallerGone:
+		return t.callerGone()
 	}
 	switch t.state {
 	case Received, Queued:
-		return t.waiting(event)
+		return t.applyWaiting(event)
 	case Granted:
-		if t.nature.Repeatable {
-			return t.dialing(now, event)
+		if t.traits.Repeatable {
+			return t.applyDialing(now, event)
 		}
-		return t.claiming(event)
+		return t.applyClaiming(event)
 	case Claimed:
-		return t.dialing(now, event)
+		return t.applyDialing(now, event)
 	default:
-		return t.running(now, event)
+		return t.applyRunning(now, event)
 	}
 }
 
-func (t *Tracker) waiting(event Event) Action {
+// applyWaiting handles an event in the states Received and Queued.
+func (t *Tracker) applyWaiting(event Event) Action {
 	switch {
 	case event.Kind == Admitted && t.state == Received:
 		t.state = Queued
@@ -122,17 +125,19 @@
 	case event.Kind == Refused:
 		return t.end(event.Code, event.Retry, 0)
 	case event.Kind == SlotGranted && t.state == Queued:
-		return t.granted()
+		return t.slotGranted()
 	default:
 		return Action{}
 	}
 }
 
-func (t *Tracker) granted() Action {
+// slotGranted starts the next attempt. A request that is not repeatable has to claim
+// its idempotency key first, unless an earlier attempt did.
+func (t *Tracker) slotGranted() Action {
 	t.attempts++
 	t.state = Granted
 	switch {
-	case t.nature.Repeatable:
+	case t.traits.Repeatable:
 		return Action{Step: Send}
 	case t.claimed:
 		t.state = Claimed
@@ -142,9 +147,9 @@
 	}
 }
 
-// claiming handles the answer to a claim. The slot goes back unused unless the
+// applyClaiming handles the answer to a claim. The slot is released unused unless the
 // claim was granted.
-func (t *Tracker) claiming(event Event) Action {
+func (t *Tracker) applyClaiming(event Event) Action {
 	switch event.Kind {
 	case ClaimGranted:
 		t.claimed = true
@@ -156,15 +161,16 @@
 	case ClaimSpent:
 		t.state = Done
 		return Action{
-			Step: Tell, Slot: scheduler.Declined, Outcome: OutcomeUnknown, Code: CodeKeySpent, Retry: event.Retry,
+			Step: RespondError, Slot: scheduler.Declined, Outcome: OutcomeUnknown, Code: CodeKeySpent, Retry: event.Retry,
 		}
 	case ClaimMismatch:
 		return t.end(CodeKeyReused, 0, scheduler.Declined)
 	case ClaimFull:
 		return t.end(CodeQueueFull, event.Retry, scheduler.Declined)
-	case ClaimLost:
-		// The keepers may have granted the claim without our hearing of it. It is
-		// given back, or a resend would be told "unknown" of a request that never ran.
+	case ClaimUnanswered:
+		// The keepers may have granted the claim although their answer was lost. The
+		// claim is released, or else a resend would get the outcome "unknown" for a
+		// request that never ran.
 		t.claimed = true
 		return t.end(CodeNoQuorum, event.Retry, scheduler.Declined)
 	default:
@@ -172,42 +178,44 @@
 	}
 }
 
-func (t *Tracker) dialing(now time.Time, event Event) Action {
+// applyDialing handles the result of connecting to the endpoint.
+func (t *Tracker) applyDialing(now time.Time, event Event) Action {
 	switch event.Kind {
 	case Connected:
 		t.state = Sent
 		return Action{Step: Relay}
 	case Unreachable:
-		// No byte was read from the body, so that it need not be kept.
-		return t.again(now, scheduler.Unreachable, CodeNoEndpoint)
+		// No byte of the body was read, so a retry does not need a kept body.
+		return t.retry(now, scheduler.Unreachable, CodeNoEndpoint)
 	default:
 		return Action{}
 	}
 }
 
-func (t *Tracker) running(now time.Time, event Event) Action {
+// applyRunning handles an event in the states Sent and Answering.
+func (t *Tracker) applyRunning(now time.Time, event Event) Action {
 	switch event.Kind {
-	case Began:
+	case AnswerStarted:
 		t.state = Answering
-		t.begun = true
+		t.answerStarted = true
 		return Action{Step: Relay}
-	case Whole:
-		return t.whole(OutcomeAnswered, "")
-	case Closed:
-		return t.whole(OutcomeUnknown, CodeEndpointFailed)
-	case Broken:
-		return t.broken(now, event.Code)
+	case AnswerCompleted:
+		return t.completed(OutcomeAnswered, "")
+	case ConnectionClosed:
+		return t.completed(OutcomeUnknown, CodeEndpointFailed)
+	case AttemptFailed:
+		return t.attemptFailed(now, event.Code)
 	}
 	if t.state != Sent {
 		return Action{}
 	}
 	switch event.Kind {
 	case NotStarted:
-		t.state = Claimed // as if the connection had not been made
-		if !t.nature.Replayable {
-			return t.end(CodeNoEndpoint, retrySoon, scheduler.Refused)
+		t.state = Claimed // as before the connection was made
+		if !t.traits.Replayable {
+			return t.end(CodeNoEndpoint, shortRetryAfter, scheduler.Refused)
 		}
-		return t.again(now, scheduler.Refused, CodeNoEndpoint)
+		return t.retry(now, scheduler.Refused, CodeNoEndpoint)
 	case Rejected:
 		t.state = Claimed
 		return t.end(event.Code, 0, scheduler.Refused)
@@ -216,10 +224,12 @@
 	}
 }
 
-func (t *Tracker) whole(outcome Outcome, code Code) Action {
+// completed ends a request whose caller has the answer, unless it is detached. The
+// answer of a claimed request is recorded.
+func (t *Tracker) completed(outcome Outcome, code Code) Action {
 	action := Action{Step: Complete, Slot: scheduler.Done, Outcome: outcome, Code: code}
 	if t.detached {
-		action.Step = Vanish
+		action.Step = EndSilently
 	}
 	if t.claimed {
 		action.Claim = RecordAnswer
@@ -228,27 +238,30 @@
 	return action
 }
 
-func (t *Tracker) broken(now time.Time, final Code) Action {
-	resumable := t.nature.Resumable || !t.begun
-	if t.nature.Repeatable && t.nature.Replayable && resumable && final == "" {
-		t.ran = true
-		return t.again(now, scheduler.Failed, CodeEndpointFailed)
+// attemptFailed retries a failed attempt if the request may run twice and its answer
+// has not started or can be resumed. A code in final rules a retry out.
+func (t *Tracker) attemptFailed(now time.Time, final Code) Action {
+	resumable := t.traits.Resumable || !t.answerStarted
+	if t.traits.Repeatable && t.traits.Replayable && resumable && final == "" {
+		t.mayHaveStarted = true
+		return t.retry(now, scheduler.Failed, CodeEndpointFailed)
 	}
 	return t.end(CodeEndpointFailed, 0, scheduler.Failed)
 }
 
-// again sends the request to another endpoint, unless it has had its attempts
-// or its workspace has used up its budget: retries without a limit multiply an
-// outage.
-func (t *Tracker) again(now time.Time, slot scheduler.Ending, otherwise Code) Action {
-	if t.detached || t.attempts >= t.nature.Attempts || !t.budget.Withdraw(now) {
-		return t.end(otherwise, retrySoon, slot)
+// retry queues the request for another endpoint. It ends the request with the code
+// otherwise if the caller is gone, the attempts are used up, or the workspace's retry
+// budget is empty: unlimited retries amplify an outage.
+func (t *Tracker) retry(now time.Time, slot scheduler.Ending, otherwise Code) Action {
+	if t.detached || t.attempts >= t.traits.Attempts || !t.budget.Withdraw(now) {
+		return t.end(otherwise, shortRetryAfter, slot)
 	}
 	t.state = Queued
 	return Action{Step: Enrol, Slot: slot}
 }
 
-// giveUp ends a request whose time is over, or whose router stops.
+// giveUp ends a request on a timeout, on the router's shutdown, or when its caller is
+// gone.
 func (t *Tracker) giveUp(code Code, retry time.Duration) Action {
 	if t.claimPending() {
 		t.claimed = true
@@ -259,24 +272,25 @@
 	return t.end(code, retry, 0)
 }
 
-// claimPending tells whether a claim is on its way whose answer will not be awaited.
+// claimPending reports whether a claim was sent and is not answered yet.
 func (t *Tracker) claimPending() bool {
-	return t.state == Granted && !t.nature.Repeatable
+	return t.state == Granted && !t.traits.Repeatable
 }
 
+// holdsSlot reports whether the request has a slot to release.
 func (t *Tracker) holdsSlot() bool {
 	return t.state != Received && t.state != Queued
 }
 
-// mayHaveRun tells whether any endpoint may have started the request.
+// mayHaveRun reports whether any endpoint may have started the request.
 func (t *Tracker) mayHaveRun() bool {
-	return t.ran || t.state == Sent || t.state == Answering
+	return t.mayHaveStarted || t.state == Sent || t.state == Answering
 }
 
-// callerLost cancels the work at the endpoint, unless it may not repeat and may
-// have started: then its answer is awaited for the record, so that the caller
-// that sends it again hears what became of it.
-func (t *Tracker) callerLost() Action {
+// callerGone cancels the request. A claimed request that may have started is not
+// cancelled: its answer is awaited and recorded, so that a resend with the same key
+// gets the result.
+func (t *Tracker) callerGone() Action {
 	if t.claimed && (t.state == Sent || t.state == Answering) {
 		if t.detached {
 			return Action{}
@@ -288,28 +302,29 @@
 	return t.giveUp(CodeCallerGone, 0)
 }
 
-// end is the final answer of a request that is not answered.
+// end ends a request without an answer from an endpoint, and returns the action that
+// reports this to the caller.
 func (t *Tracker) end(code Code, retry time.Duration, slot scheduler.Ending) Action {
-	action := Action{Step: Tell, Slot: slot, Outcome: OutcomeNotRun, Code: code, Retry: retry}
+	action := Action{Step: RespondError, Slot: slot, Outcome: OutcomeNotRun, Code: code, Retry: retry}
 	if t.mayHaveRun() {
 		action.Outcome = OutcomeUnknown
-		action.Code = afterRunning(code)
+		action.Code = codeAfterStart(code)
 	} else if t.claimed {
-		action.Claim = Free
+		action.Claim = FreeClaim
 	}
 	switch {
 	case t.detached:
-		action.Step = Vanish
-	case t.begun:
+		action.Step = EndSilently
+	case t.answerStarted:
 		action.Step = Abort
 	}
 	t.state = Done
 	return action
 }
 
-// afterRunning is the code for a request that may have run: reasons that would
-// refuse a request say nothing true about one that was sent already.
-func afterRunning(code Code) Code {
+// codeAfterStart returns the code for a request that may have run. Codes that mean a
+// refusal would be wrong for a request that was already sent.
+func codeAfterStart(code Code) Code {
 	switch code {
 	case CodeTimedOut, CodeStopping, CodeCallerGone:
 		return code
--- a/lib/tracker/tracker_test.go
+++ b/lib/tracker/tracker_test.go
@@ -12,39 +12,39 @@
 	"shallotkeel.example/lib/tracker"
 )
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// retries is a budget of so many retries.
-type retries int
+// retryBudget is a budget with a fixed number of retries.
+type retryBudget int
 
-func (r *retries) Withdraw(time.Time) bool {
+func (r *retryBudget) Withdraw(time.Time) bool {
 	*r--
 	return *r >= 0
 }
 
 var (
-	chat   = tracker.Nature{Repeatable: true, Replayable: true, Resumable: true, Attempts: 4}
-	get    = tracker.Nature{Repeatable: true, Replayable: true, Attempts: 4}
-	upload = tracker.Nature{Repeatable: true, Attempts: 4}
-	bid    = tracker.Nature{Replayable: true, Attempts: 4}
+	chat   = tracker.Traits{Repeatable: true, Replayable: true, Resumable: true, Attempts: 4}
+	get    = tracker.Traits{Repeatable: true, Replayable: true, Attempts: 4}
+	upload = tracker.Traits{Repeatable: true, Attempts: 4}
+	bid    = tracker.Traits{Replayable: true, Attempts: 4}
 )
 
-// then returns a longer sequence and leaves the shorter one as it is.
-func then(before []tracker.EventKind, next ...tracker.EventKind) []tracker.EventKind {
+// followedBy returns a new sequence: before, followed by next.
+func followedBy(before []tracker.EventKind, next ...tracker.EventKind) []tracker.EventKind {
 	return slices.Concat(before, next)
 }
 
-// every lists all events, the last one last.
-func every() []tracker.EventKind {
+// allEvents returns all kinds of events.
+func allEvents() []tracker.EventKind {
 	var kinds []tracker.EventKind
-	for kind := tracker.Admitted; kind <= tracker.Stopped; kind++ {
+	for kind := tracker.Admitted; kind <= tracker.RouterStopping; kind++ {
 		kinds = append(kinds, kind)
 	}
 	return kinds
 }
 
-// want is what an event does. The zero value is what every event does that is
-// not named: nothing.
+// want is the expected effect of an event. The zero value is no effect, as for every
+// event that a test case does not list.
 type want struct {
 	step    tracker.Step
 	state   tracker.State
@@ -55,194 +55,197 @@
 }
 
 func notRun(code tracker.Code) want {
-	return want{step: tracker.Tell, state: tracker.Done, outcome: tracker.OutcomeNotRun, code: code}
+	return want{step: tracker.RespondError, state: tracker.Done, outcome: tracker.OutcomeNotRun, code: code}
 }
 
 func unknown(code tracker.Code) want {
-	return want{step: tracker.Tell, state: tracker.Done, outcome: tracker.OutcomeUnknown, code: code}
+	return want{step: tracker.RespondError, state: tracker.Done, outcome: tracker.OutcomeUnknown, code: code}
 }
 
-func (w want) slotBack(ending scheduler.Ending) want {
+func (w want) withSlot(ending scheduler.Ending) want {
 	w.slot = ending
 	return w
 }
 
-func (w want) settled(claim tracker.Settlement) want {
+func (w want) withClaim(claim tracker.Settlement) want {
 	w.claim = claim
 	return w
 }
 
-func (w want) by(step tracker.Step) want {
+func (w want) withStep(step tracker.Step) want {
 	w.step = step
 	return w
 }
 
+// Applies every event in every state and compares the action and the next state with
+// a table.
 func TestEveryEventInEveryState(t *testing.T) {
 	queued := []tracker.EventKind{tracker.Admitted}
-	granted := then(queued, tracker.SlotGranted)
-	claimed := then(granted, tracker.ClaimGranted)
-	sent := then(granted, tracker.Connected)
-	claimedSent := then(claimed, tracker.Connected)
-	answering := then(sent, tracker.Began)
-	claimedAnswering := then(claimedSent, tracker.Began)
+	granted := followedBy(queued, tracker.SlotGranted)
+	claimed := followedBy(granted, tracker.ClaimGranted)
+	sent := followedBy(granted, tracker.Connected)
+	claimedSent := followedBy(claimed, tracker.Connected)
+	answering := followedBy(sent, tracker.AnswerStarted)
+	claimedAnswering := followedBy(claimedSent, tracker.AnswerStarted)
 	again := want{step: tracker.Enrol, state: tracker.Queued}
 	for name, test := range map[string]struct {
-		nature tracker.Nature
+		traits tracker.Traits
 		before []tracker.EventKind
 		wants  map[tracker.EventKind]want
 	}{
 		"received": {chat, nil, map[tracker.EventKind]want{
-			tracker.Admitted:   {step: tracker.Enrol, state: tracker.Queued},
-			tracker.Refused:    notRun(tracker.CodeQueueFull),
-			tracker.CallerLost: notRun(tracker.CodeCallerGone).by(tracker.Vanish),
-			tracker.TimedOut:   notRun(tracker.CodeTimedOut),
-			tracker.Stopped:    notRun(tracker.CodeStopping),
+			tracker.Admitted:       {step: tracker.Enrol, state: tracker.Queued},
+			tracker.Refused:        notRun(tracker.CodeQueueFull),
+			tracker.CallerGone:     notRun(tracker.CodeCallerGone).withStep(tracker.EndSilently),
+			tracker.TimedOut:       notRun(tracker.CodeTimedOut),
+			tracker.RouterStopping: notRun(tracker.CodeStopping),
 		}},
 		"queued": {chat, queued, map[tracker.EventKind]want{
-			tracker.SlotGranted: {step: tracker.Send, state: tracker.Granted},
-			tracker.Refused:     notRun(tracker.CodeQueueFull),
-			tracker.CallerLost:  notRun(tracker.CodeCallerGone).by(tracker.Vanish),
-			tracker.TimedOut:    notRun(tracker.CodeTimedOut),
-			tracker.Stopped:     notRun(tracker.CodeStopping),
+			tracker.SlotGranted:    {step: tracker.Send, state: tracker.Granted},
+			tracker.Refused:        notRun(tracker.CodeQueueFull),
+			tracker.CallerGone:     notRun(tracker.CodeCallerGone).withStep(tracker.EndSilently),
+			tracker.TimedOut:       notRun(tracker.CodeTimedOut),
+			tracker.RouterStopping: notRun(tracker.CodeStopping),
 		}},
 		"queued, not repeatable": {bid, queued, map[tracker.EventKind]want{
-			tracker.SlotGranted: {step: tracker.Claim, state: tracker.Granted},
-			tracker.Refused:     notRun(tracker.CodeQueueFull),
-			tracker.CallerLost:  notRun(tracker.CodeCallerGone).by(tracker.Vanish),
-			tracker.TimedOut:    notRun(tracker.CodeTimedOut),
-			tracker.Stopped:     notRun(tracker.CodeStopping),
+			tracker.SlotGranted:    {step: tracker.Claim, state: tracker.Granted},
+			tracker.Refused:        notRun(tracker.CodeQueueFull),
+			tracker.CallerGone:     notRun(tracker.CodeCallerGone).withStep(tracker.EndSilently),
+			tracker.TimedOut:       notRun(tracker.CodeTimedOut),
+			tracker.RouterStopping: notRun(tracker.CodeStopping),
 		}},
-		"queued again after a break": {chat, then(sent, tracker.Broken), map[tracker.EventKind]want{
-			tracker.SlotGranted: {step: tracker.Send, state: tracker.Granted},
-			tracker.Refused:     unknown(tracker.CodeEndpointFailed),
-			tracker.CallerLost:  unknown(tracker.CodeCallerGone).by(tracker.Vanish),
-			tracker.TimedOut:    unknown(tracker.CodeTimedOut),
-			tracker.Stopped:     unknown(tracker.CodeStopping),
+		"queued again after a failed attempt": {chat, followedBy(sent, tracker.AttemptFailed), map[tracker.EventKind]want{
+			tracker.SlotGranted:    {step: tracker.Send, state: tracker.Granted},
+			tracker.Refused:        unknown(tracker.CodeEndpointFailed),
+			tracker.CallerGone:     unknown(tracker.CodeCallerGone).withStep(tracker.EndSilently),
+			tracker.TimedOut:       unknown(tracker.CodeTimedOut),
+			tracker.RouterStopping: unknown(tracker.CodeStopping),
 		}},
-		"queued again mid-stream": {chat, then(answering, tracker.Broken), map[tracker.EventKind]want{
-			tracker.SlotGranted: {step: tracker.Send, state: tracker.Granted},
-			tracker.Refused:     unknown(tracker.CodeEndpointFailed).by(tracker.Abort),
-			tracker.CallerLost:  unknown(tracker.CodeCallerGone).by(tracker.Vanish),
-			tracker.TimedOut:    unknown(tracker.CodeTimedOut).by(tracker.Abort),
-			tracker.Stopped:     unknown(tracker.CodeStopping).by(tracker.Abort),
+		"queued again mid-stream": {chat, followedBy(answering, tracker.AttemptFailed), map[tracker.EventKind]want{
+			tracker.SlotGranted:    {step: tracker.Send, state: tracker.Granted},
+			tracker.Refused:        unknown(tracker.CodeEndpointFailed).withStep(tracker.Abort),
+			tracker.CallerGone:     unknown(tracker.CodeCallerGone).withStep(tracker.EndSilently),
+			tracker.TimedOut:       unknown(tracker.CodeTimedOut).withStep(tracker.Abort),
+			tracker.RouterStopping: unknown(tracker.CodeStopping).withStep(tracker.Abort),
 		}},
-		"queued again, claimed": {bid, then(claimedSent, tracker.NotStarted), map[tracker.EventKind]want{
-			tracker.SlotGranted: {step: tracker.Send, state: tracker.Claimed},
-			tracker.Refused:     notRun(tracker.CodeQueueFull).settled(tracker.Free),
-			tracker.CallerLost:  notRun(tracker.CodeCallerGone).by(tracker.Vanish).settled(tracker.Free),
-			tracker.TimedOut:    notRun(tracker.CodeTimedOut).settled(tracker.Free),
-			tracker.Stopped:     notRun(tracker.CodeStopping).settled(tracker.Free),
+		"queued again, claimed": {bid, followedBy(claimedSent, tracker.NotStarted), map[tracker.EventKind]want{
+			tracker.SlotGranted:    {step: tracker.Send, state: tracker.Claimed},
+			tracker.Refused:        notRun(tracker.CodeQueueFull).withClaim(tracker.FreeClaim),
+			tracker.CallerGone:     notRun(tracker.CodeCallerGone).withStep(tracker.EndSilently).withClaim(tracker.FreeClaim),
+			tracker.TimedOut:       notRun(tracker.CodeTimedOut).withClaim(tracker.FreeClaim),
+			tracker.RouterStopping: notRun(tracker.CodeStopping).withClaim(tracker.FreeClaim),
 		}},
 		"granted": {chat, granted, map[tracker.EventKind]want{
-			tracker.Connected:   {step: tracker.Relay, state: tracker.Sent},
-			tracker.Unreachable: again.slotBack(scheduler.Unreachable),
-			tracker.CallerLost:  notRun(tracker.CodeCallerGone).by(tracker.Vanish).slotBack(scheduler.Cancelled),
-			tracker.TimedOut:    notRun(tracker.CodeTimedOut).slotBack(scheduler.Cancelled),
-			tracker.Stopped:     notRun(tracker.CodeStopping).slotBack(scheduler.Cancelled),
+			tracker.Connected:      {step: tracker.Relay, state: tracker.Sent},
+			tracker.Unreachable:    again.withSlot(scheduler.Unreachable),
+			tracker.CallerGone:     notRun(tracker.CodeCallerGone).withStep(tracker.EndSilently).withSlot(scheduler.Cancelled),
+			tracker.TimedOut:       notRun(tracker.CodeTimedOut).withSlot(scheduler.Cancelled),
+			tracker.RouterStopping: notRun(tracker.CodeStopping).withSlot(scheduler.Cancelled),
 		}},
 		"granted, not repeatable": {bid, granted, map[tracker.EventKind]want{
-			tracker.ClaimGranted:  {step: tracker.Send, state: tracker.Claimed},
-			tracker.ClaimSpent:    unknown(tracker.CodeKeySpent).slotBack(scheduler.Declined),
-			tracker.ClaimRecorded: {step: tracker.Replay, state: tracker.Done, slot: scheduler.Declined, outcome: tracker.OutcomeAnswered},
-			tracker.ClaimMismatch: notRun(tracker.CodeKeyReused).slotBack(scheduler.Declined),
-			tracker.ClaimFull:     notRun(tracker.CodeQueueFull).slotBack(scheduler.Declined),
-			tracker.ClaimLost:     notRun(tracker.CodeNoQuorum).slotBack(scheduler.Declined).settled(tracker.Free),
-			tracker.CallerLost:    notRun(tracker.CodeCallerGone).by(tracker.Vanish).slotBack(scheduler.Cancelled).settled(tracker.Free),
-			tracker.TimedOut:      notRun(tracker.CodeTimedOut).slotBack(scheduler.Cancelled).settled(tracker.Free),
-			tracker.Stopped:       notRun(tracker.CodeStopping).slotBack(scheduler.Cancelled).settled(tracker.Free),
+			tracker.ClaimGranted:    {step: tracker.Send, state: tracker.Claimed},
+			tracker.ClaimSpent:      unknown(tracker.CodeKeySpent).withSlot(scheduler.Declined),
+			tracker.ClaimRecorded:   {step: tracker.Replay, state: tracker.Done, slot: scheduler.Declined, outcome: tracker.OutcomeAnswered},
+			tracker.ClaimMismatch:   notRun(tracker.CodeKeyReused).withSlot(scheduler.Declined),
+			tracker.ClaimFull:       notRun(tracker.CodeQueueFull).withSlot(scheduler.Declined),
+			tracker.ClaimUnanswered: notRun(tracker.CodeNoQuorum).withSlot(scheduler.Declined).withClaim(tracker.FreeClaim),
+			tracker.CallerGone:      notRun(tracker.CodeCallerGone).withStep(tracker.EndSilently).withSlot(scheduler.Cancelled).withClaim(tracker.FreeClaim),
+			tracker.TimedOut:        notRun(tracker.CodeTimedOut).withSlot(scheduler.Cancelled).withClaim(tracker.FreeClaim),
+			tracker.RouterStopping:  notRun(tracker.CodeStopping).withSlot(scheduler.Cancelled).withClaim(tracker.FreeClaim),
 		}},
 		"claimed": {bid, claimed, map[tracker.EventKind]want{
-			tracker.Connected:   {step: tracker.Relay, state: tracker.Sent},
-			tracker.Unreachable: again.slotBack(scheduler.Unreachable),
-			tracker.CallerLost:  notRun(tracker.CodeCallerGone).by(tracker.Vanish).slotBack(scheduler.Cancelled).settled(tracker.Free),
-			tracker.TimedOut:    notRun(tracker.CodeTimedOut).slotBack(scheduler.Cancelled).settled(tracker.Free),
-			tracker.Stopped:     notRun(tracker.CodeStopping).slotBack(scheduler.Cancelled).settled(tracker.Free),
+			tracker.Connected:      {step: tracker.Relay, state: tracker.Sent},
+			tracker.Unreachable:    again.withSlot(scheduler.Unreachable),
+			tracker.CallerGone:     notRun(tracker.CodeCallerGone).withStep(tracker.EndSilently).withSlot(scheduler.Cancelled).withClaim(tracker.FreeClaim),
+			tracker.TimedOut:       notRun(tracker.CodeTimedOut).withSlot(scheduler.Cancelled).withClaim(tracker.FreeClaim),
+			tracker.RouterStopping: notRun(tracker.CodeStopping).withSlot(scheduler.Cancelled).withClaim(tracker.FreeClaim),
 		}},
 		"sent": {get, sent, map[tracker.EventKind]want{
-			tracker.Began:      {step: tracker.Relay, state: tracker.Answering},
-			tracker.Whole:      {step: tracker.Complete, state: tracker.Done, slot: scheduler.Done, outcome: tracker.OutcomeAnswered},
-			tracker.Broken:     again.slotBack(scheduler.Failed),
-			tracker.NotStarted: again.slotBack(scheduler.Refused),
-			tracker.Rejected:   notRun(tracker.CodeBadBody).slotBack(scheduler.Refused),
-			tracker.CallerLost: unknown(tracker.CodeCallerGone).by(tracker.Vanish).slotBack(scheduler.Cancelled),
-			tracker.TimedOut:   unknown(tracker.CodeTimedOut).slotBack(scheduler.Cancelled),
-			tracker.Stopped:    unknown(tracker.CodeStopping).slotBack(scheduler.Cancelled),
+			tracker.AnswerStarted:   {step: tracker.Relay, state: tracker.Answering},
+			tracker.AnswerCompleted: {step: tracker.Complete, state: tracker.Done, slot: scheduler.Done, outcome: tracker.OutcomeAnswered},
+			tracker.AttemptFailed:   again.withSlot(scheduler.Failed),
+			tracker.NotStarted:      again.withSlot(scheduler.Refused),
+			tracker.Rejected:        notRun(tracker.CodeBadBody).withSlot(scheduler.Refused),
+			tracker.CallerGone:      unknown(tracker.CodeCallerGone).withStep(tracker.EndSilently).withSlot(scheduler.Cancelled),
+			tracker.TimedOut:        unknown(tracker.CodeTimedOut).withSlot(scheduler.Cancelled),
+			tracker.RouterStopping:  unknown(tracker.CodeStopping).withSlot(scheduler.Cancelled),
 		}},
 		"sent, body not kept": {upload, sent, map[tracker.EventKind]want{
-			tracker.Began:      {step: tracker.Relay, state: tracker.Answering},
-			tracker.Whole:      {step: tracker.Complete, state: tracker.Done, slot: scheduler.Done, outcome: tracker.OutcomeAnswered},
-			tracker.Broken:     unknown(tracker.CodeEndpointFailed).slotBack(scheduler.Failed),
-			tracker.NotStarted: notRun(tracker.CodeNoEndpoint).slotBack(scheduler.Refused),
-			tracker.Rejected:   notRun(tracker.CodeBadBody).slotBack(scheduler.Refused),
-			tracker.CallerLost: unknown(tracker.CodeCallerGone).by(tracker.Vanish).slotBack(scheduler.Cancelled),
-			tracker.TimedOut:   unknown(tracker.CodeTimedOut).slotBack(scheduler.Cancelled),
-			tracker.Stopped:    unknown(tracker.CodeStopping).slotBack(scheduler.Cancelled),
+			tracker.AnswerStarted:   {step: tracker.Relay, state: tracker.Answering},
+			tracker.AnswerCompleted: {step: tracker.Complete, state: tracker.Done, slot: scheduler.Done, outcome: tracker.OutcomeAnswered},
+			tracker.AttemptFailed:   unknown(tracker.CodeEndpointFailed).withSlot(scheduler.Failed),
+			tracker.NotStarted:      notRun(tracker.CodeNoEndpoint).withSlot(scheduler.Refused),
+			tracker.Rejected:        notRun(tracker.CodeBadBody).withSlot(scheduler.Refused),
+			tracker.CallerGone:      unknown(tracker.CodeCallerGone).withStep(tracker.EndSilently).withSlot(scheduler.Cancelled),
+			tracker.TimedOut:        unknown(tracker.CodeTimedOut).withSlot(scheduler.Cancelled),
+			tracker.RouterStopping:  unknown(tracker.CodeStopping).withSlot(scheduler.Cancelled),
 		}},
 		"sent, not repeatable": {bid, claimedSent, map[tracker.EventKind]want{
-			tracker.Began: {step: tracker.Relay, state: tracker.Answering},
-			tracker.Whole: {
+			tracker.AnswerStarted: {step: tracker.Relay, state: tracker.Answering},
+			tracker.AnswerCompleted: {
 				step: tracker.Complete, state: tracker.Done, slot: scheduler.Done,
 				claim: tracker.RecordAnswer, outcome: tracker.OutcomeAnswered,
 			},
-			tracker.Broken:     unknown(tracker.CodeEndpointFailed).slotBack(scheduler.Failed),
-			tracker.NotStarted: again.slotBack(scheduler.Refused),
-			tracker.Rejected:   notRun(tracker.CodeBadBody).slotBack(scheduler.Refused).settled(tracker.Free),
-			tracker.CallerLost: {step: tracker.Detach, state: tracker.Sent},
-			tracker.TimedOut:   unknown(tracker.CodeTimedOut).slotBack(scheduler.Cancelled),
-			tracker.Stopped:    unknown(tracker.CodeStopping).slotBack(scheduler.Cancelled),
+			tracker.AttemptFailed:  unknown(tracker.CodeEndpointFailed).withSlot(scheduler.Failed),
+			tracker.NotStarted:     again.withSlot(scheduler.Refused),
+			tracker.Rejected:       notRun(tracker.CodeBadBody).withSlot(scheduler.Refused).withClaim(tracker.FreeClaim),
+			tracker.CallerGone:     {step: tracker.Detach, state: tracker.Sent},
+			tracker.TimedOut:       unknown(tracker.CodeTimedOut).withSlot(scheduler.Cancelled),
+			tracker.RouterStopping: unknown(tracker.CodeStopping).withSlot(scheduler.Cancelled),
 		}},
-		"sent, not repeatable, caller gone": {bid, then(claimedSent, tracker.CallerLost), map[tracker.EventKind]want{
-			tracker.Began: {step: tracker.Relay, state: tracker.Answering},
-			tracker.Whole: {
-				step: tracker.Vanish, state: tracker.Done, slot: scheduler.Done,
+		"sent, not repeatable, caller gone": {bid, followedBy(claimedSent, tracker.CallerGone), map[tracker.EventKind]want{
+			tracker.AnswerStarted: {step: tracker.Relay, state: tracker.Answering},
+			tracker.AnswerCompleted: {
+				step: tracker.EndSilently, state: tracker.Done, slot: scheduler.Done,
 				claim: tracker.RecordAnswer, outcome: tracker.OutcomeAnswered,
 			},
-			tracker.Broken:     unknown(tracker.CodeEndpointFailed).by(tracker.Vanish).slotBack(scheduler.Failed),
-			tracker.NotStarted: notRun(tracker.CodeNoEndpoint).by(tracker.Vanish).slotBack(scheduler.Refused).settled(tracker.Free),
-			tracker.Rejected:   notRun(tracker.CodeBadBody).by(tracker.Vanish).slotBack(scheduler.Refused).settled(tracker.Free),
-			tracker.TimedOut:   unknown(tracker.CodeTimedOut).by(tracker.Vanish).slotBack(scheduler.Cancelled),
-			tracker.Stopped:    unknown(tracker.CodeStopping).by(tracker.Vanish).slotBack(scheduler.Cancelled),
+			tracker.AttemptFailed:  unknown(tracker.CodeEndpointFailed).withStep(tracker.EndSilently).withSlot(scheduler.Failed),
+			tracker.NotStarted:     notRun(tracker.CodeNoEndpoint).withStep(tracker.EndSilently).withSlot(scheduler.Refused).withClaim(tracker.FreeClaim),
+			tracker.Rejected:       notRun(tracker.CodeBadBody).withStep(tracker.EndSilently).withSlot(scheduler.Refused).withClaim(tracker.FreeClaim),
+			tracker.TimedOut:       unknown(tracker.CodeTimedOut).withStep(tracker.EndSilently).withSlot(scheduler.Cancelled),
+			tracker.RouterStopping: unknown(tracker.CodeStopping).withStep(tracker.EndSilently).withSlot(scheduler.Cancelled),
 		}},
 		"answering, resumable": {chat, answering, map[tracker.EventKind]want{
-			tracker.Began:      {step: tracker.Relay, state: tracker.Answering},
-			tracker.Whole:      {step: tracker.Complete, state: tracker.Done, slot: scheduler.Done, outcome: tracker.OutcomeAnswered},
-			tracker.Broken:     again.slotBack(scheduler.Failed),
-			tracker.CallerLost: unknown(tracker.CodeCallerGone).by(tracker.Vanish).slotBack(scheduler.Cancelled),
-			tracker.TimedOut:   unknown(tracker.CodeTimedOut).by(tracker.Abort).slotBack(scheduler.Cancelled),
-			tracker.Stopped:    unknown(tracker.CodeStopping).by(tracker.Abort).slotBack(scheduler.Cancelled),
+			tracker.AnswerStarted:   {step: tracker.Relay, state: tracker.Answering},
+			tracker.AnswerCompleted: {step: tracker.Complete, state: tracker.Done, slot: scheduler.Done, outcome: tracker.OutcomeAnswered},
+			tracker.AttemptFailed:   again.withSlot(scheduler.Failed),
+			tracker.CallerGone:      unknown(tracker.CodeCallerGone).withStep(tracker.EndSilently).withSlot(scheduler.Cancelled),
+			tracker.TimedOut:        unknown(tracker.CodeTimedOut).withStep(tracker.Abort).withSlot(scheduler.Cancelled),
+			tracker.RouterStopping:  unknown(tracker.CodeStopping).withStep(tracker.Abort).withSlot(scheduler.Cancelled),
 		}},
 		"answering, not resumable": {get, answering, map[tracker.EventKind]want{
-			tracker.Began:      {step: tracker.Relay, state: tracker.Answering},
-			tracker.Whole:      {step: tracker.Complete, state: tracker.Done, slot: scheduler.Done, outcome: tracker.OutcomeAnswered},
-			tracker.Broken:     unknown(tracker.CodeEndpointFailed).by(tracker.Abort).slotBack(scheduler.Failed),
-			tracker.CallerLost: unknown(tracker.CodeCallerGone).by(tracker.Vanish).slotBack(scheduler.Cancelled),
-			tracker.TimedOut:   unknown(tracker.CodeTimedOut).by(tracker.Abort).slotBack(scheduler.Cancelled),
-			tracker.Stopped:    unknown(tracker.CodeStopping).by(tracker.Abort).slotBack(scheduler.Cancelled),
+			tracker.AnswerStarted:   {step: tracker.Relay, state: tracker.Answering},
+			tracker.AnswerCompleted: {step: tracker.Complete, state: tracker.Done, slot: scheduler.Done, outcome: tracker.OutcomeAnswered},
+			tracker.AttemptFailed:   unknown(tracker.CodeEndpointFailed).withStep(tracker.Abort).withSlot(scheduler.Failed),
+			tracker.CallerGone:      unknown(tracker.CodeCallerGone).withStep(tracker.EndSilently).withSlot(scheduler.Cancelled),
+			tracker.TimedOut:        unknown(tracker.CodeTimedOut).withStep(tracker.Abort).withSlot(scheduler.Cancelled),
+			tracker.RouterStopping:  unknown(tracker.CodeStopping).withStep(tracker.Abort).withSlot(scheduler.Cancelled),
 		}},
 		"answering, not repeatable": {bid, claimedAnswering, map[tracker.EventKind]want{
-			tracker.Began: {step: tracker.Relay, state: tracker.Answering},
-			tracker.Whole: {
+			tracker.AnswerStarted: {step: tracker.Relay, state: tracker.Answering},
+			tracker.AnswerCompleted: {
 				step: tracker.Complete, state: tracker.Done, slot: scheduler.Done,
 				claim: tracker.RecordAnswer, outcome: tracker.OutcomeAnswered,
 			},
-			tracker.Broken:     unknown(tracker.CodeEndpointFailed).by(tracker.Abort).slotBack(scheduler.Failed),
-			tracker.CallerLost: {step: tracker.Detach, state: tracker.Answering},
-			tracker.TimedOut:   unknown(tracker.CodeTimedOut).by(tracker.Abort).slotBack(scheduler.Cancelled),
-			tracker.Stopped:    unknown(tracker.CodeStopping).by(tracker.Abort).slotBack(scheduler.Cancelled),
+			tracker.AttemptFailed:  unknown(tracker.CodeEndpointFailed).withStep(tracker.Abort).withSlot(scheduler.Failed),
+			tracker.CallerGone:     {step: tracker.Detach, state: tracker.Answering},
+			tracker.TimedOut:       unknown(tracker.CodeTimedOut).withStep(tracker.Abort).withSlot(scheduler.Cancelled),
+			tracker.RouterStopping: unknown(tracker.CodeStopping).withStep(tracker.Abort).withSlot(scheduler.Cancelled),
 		}},
-		"done": {chat, then(answering, tracker.Whole), nil},
+		"done": {chat, followedBy(answering, tracker.AnswerCompleted), nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if closed, whole := test.wants[tracker.Whole]; whole {
-				// An end that tells nothing is as an end, but for what the caller is told.
+			if closed, found := test.wants[tracker.AnswerCompleted]; found {
+				// ConnectionClosed has the effect of AnswerCompleted, with another outcome
+				// and code.
 				closed.outcome, closed.code = tracker.OutcomeUnknown, tracker.CodeEndpointFailed
-				test.wants[tracker.Closed] = closed
+				test.wants[tracker.ConnectionClosed] = closed
 			}
-			for _, kind := range every() {
-				budget := retries(10)
-				machine := tracker.New(test.nature, &budget)
+			for _, kind := range allEvents() {
+				budget := retryBudget(10)
+				machine := tracker.New(test.traits, &budget)
 				for _, before := range test.before {
-					machine.Apply(start, tracker.Event{Kind: before})
+					machine.Apply(testStart, tracker.Event{Kind: before})
 				}
 				expected, handled := test.wants[kind]
 				if !handled {
@@ -252,10 +255,10 @@
 				switch kind {
 				case tracker.Rejected:
 					event.Code = tracker.CodeBadBody
-				case tracker.Broken:
+				case tracker.AttemptFailed:
 					event.Code = ""
 				}
-				action := machine.Apply(start, event)
+				action := machine.Apply(testStart, event)
 				got := want{action.Step, machine.State(), action.Slot, action.Claim, action.Outcome, action.Code}
 				require.Equal(t, expected, got, "event %d", kind)
 			}
@@ -263,38 +266,40 @@
 	}
 }
 
-func TestRetriesEnd(t *testing.T) {
+// Guards against a request that is sent more often than its attempts, its workspace's
+// budget or the kind of failure allow.
+func TestRetriesAreBounded(t *testing.T) {
 	for name, test := range map[string]struct {
-		nature  tracker.Nature
-		budget  retries
+		traits  tracker.Traits
+		budget  retryBudget
 		failure tracker.EventKind
 		final   tracker.Code
 		sends   int
 		outcome tracker.Outcome
 	}{
 		"attempts used up, unreachable": {chat, 10, tracker.Unreachable, "", 4, tracker.OutcomeNotRun},
-		"attempts used up, broken":      {chat, 10, tracker.Broken, "", 4, tracker.OutcomeUnknown},
-		"budget empty":                  {chat, 1, tracker.Broken, "", 2, tracker.OutcomeUnknown},
+		"attempts used up, failed":      {chat, 10, tracker.AttemptFailed, "", 4, tracker.OutcomeUnknown},
+		"budget empty":                  {chat, 1, tracker.AttemptFailed, "", 2, tracker.OutcomeUnknown},
 		"no budget":                     {chat, 0, tracker.Unreachable, "", 1, tracker.OutcomeNotRun},
-		"bid broken":                    {bid, 10, tracker.Broken, "", 1, tracker.OutcomeUnknown},
+		"bid failed":                    {bid, 10, tracker.AttemptFailed, "", 1, tracker.OutcomeUnknown},
 		"bid not started":               {bid, 10, tracker.NotStarted, "", 4, tracker.OutcomeNotRun},
-		"no endpoint would do better":   {chat, 10, tracker.Broken, tracker.CodeEndpointFailed, 1, tracker.OutcomeUnknown},
+		"no endpoint would succeed":     {chat, 10, tracker.AttemptFailed, tracker.CodeEndpointFailed, 1, tracker.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			machine := tracker.New(test.nature, &test.budget)
+			machine := tracker.New(test.traits, &test.budget)
 			sends := 0
-			action := machine.Apply(start, tracker.Event{Kind: tracker.Admitted})
+			action := machine.Apply(testStart, tracker.Event{Kind: tracker.Admitted})
 			for action.Step == tracker.Enrol {
-				action = machine.Apply(start, tracker.Event{Kind: tracker.SlotGranted})
+				action = machine.Apply(testStart, tracker.Event{Kind: tracker.SlotGranted})
 				if action.Step == tracker.Claim {
-					action = machine.Apply(start, tracker.Event{Kind: tracker.ClaimGranted})
+					action = machine.Apply(testStart, tracker.Event{Kind: tracker.ClaimGranted})
 				}
 				require.Equal(t, tracker.Send, action.Step)
 				sends++
 				if test.failure != tracker.Unreachable {
-					machine.Apply(start, tracker.Event{Kind: tracker.Connected})
+					machine.Apply(testStart, tracker.Event{Kind: tracker.Connected})
 				}
-				action = machine.Apply(start, tracker.Event{Kind: test.failure, Code: test.final})
+				action = machine.Apply(testStart, tracker.Event{Kind: test.failure, Code: test.final})
 			}
 			require.Equal(t, test.sends, sends)
 			require.Equal(t, test.outcome, action.Outcome)
@@ -302,23 +307,24 @@
 	}
 }
 
-// TestRandomWalk lets any event happen at any step and compares what callers
-// are told with what endpoints saw.
+// Applies random events in any state, and checks that the outcomes match what the
+// endpoints did, that no slot is lost, and that no claim of a started request is
+// released.
 func TestRandomWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nature := tracker.Nature{
+		traits := tracker.Traits{
 			Repeatable: rapid.Bool().Draw(t, "repeatable"),
 			Replayable: rapid.Bool().Draw(t, "replayable"),
 			Resumable:  rapid.Bool().Draw(t, "resumable"),
 			Attempts:   rapid.IntRange(0, 3).Draw(t, "attempts"),
 		}
-		budget := retries(rapid.IntRange(0, 3).Draw(t, "budget"))
-		machine := tracker.New(nature, &budget)
+		budget := retryBudget(rapid.IntRange(0, 3).Draw(t, "budget"))
+		machine := tracker.New(traits, &budget)
 		var endings, runs int
-		var claimed, begun, slot bool
-		for _, kind := range rapid.SliceOfN(rapid.SampledFrom(every()), 1, 60).Draw(t, "events") {
+		var claimed, answerStarted, slot bool
+		for _, kind := range rapid.SliceOfN(rapid.SampledFrom(allEvents()), 1, 60).Draw(t, "events") {
 			before := machine.State()
-			action := machine.Apply(start, tracker.Event{Kind: kind, Code: tracker.CodeNoEndpoint})
+			action := machine.Apply(testStart, tracker.Event{Kind: kind, Code: tracker.CodeNoEndpoint})
 			if before == machine.State() && action == (tracker.Action{}) {
 				continue
 			}
@@ -332,26 +338,26 @@
 				runs++
 			case tracker.NotStarted, tracker.Rejected:
 				runs--
-			case tracker.Began:
-				begun = true
+			case tracker.AnswerStarted:
+				answerStarted = true
 			}
 			if action.Slot != 0 {
-				require.True(t, slot, "a slot is given back once")
+				require.True(t, slot, "a slot was released twice")
 				slot = false
 			}
 			if action.Step == tracker.Send {
-				require.True(t, nature.Repeatable || claimed && runs == 0, "sent without a claim, or twice")
-				require.True(t, !begun || nature.Resumable, "an answer started again")
+				require.True(t, traits.Repeatable || claimed && runs == 0, "a request that is not repeatable was sent without a claim, or twice")
+				require.True(t, !answerStarted || traits.Resumable, "an answer was restarted")
 			}
-			require.True(t, action.Outcome != tracker.OutcomeNotRun || runs == 0, "not run is a lie")
-			require.True(t, action.Claim != tracker.Free || runs == 0, "a claim was freed of a request that ran")
-			if begun {
-				require.NotContains(t, []tracker.Step{tracker.Tell, tracker.Replay}, action.Step, "a second answer")
+			require.True(t, action.Outcome != tracker.OutcomeNotRun || runs == 0, "the outcome is not run although an endpoint may have started the request")
+			require.True(t, action.Claim != tracker.FreeClaim || runs == 0, "the claim of a request that ran was released")
+			if answerStarted {
+				require.NotContains(t, []tracker.Step{tracker.RespondError, tracker.Replay}, action.Step, "a second answer was started")
 			}
 			if machine.State() == tracker.Done {
 				endings++
 				require.NotEmpty(t, action.Outcome)
-				require.False(t, slot, "a slot is lost")
+				require.False(t, slot, "a slot was not released")
 			}
 		}
 		require.LessOrEqual(t, endings, 1)
--- a/router/internal/conductor/conductor.go
+++ b/router/internal/conductor/conductor.go
@@ -334,7 +334,7 @@
 		ran := c.do(ctx, func() {
 			quiet = true
 			for _, l := range c.lines {
-				quiet = quiet && l.enlister.Quiet()
+				quiet = quiet && l.enlister.EndingsDelivered()
 			}
 		})
 		if !ran || quiet {
--- a/router/internal/conductor/hosted.go
+++ b/router/internal/conductor/hosted.go
@@ -16,7 +16,7 @@
 type hosted struct {
 	service   string
 	plain     bool
-	desk      *enlister.Desk
+	desk      *enlister.Registrar
 	endpoints map[string]*messenger.Announcement // last announcements, for renewals and status
 	expires   map[string]time.Time
 	seen      map[scheduler.RouterID]presence
@@ -52,7 +52,7 @@
 		told:      make(map[string]time.Time),
 		calling:   make(map[string]bool),
 	}
-	h.desk = &enlister.Desk{Incarnation: origin, Pool: scheduler.New(scheduler.Options{
+	h.desk = &enlister.Registrar{Incarnation: origin, Pool: scheduler.New(scheduler.Options{
 		Zone: c.options.Zone, Service: service, Origin: origin, Plain: h.plain,
 		CompareBudget: c.options.CompareBytes,
 	})}
@@ -117,7 +117,7 @@
 		for _, batch := range h.desk.Calls(now) {
 			c.send(now, h, batch)
 		}
-		next = earliest(next, h.desk.Wake())
+		next = earliest(next, h.desk.NextWake())
 		next = earliest(next, c.command(now, h))
 	}
 	return next
@@ -156,7 +156,7 @@
 			case live:
 				h.seen[router] = presence{since: now, live: true}
 			case known.live || now.Sub(known.since) > c.options.SuspectAfter:
-				h.desk.Gone(now, router)
+				h.desk.RouterGone(now, router)
 				delete(h.seen, router)
 			}
 		}
--- a/router/internal/conductor/line.go
+++ b/router/internal/conductor/line.go
@@ -97,7 +97,7 @@
 			}
 			c.exchange(now, l, batch)
 		}
-		next = earliest(next, l.enlister.Wake())
+		next = earliest(next, l.enlister.NextWake())
 	}
 	return next
 }
--- a/router/internal/relayer/admission.go
+++ b/router/internal/relayer/admission.go
@@ -55,7 +55,7 @@
 	q.caller.writer.Header().Set("Content-Type", "application/json")
 	q.caller.begin(http.StatusOK)
 	if q.caller.write(body) != nil {
-		return tracker.Action{Step: tracker.Vanish, Outcome: tracker.OutcomeUnknown, Code: tracker.CodeTimedOut}
+		return tracker.Action{Step: tracker.EndSilently, Outcome: tracker.OutcomeUnknown, Code: tracker.CodeTimedOut}
 	}
 	return tracker.Action{Step: tracker.Complete, Outcome: tracker.OutcomeAnswered}
 }
@@ -92,7 +92,7 @@
 	q.sink = q.newSink(r.limits.AnswerBytes)
 	q.fingerprint = fingerprint(q.workspace.Name, q.service.Name, "", q.chat.Body, 0)
 	repeatable := q.http.Header.Get(headerNoRepeat) != describer.Yes
-	return r.serve(ctx, q, tracker.Nature{Repeatable: repeatable, Replayable: true, Resumable: repeatable})
+	return r.serve(ctx, q, tracker.Traits{Repeatable: repeatable, Replayable: true, Resumable: repeatable})
 }
 
 func (r *Relayer) servePlain(ctx context.Context, q *request) tracker.Action {
@@ -109,13 +109,13 @@
 	}
 	call := q.http.Method + " " + q.http.URL.RequestURI()
 	q.fingerprint = fingerprint(q.workspace.Name, q.service.Name, call, q.upload.head, q.http.ContentLength)
-	return r.serve(ctx, q, tracker.Nature{
+	return r.serve(ctx, q, tracker.Traits{
 		Repeatable: repeatable(service, q.http), Replayable: q.upload.whole,
 	})
 }
 
 // serve runs a request that is well-formed and allowed.
-func (r *Relayer) serve(ctx context.Context, q *request, nature tracker.Nature) tracker.Action {
+func (r *Relayer) serve(ctx context.Context, q *request, nature tracker.Traits) tracker.Action {
 	if !nature.Repeatable {
 		if problem := q.takeKey(); problem != nil {
 			return q.refused(problem)
--- a/router/internal/relayer/claim.go
+++ b/router/internal/relayer/claim.go
@@ -32,7 +32,7 @@
 		if ctx.Err() != nil {
 			return interruption(ctx)
 		}
-		return tracker.Event{Kind: tracker.ClaimLost, Retry: retrySoon}
+		return tracker.Event{Kind: tracker.ClaimUnanswered, Retry: retrySoon}
 	}
 	span.End("")
 	r.note(q, "claim", result.Outcome.String(), "")
@@ -123,7 +123,7 @@
 	var answer messenger.Answer
 	if err := proto.Unmarshal(q.keep.recorded, &answer); err != nil || answer.Omitted {
 		q.reason = "an earlier request with this Idempotency-Key ran and was answered, but its answer was too large to keep, or ended with its connection, so that it may not be whole"
-		return tracker.Action{Step: tracker.Tell, Outcome: tracker.OutcomeUnknown, Code: tracker.CodeKeySpent}
+		return tracker.Action{Step: tracker.RespondError, Outcome: tracker.OutcomeUnknown, Code: tracker.CodeKeySpent}
 	}
 	headers := q.caller.writer.Header()
 	headers.Set(headerReplayed, "true")
@@ -135,7 +135,7 @@
 	}
 	q.caller.begin(int(answer.Status))
 	if q.caller.write(body) != nil {
-		return tracker.Action{Step: tracker.Vanish, Outcome: tracker.OutcomeAnswered, Code: tracker.CodeCallerGone}
+		return tracker.Action{Step: tracker.EndSilently, Outcome: tracker.OutcomeAnswered, Code: tracker.CodeCallerGone}
 	}
 	return action
 }
--- a/router/internal/relayer/relayer.go
+++ b/router/internal/relayer/relayer.go
@@ -91,9 +91,9 @@
 		q.span.End("")
 	}
 	switch action.Step {
-	case tracker.Tell:
+	case tracker.RespondError:
 		q.caller.tell(action, q.reason, q.id)
-	case tracker.Abort, tracker.Vanish:
+	case tracker.Abort, tracker.EndSilently:
 		// The connection is cut, so that nobody takes a part for the whole.
 		panic(http.ErrAbortHandler)
 	}
@@ -101,5 +101,5 @@
 
 // refuse is the ending of a request that no endpoint saw.
 func refuse(code tracker.Code, retry time.Duration) tracker.Action {
-	return tracker.Action{Step: tracker.Tell, Outcome: tracker.OutcomeNotRun, Code: code, Retry: retry}
+	return tracker.Action{Step: tracker.RespondError, Outcome: tracker.OutcomeNotRun, Code: code, Retry: retry}
 }
--- a/router/internal/relayer/request.go
+++ b/router/internal/relayer/request.go
@@ -144,8 +144,8 @@
 	case errors.Is(cause, errTimedOut):
 		return tracker.Event{Kind: tracker.TimedOut, Retry: retrySoon}
 	case errors.Is(cause, errStopping):
-		return tracker.Event{Kind: tracker.Stopped, Retry: retrySoon}
+		return tracker.Event{Kind: tracker.RouterStopping, Retry: retrySoon}
 	default:
-		return tracker.Event{Kind: tracker.CallerLost}
+		return tracker.Event{Kind: tracker.CallerGone}
 	}
 }
--- a/router/internal/relayer/run.go
+++ b/router/internal/relayer/run.go
@@ -29,13 +29,13 @@
 			return r.replay(q, action)
 		case tracker.Complete:
 			return r.complete(q, action)
-		case tracker.Tell, tracker.Abort, tracker.Vanish:
+		case tracker.RespondError, tracker.Abort, tracker.EndSilently:
 			return action
 		default:
 			// An event that does not fit the state is a fault of this package. The
 			// request still gets an ending, and a true one.
 			r.options.Log.Error().Str("id", q.id).Uint8("state", uint8(q.tracker.State())).Msg("request is stuck; ending it")
-			event = tracker.Event{Kind: tracker.Stopped, Retry: retrySoon}
+			event = tracker.Event{Kind: tracker.RouterStopping, Retry: retrySoon}
 		}
 		action = r.apply(q, event)
 	}
@@ -202,7 +202,7 @@
 // settle settles the claim and gives the slot back, as the action says.
 func (r *Relayer) settle(q *request, action tracker.Action) {
 	switch action.Claim {
-	case tracker.Free:
+	case tracker.FreeClaim:
 		r.record(q, q.keep.notRun())
 	case tracker.RecordAnswer:
 		r.record(q, q.keep.answer(&q.order))
@@ -277,7 +277,7 @@
 		return action
 	}
 	if err := q.sink.end(&q.order); err != nil {
-		return tracker.Action{Step: tracker.Vanish, Outcome: tracker.OutcomeUnknown, Code: tracker.CodeCallerGone}
+		return tracker.Action{Step: tracker.EndSilently, Outcome: tracker.OutcomeUnknown, Code: tracker.CodeCallerGone}
 	}
 	return action
 }
--- a/router/internal/relayer/send.go
+++ b/router/internal/relayer/send.go
@@ -70,7 +70,7 @@
 func (r *Relayer) refusedByEndpoint(q *request, response *http.Response) (tracker.Event, bool) {
 	if id := response.Header.Get(headerRequestID); id != "" && id != q.id {
 		r.metrics.dropped.WithLabelValues(droppedForeign).Inc()
-		return tracker.Event{Kind: tracker.Broken}, true
+		return tracker.Event{Kind: tracker.AttemptFailed}, true
 	}
 	r.noteSaid(q, response)
 	if response.Header.Get(headerStarted) == "no" {
@@ -81,7 +81,7 @@
 		return tracker.Event{Kind: tracker.NotStarted}, true
 	}
 	if q.chat != nil && response.StatusCode != http.StatusOK && !wrongRequest(response.StatusCode) {
-		return tracker.Event{Kind: tracker.Broken}, true
+		return tracker.Event{Kind: tracker.AttemptFailed}, true
 	}
 	return tracker.Event{}, false
 }
@@ -109,12 +109,12 @@
 	}
 	switch {
 	case err == nil && q.spent.unframed:
-		return tracker.Event{Kind: tracker.Closed}, ""
+		return tracker.Event{Kind: tracker.ConnectionClosed}, ""
 	case err == nil:
-		return tracker.Event{Kind: tracker.Whole}, ""
+		return tracker.Event{Kind: tracker.AnswerCompleted}, ""
 	case errors.Is(err, errTooLong):
 		q.reason = "the answer is too long to be sent whole; ask for a stream"
-		return tracker.Event{Kind: tracker.Broken, Code: tracker.CodeEndpointFailed}, err.Error()
+		return tracker.Event{Kind: tracker.AttemptFailed, Code: tracker.CodeEndpointFailed}, err.Error()
 	default:
 		return r.broken(ctx, q, err), err.Error()
 	}
@@ -128,12 +128,12 @@
 	case !q.spent.connected:
 		return tracker.Event{Kind: tracker.Unreachable}
 	case errors.Is(err, errCaller):
-		return tracker.Event{Kind: tracker.CallerLost}
+		return tracker.Event{Kind: tracker.CallerGone}
 	case q.upload != nil && q.upload.err != nil:
 		return r.uploadFailed(q)
 	default:
 		q.spent.crashed = crash(err)
-		return tracker.Event{Kind: tracker.Broken}
+		return tracker.Event{Kind: tracker.AttemptFailed}
 	}
 }
 
@@ -141,10 +141,10 @@
 // The endpoint has a part of it, and may have started.
 func (r *Relayer) uploadFailed(q *request) tracker.Event {
 	if !q.persist.Load() {
-		return tracker.Event{Kind: tracker.CallerLost}
+		return tracker.Event{Kind: tracker.CallerGone}
 	}
 	r.detach(q)
-	return tracker.Event{Kind: tracker.Broken}
+	return tracker.Event{Kind: tracker.AttemptFailed}
 }
 
 // crash tells whether an endpoint's connection broke as it does when its
@@ -158,7 +158,7 @@
 // record, so that a resend hears it.
 func (r *Relayer) detach(q *request) {
 	r.note(q, "caller gone", "the answer is awaited for its record", "")
-	r.apply(q, tracker.Event{Kind: tracker.CallerLost})
+	r.apply(q, tracker.Event{Kind: tracker.CallerGone})
 	q.caller.discard = true
 }
 
@@ -167,7 +167,7 @@
 func (r *Relayer) deliver(q *request, begins bool, write func() error) error {
 	if begins && q.tracker.State() == tracker.Sent && !q.caller.discard {
 		// Before the write: if it fails half-way, the caller may have a part.
-		r.apply(q, tracker.Event{Kind: tracker.Began})
+		r.apply(q, tracker.Event{Kind: tracker.AnswerStarted})
 	}
 	err := write()
 	if err != nil && errors.Is(err, errCaller) && q.persist.Load() && q.caller.ended.Err() == nil {
