--- a/lib/orderer/orderer.go
+++ b/lib/orderer/orderer.go
@@ -1,28 +1,28 @@
-// Package orderer decides which engines of a pool load and unload which
-// models, and sends the orders under a lease with a fencing number.
+// Package orderer decides which engines of a pool load and unload which models, and
+// returns the orders under a lease with a fencing number.
 //
-// An Orderer is a pure state machine at the scheduler of a pool. What is wanted
-// comes from labels (which models a service offers and in how many copies) and
-// from demand; what is there comes from the endpoints' announcements, which
-// read their state back. Every Step compares the two and yields the orders that
-// bring them closer.
+// An Orderer is a pure state machine at the scheduler of a pool. The wanted state
+// comes from labels (which models a service offers and in how many copies) and from
+// demand; the actual state comes from the endpoints' announcements, which read it
+// back. Every Step compares the two and returns the orders that reduce the
+// difference.
 //
 // Invariants:
-//   - no order leaves unless the lease outlasts the order's own timeout, so that
-//     an order that is still on its way when the lease ends has timed out;
-//   - an endpoint that ignores fencing numbers gets no order before an order of
-//     the former leaseholder has timed out and its state was read back after
-//     that: otherwise two leaseholders' orders mix, which one would notice by a
-//     model that appears and vanishes again;
-//   - a model is unloaded only where it is not in use, after its endpoint has
-//     been hidden from new work of that model, and never below the wanted
-//     copies;
+//   - no order is sent unless the lease outlasts the order's own timeout, so that
+//     an order still in flight when the lease ends has timed out;
+//   - an endpoint that ignores fencing numbers gets no order until an order of the
+//     former leaseholder must have timed out and the endpoint's state was read
+//     back after that: otherwise the orders of two leaseholders mix, and a model
+//     appears and disappears again;
+//   - a model is unloaded only where it is not in use, after it was hidden from
+//     new requests at that endpoint, and never below the wanted number of copies;
 //   - one order at a time is in flight to an endpoint, and at most MaxLoading
-//     endpoints of a pool load at once, because an engine that loads serves
-//     slower; loads are paced by permits, which the weight store's rate gives;
+//     endpoints of a pool load at once, because an engine that loads serves more
+//     slowly; loads are paced by permits, which follow the transfer rate of the
+//     weight store;
 //   - an endpoint's state is read back before the first order of a lease, and a
-//     load whose answer was lost counts as under way until it is read back or
-//     its time is over.
+//     load whose answer was lost counts as in progress until it is read back or
+//     times out.
 package orderer
 
 import (
@@ -32,10 +32,10 @@
 	"time"
 )
 
-// Kind is what an order asks of an engine.
+// Kind is what an order asks an engine to do.
 type Kind string
 
-// The kinds of order, as the engines' interface names them.
+// The kinds of order, named as in the engines' interface.
 const (
 	Load   Kind = "load"
 	Unload Kind = "unload"
@@ -43,47 +43,47 @@
 
 // Limits and times.
 const (
-	// OrderTimeout is how long the host waits for an order's answer.
+	// OrderTimeout is how long the host waits for the answer to an order.
 	OrderTimeout = 5 * time.Second
-	// MaxLoading is how many endpoints of a pool load at once.
+	// MaxLoading is how many endpoints of a pool may load at once.
 	MaxLoading = 1
-	// surplusAfter is how long a copy beyond the wanted ones must be without
-	// demand before it may make room. It keeps models from being swapped back
-	// and forth when demand alternates.
-	surplusAfter = time.Minute
+	// surplusIdleTime is how long a surplus copy must be without demand before it
+	// may be unloaded for another model. It keeps models from being swapped back and
+	// forth when demand alternates.
+	surplusIdleTime = time.Minute
 	// loadTimeout is how long a load may take until it counts as failed.
 	loadTimeout = 10 * time.Minute
-	// doubtTimeout is the same for a load whose answer was lost: it may never
-	// have reached the engine.
-	doubtTimeout = time.Minute
+	// unconfirmedLoadTimeout is the timeout of a load whose answer was lost: the
+	// order may never have reached the engine.
+	unconfirmedLoadTimeout = time.Minute
 )
 
-// Want says in how many copies a model is wanted in this pool at least.
+// Want is the minimum number of copies of a model in this pool.
 type Want struct {
 	Model  string
 	Copies int
 }
 
-// Demand is the work for a model in this pool.
+// Demand is the number of requests for a model in this pool.
 type Demand struct {
 	Model   string
 	Waiting int
 	Running int
 }
 
-// Endpoint is an engine as it announced itself.
+// Endpoint is the state of an engine as it announced it.
 type Endpoint struct {
 	ID          string
 	Incarnation uint64
 	Address     netip.AddrPort
-	// Fenced says that it refuses orders with an old fencing number.
+	// Fenced is set if the engine refuses orders with an old fencing number.
 	Fenced bool
-	// Room is how many models fit; 0 for an endpoint that takes no orders.
+	// Room is how many models fit; 0 for an endpoint that accepts no orders.
 	Room   int
 	Loaded []string
-	// InUse are the models with a request running there.
+	// InUse are the models for which requests run at the endpoint.
 	InUse []string
-	Busy  int // requests running there
+	Busy  int // number of requests running at the endpoint
 }
 
 // Order is one order to one endpoint.
@@ -96,76 +96,77 @@
 	Fence       uint64
 }
 
-// Result is how an order ended.
+// Result is the result of an order.
 type Result uint8
 
 // The results of an order.
 const (
 	Accepted Result = iota + 1
-	// Outdated: the endpoint has seen a higher fencing number. The lease is not
-	// ours any more, whatever we believe.
+	// Outdated: the endpoint has seen a higher fencing number. The lease has passed
+	// to another holder, even if it has not expired here.
 	Outdated
-	// Unknown: no answer came.
+	// Unknown: no answer arrived, or it was neither of the above.
 	Unknown
 )
 
-// Orderer plans for one pool. The zero value is ready to use and holds no
-// lease.
+// Orderer decides the orders of one pool. The zero value is ready to use and holds
+// no lease.
 type Orderer struct {
-	wants     []Want
-	demand    map[string]Demand
-	idleSince map[string]time.Time // by model: since when it has had no demand
-	endpoints map[string]*engine
-	fence     uint64
-	granted   time.Time
-	until     time.Time
-	permits   int
-	lacking   bool // a load had to wait for a permit in the last Step
-}
-
-// engine is an endpoint with what was ordered there.
+	wants       []Want
+	demand      map[string]Demand
+	idleSince   map[string]time.Time // start of the time without demand, by model
+	endpoints   map[string]*engine
+	fence       uint64
+	leasedSince time.Time
+	leasedUntil time.Time
+	permits     int
+	needsPermit bool // a load had to wait for a permit in the last Step
+}
+
+// engine is an endpoint and the state of the orders to it.
 type engine struct {
 	Endpoint
-	readAt   time.Time
-	inFlight *Order
-	sentAt   time.Time
-	loading  string // model whose load was accepted and is not yet read back
-	loadBy   time.Time
-	hidden   string // model that gets no new work here, because it is to be unloaded
-	hiddenAt time.Time
-}
-
-// Leased says that this orderer holds the lease with this fencing number until
-// that time. A renewal has the same number.
-func (o *Orderer) Leased(now time.Time, fence uint64, until time.Time) {
+	readAt       time.Time
+	inFlight     *Order
+	sentAt       time.Time
+	loading      string // model whose load was accepted and is not yet read back
+	loadDeadline time.Time
+	hidden       string // model that gets no new requests here, because it is to be unloaded
+	hiddenAt     time.Time
+}
+
+// SetLease records that this orderer holds the lease with this fencing number until
+// the given time. A renewal has the same number; a lower number is ignored.
+func (o *Orderer) SetLease(now time.Time, fence uint64, until time.Time) {
 	if fence < o.fence {
 		return
 	}
 	if fence > o.fence {
 		o.fence = fence
-		o.granted = now
+		o.leasedSince = now
 	}
-	o.until = until
+	o.leasedUntil = until
 }
 
-// Lost says that the lease is over.
-func (o *Orderer) Lost() {
-	o.until = time.Time{}
+// EndLease records that the lease has ended.
+func (o *Orderer) EndLease() {
+	o.leasedUntil = time.Time{}
 }
 
-// Permit allows this many more loads.
-func (o *Orderer) Permit(loads int) {
+// AddPermits adds permits, one of which each load order takes.
+func (o *Orderer) AddPermits(loads int) {
 	o.permits += max(0, loads)
 }
 
-// Want sets the wanted copies.
-func (o *Orderer) Want(wants []Want) {
+// SetWants sets the wanted number of copies of the models.
+func (o *Orderer) SetWants(wants []Want) {
 	o.wants = slices.Clone(wants)
 	slices.SortFunc(o.wants, func(a, b Want) int { return cmp.Compare(a.Model, b.Model) })
 }
 
-// Demanded sets the demand for all models.
-func (o *Orderer) Demanded(now time.Time, demands []Demand) {
+// SetDemand sets the demand for all models and tracks since when each wanted model
+// has been without demand.
+func (o *Orderer) SetDemand(now time.Time, demands []Demand) {
 	if o.idleSince == nil {
 		o.idleSince = make(map[string]time.Time)
 	}
@@ -183,48 +184,50 @@
 	}
 }
 
-// Read takes in what an endpoint told of itself at that time. What is older
-// than what is known changes nothing.
-func (o *Orderer) Read(now time.Time, told Endpoint) {
+// Read records the state of an endpoint as it was at the given time. A state of an
+// older incarnation, or from before the last reading, is ignored.
+func (o *Orderer) Read(readAt time.Time, endpoint Endpoint) {
 	if o.endpoints == nil {
 		o.endpoints = make(map[string]*engine)
 	}
-	known := o.endpoints[told.ID]
-	if known != nil && (told.Incarnation < known.Incarnation || now.Before(known.readAt)) {
+	known := o.endpoints[endpoint.ID]
+	if known != nil && (endpoint.Incarnation < known.Incarnation || readAt.Before(known.readAt)) {
 		return
 	}
-	if known == nil || known.Incarnation != told.Incarnation {
-		known = known.reborn()
-		o.endpoints[told.ID] = known
+	if known == nil || known.Incarnation != endpoint.Incarnation {
+		known = known.successor()
+		o.endpoints[endpoint.ID] = known
 	}
-	known.Endpoint = told
-	known.readAt = now
-	if known.loading != "" && (slices.Contains(told.Loaded, known.loading) || now.After(known.loadBy)) {
+	known.Endpoint = endpoint
+	known.readAt = readAt
+	if known.loading != "" && (slices.Contains(endpoint.Loaded, known.loading) || readAt.After(known.loadDeadline)) {
 		known.loading = ""
 	}
-	if known.hidden != "" && !slices.Contains(told.Loaded, known.hidden) {
+	if known.hidden != "" && !slices.Contains(endpoint.Loaded, known.hidden) {
 		known.hidden = ""
 	}
 }
 
-// reborn is an engine of which nothing is known but the order to its former
-// life: that one may still arrive, at the same address.
-func (e *engine) reborn() *engine {
+// successor returns the next incarnation of an engine. It keeps only the order in
+// flight to the former incarnation, which may still arrive at the same address.
+func (e *engine) successor() *engine {
 	if e == nil {
 		return &engine{}
 	}
 	return &engine{inFlight: e.inFlight, sentAt: e.sentAt}
 }
 
-// Gone forgets an endpoint, unless an order to it is in flight: it would get a
-// second one beside that if it came back at once. The host tells it again.
-func (o *Orderer) Gone(id string) {
+// Remove drops an endpoint, unless an order to it is in flight: if the endpoint came
+// back at once, it would get a second order at the same time. The host has to call
+// Remove again after the order has ended.
+func (o *Orderer) Remove(id string) {
 	if known := o.endpoints[id]; known != nil && known.inFlight == nil {
 		delete(o.endpoints, id)
 	}
 }
 
-// Hidden is the model that gets no new work at an endpoint, empty if none.
+// Hidden returns the model that gets no new requests at an endpoint, or an empty
+// string.
 func (o *Orderer) Hidden(id string) string {
 	if known := o.endpoints[id]; known != nil {
 		return known.hidden
@@ -232,7 +235,7 @@
 	return ""
 }
 
-// Ended takes the result of an order in.
+// Ended handles the result of an order.
 func (o *Orderer) Ended(now time.Time, order Order, result Result) {
 	known := o.endpoints[order.Endpoint]
 	if known == nil || known.inFlight == nil || *known.inFlight != order {
@@ -241,35 +244,37 @@
 	known.inFlight = nil
 	switch result {
 	case Accepted:
-		known.expect(order, now.Add(loadTimeout))
+		known.expectLoad(order, now.Add(loadTimeout))
 	case Outdated:
-		o.Lost()
+		o.EndLease()
 	case Unknown:
-		known.expect(order, now.Add(doubtTimeout))
+		known.expectLoad(order, now.Add(unconfirmedLoadTimeout))
 	}
 }
 
-// expect remembers a load until it is read back or its time is over.
-func (e *engine) expect(order Order, by time.Time) {
+// expectLoad records that a load is in progress until it is read back or the
+// deadline passes.
+func (e *engine) expectLoad(order Order, deadline time.Time) {
 	if order.Kind == Load {
-		e.loading, e.loadBy = order.Model, by
+		e.loading, e.loadDeadline = order.Model, deadline
 	}
 }
 
-// Lacking tells whether a load waited for a permit in the last Step.
-func (o *Orderer) Lacking() bool {
-	return o.lacking
+// NeedsPermit reports whether a load waited for a permit in the last Step.
+func (o *Orderer) NeedsPermit() bool {
+	return o.needsPermit
 }
 
-// Step returns the orders to send now. The host sends each and calls Ended.
+// Step returns the orders to send now. The host sends each and calls Ended with its
+// result.
 func (o *Orderer) Step(now time.Time) []Order {
-	o.lacking = false
-	if !o.holds(now) {
-		o.show()
+	o.needsPermit = false
+	if !o.leaseCoversOrder(now) {
+		o.unhideModels()
 		return nil
 	}
 	var orders []Order
-	for _, want := range o.byNeed() {
+	for _, want := range o.shortages() {
 		if order, found := o.load(now, want); found {
 			orders = append(orders, order)
 		}
@@ -277,10 +282,10 @@
 	return append(orders, o.unloads(now)...)
 }
 
-// show ends the hiding of models that cannot be unloaded without a lease. They
-// would stay idle, however much work waits for them, until the keepers are
-// reached again.
-func (o *Orderer) show() {
+// unhideModels makes hidden models available again when there is no lease to unload
+// them. Otherwise they would stay idle, however many requests wait for them, until
+// the keepers are reached again.
+func (o *Orderer) unhideModels() {
 	for _, e := range o.endpoints {
 		if e.inFlight == nil {
 			e.hidden = ""
@@ -288,51 +293,54 @@
 	}
 }
 
-// holds tells whether an order sent now would have ended before the lease does.
-func (o *Orderer) holds(now time.Time) bool {
-	return now.Add(OrderTimeout).Before(o.until)
+// leaseCoversOrder reports whether an order sent now would time out before the lease
+// ends.
+func (o *Orderer) leaseCoversOrder(now time.Time) bool {
+	return now.Add(OrderTimeout).Before(o.leasedUntil)
 }
 
-// ready tells whether an endpoint may get an order.
+// ready reports whether an endpoint may get an order.
 func (o *Orderer) ready(now time.Time, e *engine) bool {
 	if e.Room == 0 || e.inFlight != nil || e.loading != "" {
 		return false
 	}
-	settled := o.granted
+	safeAfter := o.leasedSince
 	if !e.Fenced {
-		// It would obey the former leaseholder's last order, so that one must
-		// have timed out, and what it did must have been read back.
-		settled = settled.Add(OrderTimeout)
+		// The endpoint would obey the former leaseholder's last order, so that order
+		// must have timed out, and its effect must have been read back.
+		safeAfter = safeAfter.Add(OrderTimeout)
 	}
-	return !now.Before(settled) && !e.readAt.Before(settled)
+	return !now.Before(safeAfter) && !e.readAt.Before(safeAfter)
 }
 
-// need is a model that lacks copies.
-type need struct {
-	model   string
-	missing int  // below the wanted copies
-	pressed bool // requests wait although all wanted copies are there
+// shortage is a model that should get another copy.
+type shortage struct {
+	model      string
+	missing    int  // number of missing copies
+	backlogged bool // more requests wait than run, although all wanted copies exist
 }
 
-// byNeed lists the models that should get a copy, the most needed first.
-func (o *Orderer) byNeed() []need {
-	var needs []need
+// shortages lists the models that should get another copy, the largest shortage
+// first.
+func (o *Orderer) shortages() []shortage {
+	var needs []shortage
 	for _, want := range o.wants {
-		have := o.copies(want.Model)
+		current := o.copies(want.Model)
 		demand := o.demand[want.Model]
-		candidate := need{model: want.Model, missing: max(0, want.Copies-have)}
-		candidate.pressed = candidate.missing == 0 && demand.Waiting > demand.Running
-		if candidate.missing > 0 || candidate.pressed {
+		candidate := shortage{model: want.Model, missing: max(0, want.Copies-current)}
+		candidate.backlogged = candidate.missing == 0 && demand.Waiting > demand.Running
+		if candidate.missing > 0 || candidate.backlogged {
 			needs = append(needs, candidate)
 		}
 	}
-	slices.SortStableFunc(needs, func(a, b need) int {
+	slices.SortStableFunc(needs, func(a, b shortage) int {
 		return cmp.Or(cmp.Compare(b.missing, a.missing), cmp.Compare(o.demand[b.model].Waiting, o.demand[a.model].Waiting))
 	})
 	return needs
 }
 
-// copies counts where a model is, or is about to be, and stays.
+// copies counts the endpoints at which a model is loaded, or about to be, and is not
+// hidden.
 func (o *Orderer) copies(model string) int {
 	count := 0
 	for _, e := range o.endpoints {
@@ -348,45 +356,47 @@
 	return ordered || e.loading == model || slices.Contains(e.Loaded, model)
 }
 
-// load orders a load where there is room, on the least busy endpoint, or makes
-// room by hiding a model that can be spared.
-func (o *Orderer) load(now time.Time, wanted need) (Order, bool) {
-	if o.loadingNow() >= MaxLoading {
+// load returns an order to load a model on the endpoint with the fewest running
+// requests that has room. If none has room, it hides a surplus model, to be unloaded
+// in a later step.
+func (o *Orderer) load(now time.Time, wanted shortage) (Order, bool) {
+	if o.loadingEndpoints() >= MaxLoading {
 		return Order{}, false
 	}
-	for _, e := range o.byBusy() {
+	for _, e := range o.byRunningRequests() {
 		if !o.ready(now, e) || e.has(wanted.model) || len(e.Loaded) >= e.Room {
 			continue
 		}
 		if o.permits == 0 {
-			o.lacking = true
+			o.needsPermit = true
 			return Order{}, false
 		}
 		o.permits--
 		return o.send(now, e, Load, wanted.model), true
 	}
-	if o.hiding() {
+	if o.hidesModel() {
 		return Order{}, false
 	}
-	for _, e := range o.byBusy() {
+	for _, e := range o.byRunningRequests() {
 		if !o.ready(now, e) || e.has(wanted.model) {
 			continue
 		}
-		if spare := o.spare(now, e); spare != "" {
-			e.hidden, e.hiddenAt = spare, now
+		if surplus := o.surplusModel(now, e); surplus != "" {
+			e.hidden, e.hiddenAt = surplus, now
 			return Order{}, false
 		}
 	}
 	return Order{}, false
 }
 
-// spare is a model at the endpoint that is there in more copies than wanted and
-// has had no demand for long, empty if there is none.
-func (o *Orderer) spare(now time.Time, e *engine) string {
+// surplusModel returns a model at the endpoint that the service no longer offers, or
+// that has more copies than wanted and has been without demand for surplusIdleTime;
+// an empty string if there is none.
+func (o *Orderer) surplusModel(now time.Time, e *engine) string {
 	for _, model := range slices.Sorted(slices.Values(e.Loaded)) {
 		idle, known := o.idleSince[model]
 		wanted, offered := o.wanted(model)
-		if !offered || (o.copies(model) > wanted && known && now.Sub(idle) >= surplusAfter) {
+		if !offered || (o.copies(model) > wanted && known && now.Sub(idle) >= surplusIdleTime) {
 			return model
 		}
 	}
@@ -402,11 +412,11 @@
 	return 0, false
 }
 
-// unloads orders the hidden models out where nothing uses them any more, and
-// shows those again that have come to be needed meanwhile.
+// unloads returns orders to unload the hidden models that are no longer in use, and
+// unhides those that are needed again.
 func (o *Orderer) unloads(now time.Time) []Order {
 	var orders []Order
-	for _, e := range o.byBusy() {
+	for _, e := range o.byRunningRequests() {
 		if e.hidden == "" || !o.ready(now, e) {
 			continue
 		}
@@ -414,9 +424,10 @@
 			e.hidden = ""
 			continue
 		}
-		// What ran before the model was hidden must have been read as ended.
-		quiet := e.readAt.After(e.hiddenAt) && !slices.Contains(e.InUse, e.hidden)
-		if quiet && e.readAt.After(e.sentAt) {
+		// Requests that ran before the model was hidden must have been read as
+		// ended.
+		unused := e.readAt.After(e.hiddenAt) && !slices.Contains(e.InUse, e.hidden)
+		if unused && e.readAt.After(e.sentAt) {
 			orders = append(orders, o.send(now, e, Unload, e.hidden))
 		}
 	}
@@ -433,7 +444,7 @@
 	return order
 }
 
-func (o *Orderer) loadingNow() int {
+func (o *Orderer) loadingEndpoints() int {
 	count := 0
 	for _, e := range o.endpoints {
 		if e.loading != "" || (e.inFlight != nil && e.inFlight.Kind == Load) {
@@ -443,7 +454,7 @@
 	return count
 }
 
-func (o *Orderer) hiding() bool {
+func (o *Orderer) hidesModel() bool {
 	for _, e := range o.endpoints {
 		if e.hidden != "" {
 			return true
@@ -452,8 +463,8 @@
 	return false
 }
 
-// byBusy lists the endpoints, the least busy first.
-func (o *Orderer) byBusy() []*engine {
+// byRunningRequests lists the endpoints, the least busy first.
+func (o *Orderer) byRunningRequests() []*engine {
 	list := make([]*engine, 0, len(o.endpoints))
 	for _, e := range o.endpoints {
 		list = append(list, e)
--- a/lib/orderer/orderer_test.go
+++ b/lib/orderer/orderer_test.go
@@ -11,18 +11,18 @@
 
 var start = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
-// leased returns an orderer that wants one copy of each model and holds a long
-// lease with permits.
-func leased(models ...string) *Orderer {
+// newLeasedOrderer returns an orderer that wants one copy of each model and holds a
+// long lease with permits.
+func newLeasedOrderer(models ...string) *Orderer {
 	o := &Orderer{}
 	var wants []Want
 	for _, model := range models {
 		wants = append(wants, Want{Model: model, Copies: 1})
 	}
-	o.Want(wants)
-	o.Demanded(start, nil)
-	o.Leased(start, 7, start.Add(time.Hour))
-	o.Permit(10)
+	o.SetWants(wants)
+	o.SetDemand(start, nil)
+	o.SetLease(start, 7, start.Add(time.Hour))
+	o.AddPermits(10)
 	return o
 }
 
@@ -33,58 +33,58 @@
 		after   time.Duration
 		want    []Kind
 	}{
-		"a missing model is loaded": {
+		"missing model: load": {
 			prepare: func(o *Orderer) { o.Read(start, empty) }, want: []Kind{Load},
 		},
-		"not without a lease": {
-			prepare: func(o *Orderer) { o.Read(start, empty); o.Lost() },
+		"no lease: no order": {
+			prepare: func(o *Orderer) { o.Read(start, empty); o.EndLease() },
 		},
-		"not when the lease may end before the order": {
+		"lease may end before the order: no order": {
 			prepare: func(o *Orderer) { o.Read(start, empty) }, after: time.Hour - OrderTimeout,
 		},
-		"not without a permit": {
+		"no permit: no order": {
 			prepare: func(o *Orderer) { o.Read(start, empty); o.permits = 0 },
 		},
-		"not before the state was read under this lease": {
-			prepare: func(o *Orderer) { o.Read(start, empty); o.Leased(start.Add(time.Second), 8, start.Add(time.Hour)) },
+		"state not read under this lease: no order": {
+			prepare: func(o *Orderer) { o.Read(start, empty); o.SetLease(start.Add(time.Second), 8, start.Add(time.Hour)) },
 			after:   time.Second,
 		},
-		"not where no orders are taken": {
+		"endpoint accepts no orders: no order": {
 			prepare: func(o *Orderer) { o.Read(start, Endpoint{ID: "e", Fenced: true}) },
 		},
-		"not what is there": {
+		"model is loaded: no order": {
 			prepare: func(o *Orderer) { o.Read(start, Endpoint{ID: "e", Fenced: true, Room: 2, Loaded: []string{"m"}}) },
 		},
-		"one endpoint loads at a time": {
+		"two missing models: one load at a time": {
 			prepare: func(o *Orderer) {
-				o.Want([]Want{{Model: "m", Copies: 1}, {Model: "n", Copies: 1}})
+				o.SetWants([]Want{{Model: "m", Copies: 1}, {Model: "n", Copies: 1}})
 				o.Read(start, empty)
 				o.Read(start, Endpoint{ID: "f", Fenced: true, Room: 1})
 			},
 			want: []Kind{Load},
 		},
-		"waiting requests bring another copy": {
+		"waiting requests: another copy is loaded": {
 			prepare: func(o *Orderer) {
-				o.Demanded(start, []Demand{{Model: "m", Waiting: 5, Running: 1}})
+				o.SetDemand(start, []Demand{{Model: "m", Waiting: 5, Running: 1}})
 				o.Read(start, empty)
 				o.Read(start, Endpoint{ID: "f", Fenced: true, Room: 1, Loaded: []string{"m"}})
 			},
 			want: []Kind{Load},
 		},
-		"an endpoint that ignores numbers waits for the former lease": {
+		"unfenced endpoint: no order before the former lease has ended": {
 			prepare: func(o *Orderer) { o.Read(start, Endpoint{ID: "e", Room: 1}) },
 		},
-		"and for a reading after that": {
+		"unfenced endpoint: no order before a reading after that": {
 			prepare: func(o *Orderer) { o.Read(start, Endpoint{ID: "e", Room: 1}) }, after: OrderTimeout + time.Second,
 		},
-		"then it is ordered": {
+		"unfenced endpoint: load after such a reading": {
 			prepare: func(o *Orderer) { o.Read(start.Add(OrderTimeout), Endpoint{ID: "e", Room: 1}) },
 			after:   OrderTimeout, want: []Kind{Load},
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			o := leased("m")
+			o := newLeasedOrderer("m")
 			test.prepare(o)
 			var kinds []Kind
 			for _, order := range o.Step(start.Add(test.after)) {
@@ -95,11 +95,11 @@
 	}
 }
 
-// Symptom: a caller's stream breaks because its model was unloaded under it.
-// Events: a model is no longer offered while a request of it still runs.
-// Cause: unloading without hiding the model first and waiting for its requests.
+// Guards against a stream that breaks because its model is unloaded while it runs: a
+// model is no longer offered while a request for it still runs. The model must be
+// hidden first, and unloaded only after its requests have ended.
 func TestModelInUseIsNotUnloaded(t *testing.T) {
-	o := leased("new")
+	o := newLeasedOrderer("new")
 	old := Endpoint{ID: "e", Fenced: true, Room: 1, Loaded: []string{"old"}, InUse: []string{"old"}, Busy: 1}
 	o.Read(start, old)
 	require.Empty(t, o.Step(start))
@@ -107,7 +107,7 @@
 
 	now := start.Add(time.Second)
 	o.Read(now, old)
-	require.Empty(t, o.Step(now), "it is still in use")
+	require.Empty(t, o.Step(now), "the model is still in use")
 
 	now = now.Add(time.Second)
 	old.InUse, old.Busy = nil, 0
@@ -126,52 +126,52 @@
 	require.Equal(t, Order{Endpoint: "e", Kind: Load, Model: "new", Fence: 7}, orders[0])
 }
 
-// Symptom: a model idles at an engine while work waits for it. Events: it is
-// hidden to be unloaded, and its zone is cut off from the keepers. Cause: it
-// stays hidden although nobody may unload it.
-func TestModelIsShownAgainWithoutLease(t *testing.T) {
-	o := leased("new")
+// Guards against a model that stays idle while requests wait for it: it was hidden
+// to be unloaded, and then its zone was partitioned from the keepers, so that no
+// lease allows the unload.
+func TestHiddenModelIsShownAgainWithoutLease(t *testing.T) {
+	o := newLeasedOrderer("new")
 	o.Read(start, Endpoint{ID: "e", Fenced: true, Room: 1, Loaded: []string{"old"}})
 	o.Step(start)
 	require.Equal(t, "old", o.Hidden("e"))
-	o.Lost()
+	o.EndLease()
 	o.Step(start.Add(time.Second))
 	require.Empty(t, o.Hidden("e"))
 }
 
-// Symptom: two models push one another out for ever. Events: demand alternates
-// between them. Cause: a copy makes room as soon as it is idle for a moment.
-func TestIdleCopyStaysForAWhile(t *testing.T) {
-	o := leased("a", "b")
-	o.Demanded(start, []Demand{{Model: "b", Waiting: 9}})
+// Guards against two models that replace one another without end because a copy may
+// be unloaded as soon as it is idle. Demand alternates between them.
+func TestSurplusCopyIsKeptUntilIdleLongEnough(t *testing.T) {
+	o := newLeasedOrderer("a", "b")
+	o.SetDemand(start, []Demand{{Model: "b", Waiting: 9}})
 	o.Read(start, Endpoint{ID: "e", Fenced: true, Room: 1, Loaded: []string{"a"}})
 	o.Read(start, Endpoint{ID: "f", Fenced: true, Room: 1, Loaded: []string{"a"}})
 	o.Step(start)
 	require.Empty(t, o.Hidden("e")+o.Hidden("f"))
-	o.Demanded(start.Add(surplusAfter), []Demand{{Model: "b", Waiting: 9}})
-	o.Step(start.Add(surplusAfter))
+	o.SetDemand(start.Add(surplusIdleTime), []Demand{{Model: "b", Waiting: 9}})
+	o.Step(start.Add(surplusIdleTime))
 	require.Equal(t, "a", o.Hidden("e"))
-	require.Empty(t, o.Hidden("f"), "one at a time")
+	require.Empty(t, o.Hidden("f"), "only one copy is hidden at a time")
 }
 
-// Symptom: an engine loads a model twice, or unloads what was just loaded.
-// Events: the answer to an order is lost. Cause: the next order goes out before
-// the endpoint's state was read back.
+// Guards against an engine that loads a model twice, or unloads one that was just
+// loaded. The answer to an order is lost; the next order must wait until the
+// endpoint's state was read back.
 func TestLostAnswerIsReadBack(t *testing.T) {
-	o := leased("m")
+	o := newLeasedOrderer("m")
 	o.Read(start, Endpoint{ID: "e", Fenced: true, Room: 2})
 	orders := o.Step(start)
 	require.Len(t, orders, 1)
 	o.Ended(start.Add(OrderTimeout), orders[0], Unknown)
 	require.Empty(t, o.Step(start.Add(OrderTimeout)))
-	later := start.Add(OrderTimeout + doubtTimeout + time.Second)
-	require.Empty(t, o.Step(later), "nothing was read back yet")
+	later := start.Add(OrderTimeout + unconfirmedLoadTimeout + time.Second)
+	require.Empty(t, o.Step(later), "no state was read back yet")
 	o.Read(later, Endpoint{ID: "e", Fenced: true, Room: 2})
 	require.Len(t, o.Step(later), 1)
 }
 
 func TestOutdatedEndsTheLease(t *testing.T) {
-	o := leased("m", "n")
+	o := newLeasedOrderer("m", "n")
 	o.Read(start, Endpoint{ID: "e", Fenced: true, Room: 2})
 	orders := o.Step(start)
 	require.Len(t, orders, 1)
@@ -180,103 +180,105 @@
 	require.Empty(t, o.Step(start.Add(time.Minute)))
 }
 
-// sim is an engine that may ignore fencing numbers, and a lease that moves
-// between two orderers, one of which may be frozen while it holds it.
-type sim struct {
-	t       *testing.T
-	random  *rand.Rand
-	now     time.Time
-	holders [2]*Orderer
-	frozen  [2]time.Time // stands still until then
-	cut     time.Time    // the holder reaches its engines but no keeper until then
-	holder  int
-	fence   uint64
-	until   time.Time
-	engines []*simEngine
-	flying  []flight
+// simulation has engines, some of which ignore fencing numbers, and a lease that
+// moves between two orderers. An orderer may stall while it holds the lease.
+type simulation struct {
+	t                *testing.T
+	random           *rand.Rand
+	now              time.Time
+	holders          [2]*Orderer
+	stalledUntil     [2]time.Time // end of the orderer's stall
+	partitionedUntil time.Time    // until then the holder reaches its engines but no keeper
+	holder           int
+	fence            uint64
+	until            time.Time
+	engines          []*simulatedEngine
+	inFlight         []delivery
 }
 
-type simEngine struct {
+type simulatedEngine struct {
 	Endpoint
 	seen   uint64
-	obeyed uint64 // fencing number of the last order obeyed
+	obeyed uint64 // fencing number of the last accepted order
 }
 
-type flight struct {
+type delivery struct {
 	order   Order
 	from    int
 	arrives time.Time
 }
 
-const leaseTime = 20 * time.Second
+const leaseDuration = 20 * time.Second
 
-// Symptom: a model appears and vanishes at an engine that ignores fencing
-// numbers. Events: a leaseholder stands still, its lease passes on, it resumes
-// and sends or its last order arrives late. Cause: the new leaseholder did not
-// wait out the old lease, or the old one did not check what was left of its own.
+// Guards against a model that appears and disappears at an engine that ignores
+// fencing numbers. A leaseholder stalls, its lease passes to the other orderer, and
+// it resumes and sends, or its last order arrives late. The new leaseholder must
+// wait until the old lease has ended, and the old one must check the remaining time
+// of its own.
 func TestOrdersOfTwoLeaseholdersNeverMix(t *testing.T) {
 	for seed := range uint64(100) {
-		s := newSim(t, seed)
+		s := newSimulation(t, seed)
 		for range 2000 {
 			s.step()
 		}
 	}
 }
 
-func newSim(t *testing.T, seed uint64) *sim {
-	s := &sim{t: t, random: rand.New(rand.NewPCG(seed, 1)), now: start}
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	s := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 1)), now: start}
 	for i := range s.holders {
 		s.holders[i] = &Orderer{}
-		s.holders[i].Want([]Want{{Model: "a", Copies: 2}, {Model: "b", Copies: 1}})
+		s.holders[i].SetWants([]Want{{Model: "a", Copies: 2}, {Model: "b", Copies: 1}})
 	}
 	for i, id := range []string{"e", "f", "g"} {
-		s.engines = append(s.engines, &simEngine{Endpoint: Endpoint{ID: id, Room: 1, Fenced: i == 0}})
+		s.engines = append(s.engines, &simulatedEngine{Endpoint: Endpoint{ID: id, Room: 1, Fenced: i == 0}})
 	}
 	return s
 }
 
-func (s *sim) step() {
+func (s *simulation) step() {
 	s.now = s.now.Add(time.Duration(s.random.IntN(1000)) * time.Millisecond)
 	s.restartEngines()
 	s.lease()
 	s.deliver()
 	for i, o := range s.holders {
-		if s.now.Before(s.frozen[i]) {
+		if s.now.Before(s.stalledUntil[i]) {
 			continue
 		}
 		if s.random.IntN(100) == 0 {
-			s.frozen[i] = s.now.Add(time.Duration(s.random.IntN(60)) * time.Second)
+			s.stalledUntil[i] = s.now.Add(time.Duration(s.random.IntN(60)) * time.Second)
 			continue
 		}
-		s.act(i, o)
+		s.stepOrderer(i, o)
 	}
 }
 
-func (s *sim) lease() {
+func (s *simulation) lease() {
 	if s.now.After(s.until) {
 		s.holder = 1 - s.holder
 		s.fence++
-		s.until = s.now.Add(leaseTime)
-		s.cut = time.Time{}
-		s.tell()
+		s.until = s.now.Add(leaseDuration)
+		s.partitionedUntil = time.Time{}
+		s.grantLease()
 	}
 	if s.random.IntN(200) == 0 {
-		s.cut = s.now.Add(2 * leaseTime)
+		s.partitionedUntil = s.now.Add(2 * leaseDuration)
 	}
-	if s.now.Before(s.cut) || s.now.Before(s.frozen[s.holder]) {
+	if s.now.Before(s.partitionedUntil) || s.now.Before(s.stalledUntil[s.holder]) {
 		return
 	}
-	s.until = s.now.Add(leaseTime)
-	s.tell()
+	s.until = s.now.Add(leaseDuration)
+	s.grantLease()
 }
 
-func (s *sim) tell() {
-	s.holders[s.holder].Leased(s.now, s.fence, s.until)
-	s.holders[s.holder].Permit(1)
+func (s *simulation) grantLease() {
+	s.holders[s.holder].SetLease(s.now, s.fence, s.until)
+	s.holders[s.holder].AddPermits(1)
 }
 
-// restartEngines makes work for the orderers: an engine comes up empty.
-func (s *sim) restartEngines() {
+// restartEngines restarts some engines without models, so that the orderers have
+// models to load.
+func (s *simulation) restartEngines() {
 	for _, e := range s.engines {
 		if s.random.IntN(20) == 0 {
 			e.Incarnation++
@@ -285,34 +287,34 @@
 	}
 }
 
-func (s *sim) act(i int, o *Orderer) {
+func (s *simulation) stepOrderer(i int, o *Orderer) {
 	for _, e := range s.engines {
 		if s.random.IntN(2) == 0 {
-			told := e.Endpoint
-			told.Loaded = slices.Clone(e.Loaded)
-			o.Read(s.now, told)
+			announced := e.Endpoint
+			announced.Loaded = slices.Clone(e.Loaded)
+			o.Read(s.now, announced)
 		}
 	}
-	o.Demanded(s.now, []Demand{{Model: "b", Waiting: s.random.IntN(3) * 5}})
+	o.SetDemand(s.now, []Demand{{Model: "b", Waiting: s.random.IntN(3) * 5}})
 	for _, order := range o.Step(s.now) {
 		delay := time.Duration(s.random.Int64N(int64(OrderTimeout)))
-		s.flying = append(s.flying, flight{order: order, from: i, arrives: s.now.Add(delay)})
+		s.inFlight = append(s.inFlight, delivery{order: order, from: i, arrives: s.now.Add(delay)})
 	}
 }
 
-func (s *sim) deliver() {
-	var later []flight
-	for _, f := range s.flying {
+func (s *simulation) deliver() {
+	var later []delivery
+	for _, f := range s.inFlight {
 		if s.now.Before(f.arrives) {
 			later = append(later, f)
 			continue
 		}
 		s.holders[f.from].Ended(s.now, f.order, s.obey(f.order))
 	}
-	s.flying = later
+	s.inFlight = later
 }
 
-func (s *sim) obey(order Order) Result {
+func (s *simulation) obey(order Order) Result {
 	for _, e := range s.engines {
 		if e.ID != order.Endpoint || e.Incarnation != order.Incarnation {
 			continue
@@ -320,11 +322,11 @@
 		if e.Fenced && order.Fence < e.seen {
 			return Outdated
 		}
-		require.GreaterOrEqual(s.t, order.Fence, e.obeyed, "an order of a former leaseholder was obeyed")
+		require.GreaterOrEqual(s.t, order.Fence, e.obeyed, "engine accepted an order of a former leaseholder")
 		e.seen, e.obeyed = max(e.seen, order.Fence), order.Fence
 		e.Loaded = slices.DeleteFunc(e.Loaded, func(model string) bool { return model == order.Model })
 		if order.Kind == Load {
-			require.Less(s.t, len(e.Loaded), e.Room, "more models than fit")
+			require.Less(s.t, len(e.Loaded), e.Room, "engine has more models than its room allows")
 			e.Loaded = append(e.Loaded, order.Model)
 		}
 		if s.random.IntN(10) == 0 {
@@ -335,35 +337,35 @@
 	return Unknown
 }
 
-// Symptom: an engine gets two orders at once, or one for a state that has
-// passed. Events: see the names. Cause: the order in flight is forgotten with
-// the endpoint, or an old announcement passes for a new one.
+// Guards against an engine that gets two orders at once, or one for an outdated
+// state. The cases lose the order in flight together with its endpoint, or announce
+// an old state after a new one.
 func TestOrderInFlightIsRemembered(t *testing.T) {
 	empty := Endpoint{ID: "e", Incarnation: 2, Fenced: true, Room: 2}
 	loaded := Endpoint{ID: "e", Incarnation: 2, Fenced: true, Room: 2, Loaded: []string{"m"}}
 	tests := map[string]func(*Orderer){
-		"it is silent and comes back": func(o *Orderer) { o.Gone("e"); o.Read(start, empty) },
-		"it restarts": func(o *Orderer) {
+		"endpoint expires and comes back": func(o *Orderer) { o.Remove("e"); o.Read(start, empty) },
+		"endpoint restarts": func(o *Orderer) {
 			o.Read(start, Endpoint{ID: "e", Incarnation: 3, Fenced: true, Room: 2})
 		},
-		"its former life is heard late": func(o *Orderer) {
+		"former incarnation is read late": func(o *Orderer) {
 			o.Read(start.Add(2*time.Second), loaded)
 			o.Ended(start.Add(2*time.Second), *o.endpoints["e"].inFlight, Accepted)
 			o.Read(start.Add(3*time.Second), Endpoint{ID: "e", Incarnation: 1, Fenced: true, Room: 2})
 		},
-		"its former state is heard late": func(o *Orderer) {
+		"former state is read late": func(o *Orderer) {
 			o.Read(start.Add(2*time.Second), loaded)
 			o.Ended(start.Add(2*time.Second), *o.endpoints["e"].inFlight, Accepted)
 			o.Read(start.Add(3*time.Second), loaded)
 			o.Read(start.Add(time.Second), empty)
 		},
 	}
-	for name, happen := range tests {
+	for name, change := range tests {
 		t.Run(name, func(t *testing.T) {
-			o := leased("m")
+			o := newLeasedOrderer("m")
 			o.Read(start, empty)
 			require.Len(t, o.Step(start), 1)
-			happen(o)
+			change(o)
 			require.Empty(t, o.Step(start.Add(3*time.Second)))
 		})
 	}
--- a/router/internal/assembler/assembler.go
+++ b/router/internal/assembler/assembler.go
@@ -101,15 +101,15 @@
 	keepers := rotator.New(client, s.Keepers)
 	r.conductor = conductor.New(conductor.Options{
 		Name: s.Name, Zone: s.Zone, Incarnation: incarnation, Address: s.address(), Seeds: s.seeds(),
-		Alone:     s.Scheduling == SchedulingAlone,
-		Heartbeat: s.Timing.Heartbeat.Duration, SuspectAfter: s.Timing.SuspectAfter.Duration,
-		Compare: s.Timing.Compare.Duration, CompareBytes: s.Limits.CompareBytes,
+		Standalone: s.Scheduling == SchedulingAlone,
+		Heartbeat:  s.Timing.Heartbeat.Duration, SuspectAfter: s.Timing.SuspectAfter.Duration,
+		CompareInterval: s.Timing.Compare.Duration, CompareBytesPerSecond: s.Limits.CompareBytes,
 		Client: client, Clock: r.clock, Log: r.log, Registry: r.registry,
 		Leaser: keepers, Sender: commander.NewHTTPSender(r.clock),
 	})
 	r.follower = follower.New(follower.Options{
 		Name: s.Name, Zone: s.Zone, Keepers: keepers.Keepers(), Publisher: keepers,
-		Peer: r.conductor.Peer, Peers: r.conductor.Peers, Changed: r.conductor.Configured,
+		Peer: r.conductor.Peer, Peers: r.conductor.Peers, Changed: r.conductor.SetRules,
 		Clock: r.clock, Log: r.log, Registry: r.registry,
 	})
 	r.claimant = claimant.New(claimant.Options{
--- a/router/internal/claimant/claimant.go
+++ b/router/internal/claimant/claimant.go
@@ -1,14 +1,15 @@
-// Package claimant takes and settles idempotency keys at the keepers.
+// Package claimant claims idempotency keys at the keepers and records the outcomes
+// of their requests.
 //
-// Claims that come while a call is in flight go together into the next one, so
-// that one sync of the keepers' disks serves many.
+// Claims that arrive while a call is in flight are batched into the next call, so
+// that one sync of the keepers' disks serves many claims.
 //
-// Invariants: every claim has an owner of its own (router, incarnation,
-// number), so that a claim whose answer was lost is granted again to it and to
-// nobody else; a claim that was granted after its request had given up is freed
-// again as not run; a record carries its claim's owner. Memory is bounded by
-// maxRecords and maxRecordBytes; the oldest record is dropped beyond that,
-// which leaves its key spent: at most once still holds.
+// Invariants: every claim has its own owner (router, incarnation, number), so that a
+// claim whose answer was lost is granted again to that owner only; a claim that was
+// granted after its request had given up is released as not run; a record carries
+// its claim's owner. Memory is bounded by maxRecords and maxRecordBytes; beyond that
+// the oldest record is dropped, which leaves its key spent, so that at-most-once
+// execution still holds.
 package claimant
 
 import (
@@ -29,26 +30,26 @@
 var ErrNoQuorum = merry.Sentinel("the claim was not taken")
 
 const (
-	maxBatch       = 512
-	maxRecords     = 4096
-	maxRecordBytes = 32 << 20
-	recordPause    = 200 * time.Millisecond
-	// recordWindow is how long a record is tried; the keepers forget the claim
+	maxBatch            = 512
+	maxRecords          = 4096
+	maxRecordBytes      = 32 << 20
+	recordRetryInterval = 200 * time.Millisecond
+	// recordRetryWindow is how long a record is retried; the keepers drop the claim
 	// after an hour.
-	recordWindow = time.Hour
-	// callTimeout bounds one call to the keepers. Claims are sent one batch at
-	// a time, so a request in a zone without a quorum waits for at most two of
-	// them before it is refused; an election takes a fraction of one.
+	recordRetryWindow = time.Hour
+	// callTimeout bounds one call to the keepers. Claims are sent one batch at a
+	// time, so a request in a zone without a quorum waits for at most two calls
+	// before it is refused; an election takes a fraction of one.
 	callTimeout = 2 * time.Second
 )
 
-// Keeping is the part of messenger.Keeping that claims need.
+// Keeping is the subset of messenger.Keeping that claims and records need.
 type Keeping interface {
 	Claim(ctx context.Context, request *messenger.ClaimRequest) (*messenger.ClaimResponse, error)
 	Record(ctx context.Context, request *messenger.RecordRequest) (*messenger.RecordResponse, error)
 }
 
-// Options are what a Claimant is made of.
+// Options configure a Claimant.
 type Options struct {
 	Keeping     Keeping
 	Name        string // of the router
@@ -64,73 +65,73 @@
 	number  atomic.Uint64
 	dropped prometheus.Counter
 
-	mutex       sync.Mutex
-	waiting     []*claim
-	calling     bool // a goroutine makes calls until no claim waits
-	inFlight    bool // a call is under way whose outcome is not known yet
-	lost        bool // the last call reached no quorum
-	records     []record
-	recordBytes int
-	recording   bool
-	idle        chan struct{} // closed when no record waits
+	mutex           sync.Mutex
+	waiting         []*claim
+	senderRunning   bool // a goroutine runs sendClaims
+	inFlight        bool // a claim call is in flight and its outcome is still open
+	quorumLost      bool // the last claim call reached no quorum
+	records         []record
+	recordBytes     int
+	recorderRunning bool
+	recordsDrained  chan struct{} // closed while no record is pending
 }
 
 type claim struct {
-	entry  *messenger.ClaimEntry
-	result chan result
-	gone   bool
+	entry     *messenger.ClaimEntry
+	result    chan result
+	abandoned bool
 }
 
 type result struct {
 	answer *messenger.ClaimResult
 	err    error
-	unsent bool // no call carried the claim
+	unsent bool // the claim was in no call
 }
 
 type record struct {
-	entry *messenger.RecordEntry
-	since time.Time
+	entry    *messenger.RecordEntry
+	queuedAt time.Time
 }
 
 // New returns a claimant.
 func New(options Options) *Claimant {
 	c := &Claimant{
-		options: options,
-		prefix:  options.Name + "/" + strconv.FormatUint(options.Incarnation, 36) + "/",
-		idle:    make(chan struct{}),
+		options:        options,
+		prefix:         options.Name + "/" + strconv.FormatUint(options.Incarnation, 36) + "/",
+		recordsDrained: make(chan struct{}),
 		dropped: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "shallotkeel_records_dropped_total",
 			Help: "Outcomes that could not be recorded; their keys stay spent.",
 		}),
 	}
-	close(c.idle)
+	close(c.recordsDrained)
 	if options.Registry != nil {
 		options.Registry.MustRegister(c.dropped)
 	}
 	return c
 }
 
-// Claim takes a key. It sets the entry's owner if that is empty; the record of
-// the outcome needs the same owner.
+// Claim claims a key. It sets the entry's owner if that is empty; the record of the
+// outcome needs the same owner.
 func (c *Claimant) Claim(ctx context.Context, entry *messenger.ClaimEntry) (*messenger.ClaimResult, error) {
 	if entry.GetOwner() == "" {
 		entry.Owner = c.prefix + strconv.FormatUint(c.number.Add(1), 36)
 	}
 	waiting := &claim{entry: entry, result: make(chan result, 1)}
 	c.mutex.Lock()
-	if c.lost && c.inFlight {
-		// One call at a time finds out whether a quorum is back. Waiting for it
-		// would hold this request's slot, and with the slots of all of them the
-		// whole service would stop in a zone that is cut off. A claim that comes
-		// after that call has failed and before the goroutine has come round is
-		// the next probe: refusing it would leave nobody who asks.
+	if c.quorumLost && c.inFlight {
+		// Only one call at a time checks whether a quorum is back. Waiting for it
+		// would hold this request's slot, and with the slots of all such requests
+		// the whole service would stop in a partitioned zone. A claim that arrives
+		// after that call has failed, while sendClaims still runs, becomes the next
+		// probe: if it were refused, no call would check for a quorum.
 		c.mutex.Unlock()
 		return nil, merry.Errorf("%w: no quorum of keepers was reached; send the request again with the same key", ErrNoQuorum)
 	}
 	c.waiting = append(c.waiting, waiting)
-	if !c.calling {
-		c.calling = true
-		go c.callClaims()
+	if !c.senderRunning {
+		c.senderRunning = true
+		go c.sendClaims()
 	}
 	c.mutex.Unlock()
 	select {
@@ -141,11 +142,11 @@
 	}
 }
 
-// abandon marks a claim whose request has given up, and frees the key if it
-// was granted at the same moment.
+// abandon marks a claim whose request has given up, and releases the key if it was
+// granted at the same moment.
 func (c *Claimant) abandon(waiting *claim, err error) error {
 	c.mutex.Lock()
-	waiting.gone = true
+	waiting.abandoned = true
 	c.mutex.Unlock()
 	select {
 	case answered := <-waiting.result:
@@ -155,23 +156,23 @@
 	return merry.Errorf("%w: %v; send the request again with the same key", ErrNoQuorum, err)
 }
 
-// callClaims makes calls until no claim waits.
-func (c *Claimant) callClaims() {
+// sendClaims sends batches until no claim waits.
+func (c *Claimant) sendClaims() {
 	for {
 		c.mutex.Lock()
 		batch := c.waiting[:min(maxBatch, len(c.waiting))]
 		c.waiting = c.waiting[len(batch):]
-		c.calling = len(batch) > 0
-		c.inFlight = c.calling
+		c.senderRunning = len(batch) > 0
+		c.inFlight = c.senderRunning
 		c.mutex.Unlock()
 		if len(batch) == 0 {
 			return
 		}
-		c.callBatch(batch)
+		c.sendClaimBatch(batch)
 	}
 }
 
-func (c *Claimant) callBatch(batch []*claim) {
+func (c *Claimant) sendClaimBatch(batch []*claim) {
 	request := &messenger.ClaimRequest{}
 	for _, waiting := range batch {
 		request.Claims = append(request.Claims, waiting.entry)
@@ -182,24 +183,24 @@
 	if err == nil && len(response.GetResults()) != len(batch) {
 		err = merry.Errorf("the keeper answered %d of %d claims", len(response.GetResults()), len(batch))
 	}
-	c.noteContact(err == nil)
+	c.updateQuorum(err == nil)
 	for i, waiting := range batch {
 		if err != nil {
-			c.settle(waiting, result{err: merry.Errorf("%w: %v; send the request again with the same key", ErrNoQuorum, err)})
+			c.deliver(waiting, result{err: merry.Errorf("%w: %v; send the request again with the same key", ErrNoQuorum, err)})
 			continue
 		}
-		c.settle(waiting, result{answer: response.GetResults()[i]})
+		c.deliver(waiting, result{answer: response.GetResults()[i]})
 	}
 }
 
-// noteContact remembers whether a quorum was reached. When it was not, the
-// claims that wait for the next call are refused with this one: they were not
-// sent, and would wait for as long again.
-func (c *Claimant) noteContact(reached bool) {
+// updateQuorum records whether a call reached a quorum. If it did not, the claims
+// queued for the next call are refused too: they were not sent, and would wait for
+// another timeout.
+func (c *Claimant) updateQuorum(reached bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.inFlight = false
-	c.lost = !reached
+	c.quorumLost = !reached
 	if reached {
 		return
 	}
@@ -210,21 +211,21 @@
 	c.waiting = nil
 }
 
-func (c *Claimant) settle(waiting *claim, answered result) {
+func (c *Claimant) deliver(waiting *claim, answered result) {
 	c.mutex.Lock()
-	gone := waiting.gone
-	if !gone {
+	abandoned := waiting.abandoned
+	if !abandoned {
 		waiting.result <- answered
 	}
 	c.mutex.Unlock()
-	if gone {
+	if abandoned {
 		c.free(waiting, answered)
 	}
 }
 
-// free gives a key back whose request gave up before it was claimed. Otherwise
-// the caller's resend would be told that the request may have run. A call
-// without an answer may have claimed the key as well.
+// free releases the key of a request that gave up before it was claimed. Otherwise a
+// retry of the client would be told that the request may have run. A call without an
+// answer may have claimed the key as well, so it is released too.
 func (c *Claimant) free(waiting *claim, answered result) {
 	if answered.unsent || answered.err == nil && answered.answer.GetOutcome() != messenger.ClaimOutcome_CLAIM_GRANTED {
 		return
@@ -236,19 +237,19 @@
 	})
 }
 
-// Record stores an outcome in the background.
+// Record queues an outcome, which is sent to the keepers in the background.
 func (c *Claimant) Record(entry *messenger.RecordEntry) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.records = append(c.records, record{entry: entry, since: c.options.Clock.Now()})
+	c.records = append(c.records, record{entry: entry, queuedAt: c.options.Clock.Now()})
 	c.recordBytes += len(entry.GetAnswer().GetBody())
 	for len(c.records) > maxRecords || c.recordBytes > maxRecordBytes {
 		c.dropOldest()
 	}
-	if !c.recording {
-		c.recording = true
-		c.idle = make(chan struct{})
-		go c.callRecords()
+	if !c.recorderRunning {
+		c.recorderRunning = true
+		c.recordsDrained = make(chan struct{})
+		go c.sendRecords()
 	}
 }
 
@@ -258,26 +259,27 @@
 	c.dropped.Inc()
 }
 
-// callRecords makes calls until no record waits.
-func (c *Claimant) callRecords() {
+// sendRecords sends batches until no record waits. It retries a failed batch after
+// recordRetryInterval.
+func (c *Claimant) sendRecords() {
 	for {
-		batch := c.takeRecords()
+		batch := c.nextRecordBatch()
 		if len(batch) == 0 {
 			return
 		}
-		if c.store(batch) {
+		if c.sendRecordBatch(batch) {
 			continue
 		}
-		c.giveBack(batch)
-		c.options.Clock.Sleep(recordPause)
+		c.requeueRecords(batch)
+		c.options.Clock.Sleep(recordRetryInterval)
 	}
 }
 
-func (c *Claimant) takeRecords() []record {
+func (c *Claimant) nextRecordBatch() []record {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Clock.Now()
-	for len(c.records) > 0 && now.Sub(c.records[0].since) > recordWindow {
+	for len(c.records) > 0 && now.Sub(c.records[0].queuedAt) > recordRetryWindow {
 		c.dropOldest()
 	}
 	batch := c.records[:min(maxBatch, len(c.records))]
@@ -286,13 +288,13 @@
 		c.recordBytes -= len(taken.entry.GetAnswer().GetBody())
 	}
 	if len(batch) == 0 {
-		c.recording = false
-		close(c.idle)
+		c.recorderRunning = false
+		close(c.recordsDrained)
 	}
 	return batch
 }
 
-func (c *Claimant) store(batch []record) bool {
+func (c *Claimant) sendRecordBatch(batch []record) bool {
 	request := &messenger.RecordRequest{}
 	for _, taken := range batch {
 		request.Entries = append(request.Entries, taken.entry)
@@ -303,7 +305,7 @@
 	return err == nil
 }
 
-func (c *Claimant) giveBack(batch []record) {
+func (c *Claimant) requeueRecords(batch []record) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.records = append(append([]record(nil), batch...), c.records...)
@@ -315,7 +317,7 @@
 // Drain waits until every outcome is recorded, or the context ends.
 func (c *Claimant) Drain(ctx context.Context) error {
 	c.mutex.Lock()
-	idle := c.idle
+	idle := c.recordsDrained
 	c.mutex.Unlock()
 	select {
 	case <-idle:
--- a/router/internal/claimant/claimant_test.go
+++ b/router/internal/claimant/claimant_test.go
@@ -13,20 +13,20 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-var errCut = errors.New("cut")
-
-// keepers grants every claim once and can hold or fail calls.
-type keepers struct {
-	mutex   sync.Mutex
-	owners  map[string]string
-	sizes   []int
-	records []*messenger.RecordEntry
-	fail    int
-	hold    chan struct{}
-	called  chan struct{}
+var errUnreachable = errors.New("cut")
+
+// fakeKeepers grants every claim once, and can delay or fail calls.
+type fakeKeepers struct {
+	mutex    sync.Mutex
+	owners   map[string]string
+	sizes    []int
+	records  []*messenger.RecordEntry
+	failures int
+	hold     chan struct{}
+	called   chan struct{}
 }
 
-func (k *keepers) Claim(_ context.Context, q *messenger.ClaimRequest) (*messenger.ClaimResponse, error) {
+func (k *fakeKeepers) Claim(_ context.Context, q *messenger.ClaimRequest) (*messenger.ClaimResponse, error) {
 	if k.called != nil {
 		k.called <- struct{}{}
 	}
@@ -36,9 +36,9 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.sizes = append(k.sizes, len(q.GetClaims()))
-	if k.fail > 0 {
-		k.fail--
-		return nil, errCut
+	if k.failures > 0 {
+		k.failures--
+		return nil, errUnreachable
 	}
 	answer := &messenger.ClaimResponse{}
 	for _, entry := range q.GetClaims() {
@@ -52,27 +52,26 @@
 	return answer, nil
 }
 
-func (k *keepers) Record(_ context.Context, q *messenger.RecordRequest) (*messenger.RecordResponse, error) {
+func (k *fakeKeepers) Record(_ context.Context, q *messenger.RecordRequest) (*messenger.RecordResponse, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if k.fail > 0 {
-		k.fail--
-		return nil, errCut
+	if k.failures > 0 {
+		k.failures--
+		return nil, errUnreachable
 	}
 	k.records = append(k.records, q.GetEntries()...)
 	return &messenger.RecordResponse{}, nil
 }
 
-func newClaimant(k *keepers) *Claimant {
+func newClaimant(k *fakeKeepers) *Claimant {
 	k.owners = make(map[string]string)
 	return New(Options{Keeping: k, Name: "router-a1", Incarnation: 1, Clock: clockwork.NewRealClock()})
 }
 
-// Symptom: a booking runs twice.
-// Sequence: two requests with one key come to one router at once.
-// Cause: both claims have the same owner, and a repeat by the owner is granted.
+// Guards against a request that runs twice because two claims of one key at one
+// router have the same owner: a repeated claim by the owner is granted.
 func TestEveryClaimHasItsOwnOwner(t *testing.T) {
-	k := &keepers{}
+	k := &fakeKeepers{}
 	c := newClaimant(k)
 	granted := 0
 	for range 3 {
@@ -86,7 +85,7 @@
 }
 
 func TestClaimsShareCalls(t *testing.T) {
-	k := &keepers{hold: make(chan struct{}), called: make(chan struct{}, 8)}
+	k := &fakeKeepers{hold: make(chan struct{}), called: make(chan struct{}, 8)}
 	c := newClaimant(k)
 	var group sync.WaitGroup
 	claim := func(key string) {
@@ -110,11 +109,11 @@
 	require.Equal(t, []int{1, 4}, k.sizes)
 }
 
-// Symptom: a caller's resend is told "may have run" although nothing was sent.
-// Sequence: the request's time is over while its claim is on its way; the claim
-// is granted afterwards. Cause: nobody frees the key.
+// Guards against a key that stays claimed although no request was sent, so that the
+// client's retry is told "may have run". The request times out while its claim is in
+// flight, and the claim is granted afterwards.
 func TestAbandonedClaimIsFreed(t *testing.T) {
-	k := &keepers{hold: make(chan struct{}), called: make(chan struct{}, 1)}
+	k := &fakeKeepers{hold: make(chan struct{}), called: make(chan struct{}, 1)}
 	c := newClaimant(k)
 	ctx, cancel := context.WithCancel(t.Context())
 	failed := make(chan error)
@@ -133,20 +132,19 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// Symptom: an outcome is lost, so that a resend is told "may have run".
-// Sequence: the keepers do not answer for a while. Cause: one try only.
-func TestRecordIsTriedUntilItIsStored(t *testing.T) {
-	k := &keepers{fail: 2}
+// Guards against an outcome that is lost after a single attempt, so that a retry is
+// told "may have run". The keepers do not answer for a while.
+func TestRecordIsRetriedUntilStored(t *testing.T) {
+	k := &fakeKeepers{failures: 2}
 	c := newClaimant(k)
 	c.Record(&messenger.RecordEntry{Workspace: "w", Key: "k"})
 	require.NoError(t, c.Drain(t.Context()))
 	require.Len(t, k.records, 1)
 }
 
-// Symptom: the router runs out of memory while the keepers are away.
-// Cause: outcomes pile up without bound.
+// Guards against unbounded memory for outcomes while the keepers do not answer.
 func TestRecordsAreBounded(t *testing.T) {
-	k := &keepers{fail: 1 << 30}
+	k := &fakeKeepers{failures: 1 << 30}
 	c := New(Options{Keeping: k, Clock: clockwork.NewFakeClock()})
 	for range maxRecords + 100 {
 		c.Record(&messenger.RecordEntry{Workspace: "w", Key: "k", Answer: &messenger.Answer{Body: make([]byte, 16<<10)}})
@@ -157,13 +155,13 @@
 	require.LessOrEqual(t, c.recordBytes, maxRecordBytes+maxBatch*16<<10)
 }
 
-// Symptom: in a zone that is cut off, calls that may be repeated wait for
-// seconds beside calls that may not.
-// Sequence: each claim waits for a call's timeout, the claims behind it for the
-// next one, and each holds a slot of the service meanwhile.
-// Cause: claims were kept waiting although the last call had found no quorum.
+// Guards against a partitioned zone in which repeatable requests, which need no
+// claim, wait for seconds because other requests hold the slots of the service while
+// they wait for a claim: each claim waits for the timeout of a call, and the claims
+// behind it for the next. After a call that reached no quorum, claims must not be
+// kept waiting.
 func TestClaimsAreRefusedAtOnceWhileNoQuorumIsReached(t *testing.T) {
-	k := &keepers{hold: make(chan struct{}), called: make(chan struct{}, 8), fail: 1}
+	k := &fakeKeepers{hold: make(chan struct{}), called: make(chan struct{}, 8), failures: 1}
 	c := newClaimant(k)
 	entry := func(key string) *messenger.ClaimEntry { return &messenger.ClaimEntry{Workspace: "w", Key: key} }
 	ended := make(chan error, 2)
@@ -197,15 +195,15 @@
 	require.Equal(t, []int{1, 1, 1}, k.sizes)
 }
 
-// Symptom: a claim hangs or is refused although no call to the keepers is
-// under way. Sequence: a call finds no quorum and its claims are told so; the
-// next claim comes before the calling goroutine has come round. Cause: that
-// goroutine was taken for a call in flight.
+// Guards against a claim that hangs or is refused although no call to the keepers is
+// in flight. A call reaches no quorum and its claims are refused; the next claim
+// arrives while sendClaims is between two calls, which must not count as a call in
+// flight.
 func TestClaimBetweenTwoCallsIsTheNextProbe(t *testing.T) {
-	k := &keepers{}
+	k := &fakeKeepers{}
 	c := newClaimant(k)
-	c.calling, c.inFlight = true, true
-	c.noteContact(false)
+	c.senderRunning, c.inFlight = true, true
+	c.updateQuorum(false)
 	ended := make(chan error, 1)
 	go func() {
 		_, err := c.Claim(t.Context(), &messenger.ClaimEntry{Workspace: "w", Key: "k"})
@@ -216,6 +214,6 @@
 		defer c.mutex.Unlock()
 		return len(c.waiting) == 1 || len(ended) == 1
 	}, 5*time.Second, time.Millisecond)
-	c.callClaims()
+	c.sendClaims()
 	require.NoError(t, <-ended)
 }
--- a/router/internal/commander/commander.go
+++ b/router/internal/commander/commander.go
@@ -1,13 +1,13 @@
-// Package commander orders the engines of one pool to load and unload models:
-// it gets the pool's lease from the keepers, tells an orderer what there is and
-// what is wanted, and sends its orders.
+// Package commander orders the engines of one pool to load and unload models. It
+// obtains the pool's lease from the keepers, passes the state and the wanted models
+// to an orderer, and returns the orders to send.
 //
-// A Commander is a pure state machine at the host of the pool's scheduler; a
-// Sender carries its orders.
+// A Commander is a pure state machine on the router that hosts the pool's scheduler;
+// a Sender delivers its orders.
 //
-// Invariants: the lease is counted from when it was asked for; one request for
-// it is in flight at a time; a state that was read counts from when the engine
-// told it at the latest; an endpoint without room gets no order.
+// Invariants: the lease counts from when it was requested; one lease request is in
+// flight at a time; the time of a reading is not later than the engine's
+// announcement; an endpoint without room for a model gets no order.
 package commander
 
 import (
@@ -25,141 +25,147 @@
 )
 
 const (
-	// stepEvery is the time between two looks at what is wanted and there.
-	stepEvery = time.Second
-	// retryAfter is the least time between two requests for the lease, whether no
-	// answer came or no permit.
-	retryAfter = time.Second
-	// askAtLeast is how often a lease that another one holds is asked for.
-	askAtLeast = 5 * time.Second
-	// renewShare is the part of a lease after which it is renewed.
-	renewShare = 3
-	// permitsWanted is how many loads are asked for at once: one is ordered at a
-	// time.
+	// stepInterval is the time between two comparisons of the wanted with the loaded
+	// models.
+	stepInterval = time.Second
+	// leaseRetryInterval is the minimum time between two lease requests, whether no
+	// answer came or the answer had no permit.
+	leaseRetryInterval = time.Second
+	// maxLeasePollInterval is the maximum time between two requests for a lease that
+	// another holder has.
+	maxLeasePollInterval = 5 * time.Second
+	// leaseRenewalDivisor sets the renewal time: a lease is renewed after its
+	// duration divided by this number.
+	leaseRenewalDivisor = 3
+	// permitsWanted is the number of load permits in one request, because one load
+	// is ordered at a time.
 	permitsWanted = 1
 )
 
-// Leaser gives pools' leases: the keepers.
+// Leaser grants the leases of pools. The keepers do so.
 type Leaser interface {
 	Lease(ctx context.Context, request *messenger.LeaseRequest) (*messenger.LeaseResponse, error)
 }
 
-// Sender carries an order to its endpoint before the context ends.
+// Sender delivers an order to its endpoint before the context ends.
 type Sender interface {
 	Send(ctx context.Context, order orderer.Order) orderer.Result
 }
 
-// Reading is what an engine told of itself.
+// Reading is the state of an engine as it announced it.
 type Reading struct {
 	orderer.Endpoint
-	At      time.Time // not after the engine told it
-	Expires time.Time // when its announcement is over
+	At      time.Time // not later than the engine's announcement
+	Expires time.Time // when the announcement expires
 }
 
 // Actions are what the host has to do now.
 type Actions struct {
-	Lease  *messenger.LeaseRequest // to be answered by Leased, nil if there is none
-	Orders []orderer.Order         // each to be answered by Ended
+	Lease  *messenger.LeaseRequest // request to send, its answer goes to Leased; nil if there is none
+	Orders []orderer.Order         // orders to send, the result of each goes to Ended
 }
 
-// Commander orders one pool's engines. It is not safe for concurrent use.
+// Commander orders the engines of one pool. It is not safe for concurrent use.
 type Commander struct {
-	pool    *messenger.Pool
-	holder  string
-	orderer orderer.Orderer
-	engines map[string]*Reading
-	fence   uint64
-	asking  bool
-	askedAt time.Time
-	askAt   time.Time
-	stepAt  time.Time
-}
-
-// New returns a commander for a pool. The holder's name is unique to this life
-// of the pool's scheduler: its successor at the same router knows nothing of
-// the orders that are still in flight, and so must wait for the lease.
+	pool                 *messenger.Pool
+	holder               string
+	orderer              orderer.Orderer
+	engines              map[string]*Reading
+	fence                uint64
+	leaseRequestInFlight bool
+	leaseRequestedAt     time.Time
+	nextLeaseRequestAt   time.Time
+	nextStepAt           time.Time
+}
+
+// New returns a commander for a pool. The holder's name is unique to one incarnation
+// of the pool's scheduler: a successor on the same router has no record of the
+// orders that are still in flight, and so must wait until the lease expires.
 func New(pool *messenger.Pool, holder string) *Commander {
 	return &Commander{pool: pool, holder: holder, engines: make(map[string]*Reading)}
 }
 
-// Heard takes in what an engine told of itself.
-func (c *Commander) Heard(reading Reading) {
-	known := c.engines[reading.ID]
-	if known != nil && (reading.Incarnation < known.Incarnation || reading.At.Before(known.At)) {
+// Observe records an engine's state, unless it is older than the recorded one.
+func (c *Commander) Observe(reading Reading) {
+	last := c.engines[reading.ID]
+	if last != nil && (reading.Incarnation < last.Incarnation || reading.At.Before(last.At)) {
 		return
 	}
 	c.engines[reading.ID] = &reading
 }
 
-// Known returns what was last heard of an endpoint that takes orders.
-func (c *Commander) Known(id string) Reading {
-	if known := c.engines[id]; known != nil {
-		return *known
+// LastReading returns the last state of an endpoint that accepts orders, or the zero
+// Reading if there is none.
+func (c *Commander) LastReading(id string) Reading {
+	if last := c.engines[id]; last != nil {
+		return *last
 	}
 	return Reading{}
 }
 
-// Hidden is the model that gets no new work at an endpoint, empty if none.
+// Hidden returns the model that gets no new requests at an endpoint, or an empty
+// string.
 func (c *Commander) Hidden(id string) string {
 	return c.orderer.Hidden(id)
 }
 
-// Due is when Step has something to do if nothing else happens; the zero time
-// while the pool has no engine that takes orders.
-func (c *Commander) Due(now time.Time) time.Time {
+// NextStep returns when Step has to run if no event comes before. It is the zero
+// time while the pool has no engine that accepts orders.
+func (c *Commander) NextStep(now time.Time) time.Time {
 	if len(c.engines) == 0 {
 		return time.Time{}
 	}
-	due := c.stepAt
-	if !c.asking && c.askAt.Before(due) {
-		due = c.askAt
+	next := c.nextStepAt
+	if !c.leaseRequestInFlight && c.nextLeaseRequestAt.Before(next) {
+		next = c.nextLeaseRequestAt
 	}
-	if due.Before(now) {
+	if next.Before(now) {
 		return now
 	}
-	return due
+	return next
 }
 
-// Step returns what to do now. Work is asked for what waits and runs, which
-// costs a walk over the pool, only if it is needed.
-func (c *Commander) Step(now time.Time, rules *matcher.Rules, work func() scheduler.Usage) Actions {
+// Step returns the actions to take now. It calls usage, which walks over the pool's
+// requests, only if it needs the result.
+func (c *Commander) Step(now time.Time, rules *matcher.Rules, usage func() scheduler.Usage) Actions {
 	service, found := rules.Service(c.pool.GetService())
 	if !found || service.Type != describer.TypeModel {
-		c.stepAt, c.askAt = now.Add(stepEvery), now.Add(stepEvery)
+		c.nextStepAt, c.nextLeaseRequestAt = now.Add(stepInterval), now.Add(stepInterval)
 		return Actions{}
 	}
 	var actions Actions
-	if !now.Before(c.stepAt) {
-		c.stepAt = now.Add(stepEvery)
-		c.look(now, service, work())
+	if !now.Before(c.nextStepAt) {
+		c.nextStepAt = now.Add(stepInterval)
+		c.updateOrderer(now, service, usage())
 		actions.Orders = c.orderer.Step(now)
-		if again := c.askedAt.Add(retryAfter); c.orderer.Lacking() && again.Before(c.askAt) {
-			c.askAt = again // the next renewal would be late for a permit
+		if retryAt := c.leaseRequestedAt.Add(leaseRetryInterval); c.orderer.NeedsPermit() && retryAt.Before(c.nextLeaseRequestAt) {
+			c.nextLeaseRequestAt = retryAt // the next renewal would bring the permit too late
 		}
 	}
-	if len(c.engines) > 0 && !c.asking && !now.Before(c.askAt) {
-		c.asking, c.askedAt = true, now
+	if len(c.engines) > 0 && !c.leaseRequestInFlight && !now.Before(c.nextLeaseRequestAt) {
+		c.leaseRequestInFlight, c.leaseRequestedAt = true, now
 		actions.Lease = &messenger.LeaseRequest{Pool: c.pool, Holder: c.holder, Fence: c.fence}
-		if c.orderer.Lacking() {
+		if c.orderer.NeedsPermit() {
 			actions.Lease.WantLoads = permitsWanted
 		}
 	}
 	return actions
 }
 
-// look tells the orderer what is wanted and what is there.
-func (c *Commander) look(now time.Time, service *matcher.Service, usage scheduler.Usage) {
-	c.orderer.Want(Wants(service))
+// updateOrderer passes the wanted models, the demand and the engines' states to the
+// orderer.
+func (c *Commander) updateOrderer(now time.Time, service *matcher.Service, usage scheduler.Usage) {
+	c.orderer.SetWants(Wants(service))
 	var demands []orderer.Demand
 	for _, model := range slices.Sorted(maps.Keys(usage.Models)) {
 		demands = append(demands, orderer.Demand{
 			Model: model, Waiting: usage.Models[model].Waiting, Running: usage.Models[model].Running,
 		})
 	}
-	c.orderer.Demanded(now, demands)
+	c.orderer.SetDemand(now, demands)
 	for id, reading := range c.engines {
 		if !now.Before(reading.Expires) || reading.Room == 0 {
-			c.orderer.Gone(id)
+			c.orderer.Remove(id)
 			delete(c.engines, id)
 			continue
 		}
@@ -169,9 +175,10 @@
 	}
 }
 
-// inUse lists the models in use at an endpoint. Requests of which only the
-// endpoint's load tells may be for any model: those of a former scheduler whose
-// routers have not come yet.
+// inUse returns the models in use at an endpoint and the number of its running
+// requests. Foreign requests, which show only in the endpoint's load, may be for any
+// loaded model: they come from a previous scheduler whose routers have not enrolled
+// here yet.
 func inUse(usage scheduler.EndpointUsage, loaded []string) (models []string, busy int) {
 	for model, count := range usage.Models {
 		models = append(models, model)
@@ -184,33 +191,33 @@
 	return slices.Compact(models), busy + usage.Foreign
 }
 
-// Leased takes in the answer to a request for the lease that was sent then.
+// Leased handles the answer to a lease request that was sent at the given time.
 func (c *Commander) Leased(now, sent time.Time, answer *messenger.LeaseResponse, err error) {
-	c.asking = false
-	c.askAt = now.Add(retryAfter)
+	c.leaseRequestInFlight = false
+	c.nextLeaseRequestAt = now.Add(leaseRetryInterval)
 	if err != nil {
 		return
 	}
 	lease := time.Duration(answer.GetLeaseMs()) * time.Millisecond
 	if answer.GetFence() == 0 {
 		c.fence = 0
-		c.orderer.Lost()
-		c.askAt = now.Add(min(max(lease, retryAfter), askAtLeast))
+		c.orderer.EndLease()
+		c.nextLeaseRequestAt = now.Add(min(max(lease, leaseRetryInterval), maxLeasePollInterval))
 		return
 	}
 	c.fence = answer.GetFence()
-	c.orderer.Leased(now, c.fence, sent.Add(lease))
-	c.orderer.Permit(int(answer.GetPermits()))
-	c.askAt = sent.Add(lease / renewShare)
+	c.orderer.SetLease(now, c.fence, sent.Add(lease))
+	c.orderer.AddPermits(int(answer.GetPermits()))
+	c.nextLeaseRequestAt = sent.Add(lease / leaseRenewalDivisor)
 }
 
-// Ended takes in how an order ended.
+// Ended handles the result of an order.
 func (c *Commander) Ended(now time.Time, order orderer.Order, result orderer.Result) {
 	c.orderer.Ended(now, order, result)
 }
 
-// Wants reads from a service's labels which models are wanted in how many
-// copies in each availability zone.
+// Wants reads from a service's labels how many copies of each model are wanted in
+// each availability zone.
 func Wants(service *matcher.Service) []orderer.Want {
 	wants := make([]orderer.Want, 0, len(service.Models))
 	for _, model := range service.Models {
--- a/router/internal/commander/sender.go
+++ b/router/internal/commander/sender.go
@@ -15,55 +15,58 @@
 	"shallotkeel.example/lib/orderer"
 )
 
-// ordersPath is where engines take orders.
+// ordersPath is the URL path at which engines accept orders.
 const ordersPath = "/control/orders"
 
-// maxAnswer bounds what is read of an answer, in bytes; only its status counts.
-const maxAnswer = 4096
+// maxAnswerBytes bounds how much of an answer's body is read; only the status
+// counts.
+const maxAnswerBytes = 4096
 
-// errLate means that the order's time was over before it was written.
-var errLate = errors.New("the order's time is over")
+// errDeadlinePassed means that the order's deadline had passed before the order was
+// written.
+var errDeadlinePassed = errors.New("order not written: its deadline has passed")
 
 // HTTPSender sends orders over HTTP, each on a connection of its own.
 //
-// Nothing of an order may leave after its time: by then its sender may have lost
-// the lease, and an engine that ignores fencing numbers would obey it. One would
-// notice a model that vanishes again after a process that stood still resumes.
-// Therefore every write looks at the clock, because timers fire late after a
-// standstill; and a connection is closed with its unsent bytes thrown away,
-// because otherwise the kernel goes on sending them for minutes after a
-// partition.
+// No byte of an order may leave after its deadline: its sender may have lost the
+// lease by then, and an engine that ignores fencing numbers would obey the order.
+// The visible fault would be a model that disappears again after a stalled process
+// resumes. Therefore every write checks the clock, because timers fire late after a
+// stall; and a connection is closed with its unsent bytes discarded, because the
+// kernel would otherwise keep sending them for minutes after a partition.
 type HTTPSender struct {
 	clock  clockwork.Clock
 	client *http.Client
 }
 
-// NewHTTPSender returns a sender.
+// NewHTTPSender returns a sender that checks deadlines with the given clock.
 func NewHTTPSender(clock clockwork.Clock) *HTTPSender {
 	dialer := &net.Dialer{Timeout: orderer.OrderTimeout}
 	transport := &http.Transport{
-		// A kept connection would outlive the order that it was made for.
+		// An idle connection kept for reuse would outlive the order that it was
+		// opened for.
 		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return guard(ctx, conn, clock)
+			return withWriteDeadline(ctx, conn, clock)
 		},
 	}
-	// An order is for the engine that announced itself. One that was sent on, and
-	// answered by someone else, would pass for obeyed.
-	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &HTTPSender{clock: clock, client: &http.Client{Transport: transport, CheckRedirect: stay}}
+	// An order is for the engine that announced itself. If it were redirected and
+	// answered by another server, it would count as accepted.
+	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &HTTPSender{clock: clock, client: &http.Client{Transport: transport, CheckRedirect: noRedirect}}
 }
 
-// deadlineKey carries the order's deadline to the connection: the context of a
-// dial keeps the values of its request, not its deadline.
+// deadlineKey carries the order's deadline to the connection: the context of a dial
+// keeps the values of its request, not its deadline.
 type deadlineKey struct{}
 
-// guard lets nothing be written to a connection after its order's time.
-func guard(ctx context.Context, conn net.Conn, clock clockwork.Clock) (net.Conn, error) {
+// withWriteDeadline returns a connection that refuses writes after the order's
+// deadline.
+func withWriteDeadline(ctx context.Context, conn net.Conn, clock clockwork.Clock) (net.Conn, error) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		if err := tcp.SetLinger(0); err != nil {
 			conn.Close()
@@ -71,37 +74,38 @@
 		}
 	}
 	deadline, _ := ctx.Value(deadlineKey{}).(time.Time)
-	return &guarded{Conn: conn, clock: clock, deadline: deadline}, nil
+	return &deadlineConn{Conn: conn, clock: clock, deadline: deadline}, nil
 }
 
-type guarded struct {
+type deadlineConn struct {
 	net.Conn
 	clock    clockwork.Clock
 	deadline time.Time
 }
 
-// Write writes unless the order's time is over.
-func (g *guarded) Write(data []byte) (int, error) {
+// Write writes data unless the order's deadline has passed.
+func (g *deadlineConn) Write(data []byte) (int, error) {
 	if !g.clock.Now().Before(g.deadline) {
-		return 0, errLate
+		return 0, errDeadlinePassed
 	}
 	return g.Conn.Write(data)
 }
 
-// body is an order as engines read it.
-type body struct {
+// orderBody is the JSON form of an order.
+type orderBody struct {
 	Fence uint64       `json:"fence"`
 	Order orderer.Kind `json:"order"`
 	Model string       `json:"model"`
 }
 
-// Send sends an order before the context's deadline.
+// Send sends an order before the context's deadline. Without a deadline, or without
+// an answer, the result is Unknown.
 func (s *HTTPSender) Send(ctx context.Context, order orderer.Order) orderer.Result {
 	deadline, limited := ctx.Deadline()
 	if !limited {
 		return orderer.Unknown
 	}
-	text, err := json.Marshal(body{Fence: order.Fence, Order: order.Kind, Model: order.Model})
+	text, err := json.Marshal(orderBody{Fence: order.Fence, Order: order.Kind, Model: order.Model})
 	if err != nil {
 		return orderer.Unknown
 	}
@@ -110,7 +114,7 @@
 	if err != nil {
 		return orderer.Unknown
 	}
-	// A repeated order could arrive after a later one.
+	// A retried order could arrive after a later one.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	answer, err := s.client.Do(request)
@@ -118,7 +122,7 @@
 		return orderer.Unknown
 	}
 	defer answer.Body.Close()
-	_, _ = io.CopyN(io.Discard, answer.Body, maxAnswer)
+	_, _ = io.CopyN(io.Discard, answer.Body, maxAnswerBytes)
 	return resultOf(answer.StatusCode)
 }
 
--- a/router/internal/commander/sender_test.go
+++ b/router/internal/commander/sender_test.go
@@ -15,8 +15,9 @@
 	"shallotkeel.example/lib/orderer"
 )
 
-// engine serves orders and returns its address and what it was sent.
-func engine(t *testing.T, status int) (netip.AddrPort, chan string) {
+// newEngine starts an engine that answers orders with the status. It returns the
+// engine's address and the requests that it receives.
+func newEngine(t *testing.T, status int) (netip.AddrPort, chan string) {
 	t.Helper()
 	seen := make(chan string, 8)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -38,12 +39,12 @@
 		want   orderer.Result
 	}{
 		"accepted":          {http.StatusNoContent, orderer.Accepted},
-		"an old number":     {http.StatusConflict, orderer.Outdated},
+		"outdated fence":    {http.StatusConflict, orderer.Outdated},
 		"the engine failed": {http.StatusInternalServerError, orderer.Unknown},
 		"redirected":        {http.StatusFound, orderer.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			at, seen := engine(t, test.status)
+			at, seen := newEngine(t, test.status)
 			ctx, cancel := context.WithTimeout(t.Context(), orderer.OrderTimeout)
 			defer cancel()
 			sender := NewHTTPSender(clockwork.NewRealClock())
@@ -53,22 +54,22 @@
 	}
 }
 
-// lateContext has a deadline that is over and a timer that has not fired yet, as
-// in the moment when a process resumes after a standstill.
-type lateContext struct {
+// expiredContext has a deadline that has passed and a timer that has not fired yet,
+// as right after a process resumes from a stall.
+type expiredContext struct {
 	context.Context
 	deadline time.Time
 }
 
-func (l lateContext) Deadline() (time.Time, bool) { return l.deadline, true }
+func (l expiredContext) Deadline() (time.Time, bool) { return l.deadline, true }
 
-// Symptom: an engine that ignores fencing numbers obeys a former leaseholder.
-// Sequence: its process stands still before it sends, resumes after the lease,
-// and sends before its timers fire. Cause: only timers watch the deadline.
-func TestNothingIsSentAfterAStandstill(t *testing.T) {
-	at, seen := engine(t, http.StatusNoContent)
+// Guards against an engine without fencing that obeys a former leaseholder. The
+// leaseholder's process stalls before it sends, resumes after the lease has ended,
+// and sends before its timers fire; so timers alone must not enforce the deadline.
+func TestNothingIsSentAfterAStall(t *testing.T) {
+	at, seen := newEngine(t, http.StatusNoContent)
 	clock := clockwork.NewFakeClock()
-	ctx := lateContext{Context: t.Context(), deadline: clock.Now().Add(orderer.OrderTimeout)}
+	ctx := expiredContext{Context: t.Context(), deadline: clock.Now().Add(orderer.OrderTimeout)}
 	clock.Advance(orderer.OrderTimeout)
 	order := orderer.Order{Address: at, Kind: orderer.Load, Model: "m", Fence: 7}
 	require.Equal(t, orderer.Unknown, NewHTTPSender(clock).Send(ctx, order))
@@ -76,7 +77,7 @@
 }
 
 func TestOrderWithoutDeadlineIsNotSent(t *testing.T) {
-	at, seen := engine(t, http.StatusNoContent)
+	at, seen := newEngine(t, http.StatusNoContent)
 	sender := NewHTTPSender(clockwork.NewRealClock())
 	require.Equal(t, orderer.Unknown, sender.Send(context.Background(), orderer.Order{Address: at}))
 	require.Empty(t, seen)
--- a/router/internal/conductor/bytes_test.go
+++ b/router/internal/conductor/bytes_test.go
@@ -17,9 +17,9 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// Symptom: control traffic is beyond its budget of 460 bytes a request.
-// Sequence: one request after the other, nothing batched: the worst case.
-// Cause: names and headers that are repeated with every call.
+// Guards against control traffic above the budget of 460 bytes a request, which
+// names and headers repeated in every call would cause. One request follows the
+// other and nothing is batched, which is the worst case.
 func TestBytesOfOneRequest(t *testing.T) {
 	counter := &dialer.Counter{}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 	at := netip.MustParseAddrPort(listener.Addr().String())
 	clock := clockwork.NewFakeClock()
 	c := New(Options{Name: "router-a1", Zone: "trento-a", Incarnation: 1_800_000_000_000, Address: at, Clock: clock, Log: zerolog.Nop()})
-	c.rules = worldRules()
+	c.rules = testRules()
 	mux := http.NewServeMux()
 	c.Register(mux, nil)
 	server := dialer.Server("secret", mux)
@@ -35,7 +35,7 @@
 	t.Cleanup(func() { _ = server.Close() })
 	go c.Run(t.Context())
 	c.post(func() {
-		c.take(&messenger.Announcement{
+		c.acceptAnnouncement(&messenger.Announcement{
 			Id: "modelli-a1", Incarnation: 1_800_000_000_000, Service: service, Zone: "trento-a", Models: []string{model},
 			Address: "10.0.0.1:9000", Slots: 8, TtlMs: 1 << 30,
 		}, func(error) {})
@@ -51,7 +51,7 @@
 		payload += proto.Size(batch) + proto.Size(answer)
 		e.Answered(clock.Now(), batch.GetNumber(), answer)
 	}
-	one := func(seq uint64) {
+	runRequest := func(seq uint64) {
 		e.Add(clock.Now(), scheduler.Ticket{Seq: seq, Workspace: "large", Model: model, Hint: 400, Prompt: 900, Prefix: 1<<63 + seq})
 		exchange()
 		require.Equal(t, 1, e.Running())
@@ -59,17 +59,17 @@
 		exchange()
 	}
 	for seq := range uint64(20) {
-		one(seq + 1)
+		runRequest(seq + 1)
 	}
 	payload = 0
 	before := counter.Sent.Load() + counter.Received.Load()
 	const requests = 200
 	for seq := range uint64(requests) {
-		one(seq + 100_000)
+		runRequest(seq + 100_000)
 	}
 	total := float64(counter.Sent.Load()+counter.Received.Load()-before) / requests
 	framing := (total - float64(payload)/requests) / 2
-	t.Logf("%.0f bytes a request in two calls, of these %.0f of framing a call", total, framing)
+	t.Logf("%.0f bytes per request in two calls, including %.0f bytes of framing per call", total, framing)
 	require.Less(t, total, 230.0)
 	require.LessOrEqual(t, framing, 60.0)
 }
--- a/router/internal/conductor/collector.go
+++ b/router/internal/conductor/collector.go
@@ -12,17 +12,17 @@
 // collectTimeout bounds how long a scrape waits for the control goroutine.
 const collectTimeout = time.Second
 
-// measure is one figure of a pool.
+// measure is one metric of a pool.
 type measure struct {
 	description *prometheus.Desc
 	kind        prometheus.ValueType
 	read        func(scheduler.Stats) float64
 }
 
-// Collector publishes the measures of the pools that this router schedules:
-// the fairness gap with its bound, and utilisation. They are read from the
-// pools at each scrape, so a pool that moved to another router vanishes here
-// and its old values are not shown on.
+// Collector exports the metrics of the pools that this router schedules: the
+// fairness gap with its bound, and utilisation. They are read from the pools at each
+// scrape, so a pool that moved to another router disappears here and its stale
+// values are no longer exported.
 //
 // The label is the service, so there are at most as many rows as services.
 type Collector struct {
@@ -64,14 +64,14 @@
 	})
 }
 
-// Describe lists the measures.
+// Describe sends the descriptions of the metrics.
 func (c *Collector) Describe(descriptions chan<- *prometheus.Desc) {
 	for _, m := range c.measures {
 		descriptions <- m.description
 	}
 }
 
-// Collect reads the measures of every pool.
+// Collect reads the metrics of every pool.
 func (c *Collector) Collect(metrics chan<- prometheus.Metric) {
 	for _, stats := range c.stats() {
 		for _, m := range c.measures {
@@ -80,8 +80,9 @@
 	}
 }
 
-// stats takes them on the control goroutine and hands them over whole, because
-// a scrape may give up waiting while that goroutine is still at it.
+// stats gathers the statistics on the control goroutine and passes the complete list
+// through a channel, because a scrape may time out while that goroutine is still
+// gathering.
 func (c *Collector) stats() []scheduler.Stats {
 	ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
 	defer cancel()
--- a/router/internal/conductor/compare.go
+++ b/router/internal/conductor/compare.go
@@ -10,8 +10,9 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// silence is for how long a pool without news leaves another zone alone.
-const silence = time.Second
+// idleCompareInterval is how long a pool without changes waits between two exchanges
+// with another zone.
+const idleCompareInterval = time.Second
 
 func encodeTotals(table *interner.Writer, rows []scheduler.Total) []*messenger.Total {
 	encoded := make([]*messenger.Total, 0, len(rows))
@@ -34,33 +35,36 @@
 	return decoded
 }
 
-// compare sends the offers of the pools that are due to the schedulers of their
-// services in the other zones.
+// compare sends the offers of the pools whose exchange time has come to the
+// schedulers of the same services in the other zones.
 func (c *Conductor) compare(now time.Time) {
 	c.checkRouters(now)
-	c.forgetEndpoints(now)
+	c.removeExpiredEndpoints(now)
 	zones := len(c.detector.Zones())
-	if c.options.Alone || zones == 0 {
+	if c.options.Standalone || zones == 0 {
 		return
 	}
 	for _, h := range c.pools {
 		if now.Before(h.compareAt) {
 			continue
 		}
-		c.compareOne(now, h)
-		// The pool knows what its exchange costs; the setting is the least pause.
-		h.compareAt = now.Add(max(c.options.Compare, h.desk.Pool.CompareInterval(now, zones, len(c.pools))))
+		c.comparePool(now, h)
+		// The pool computes the interval from the cost of its exchanges; the setting
+		// is the minimum.
+		h.compareAt = now.Add(max(c.options.CompareInterval, h.desk.Pool.CompareInterval(now, zones, len(c.pools))))
 	}
 }
 
-func (c *Conductor) compareOne(now time.Time, h *hosted) {
-	c.rounds++
+// comparePool sends one pool's offer to each other zone without an exchange in flight.
+// A zone gets no offer without changes until idleCompareInterval has passed.
+func (c *Conductor) comparePool(now time.Time, h *hostedPool) {
+	c.compareRound++
 	totals, demand, returned, renewed, idle := h.desk.Pool.Offer(now)
-	news := len(totals)+len(demand)+len(returned)+len(renewed) > 0 || h.joining
+	changed := len(totals)+len(demand)+len(returned)+len(renewed) > 0 || h.joining
 	var table interner.Writer
 	shared := &messenger.CompareRequest{
 		From: &messenger.Pool{Zone: c.options.Zone, Service: h.service}, Origin: h.desk.Incarnation,
-		Totals: encodeTotals(&table, totals), Idle: uint32(idle), Joining: h.joining, Round: c.rounds,
+		Totals: encodeTotals(&table, totals), Idle: uint32(idle), Joining: h.joining, Round: c.compareRound,
 	}
 	for _, row := range demand {
 		shared.Demand = append(shared.Demand, &messenger.Demand{
@@ -70,15 +74,16 @@
 	shared.Names = table.Take()
 	for _, zone := range c.detector.Zones() {
 		owner, found := detector.Owner(c.detector.Members(zone), zone, h.service)
-		if !found || h.calling[zone] || (!news && now.Sub(h.told[zone]) < silence) {
+		if !found || h.comparing[zone] || (!changed && now.Sub(h.answeredAt[zone]) < idleCompareInterval) {
 			continue
 		}
-		c.compareWith(now, h, zone, owner, requestTo(shared, h.desk.Pool, zone, now))
+		c.compareWith(now, h, zone, owner, requestFor(shared, h.desk.Pool, zone, now))
 	}
 }
 
-// requestTo adds the loans of one zone to what all zones are told.
-func requestTo(shared *messenger.CompareRequest, pool *scheduler.Pool, zone string, now time.Time) *messenger.CompareRequest {
+// requestFor adds the loans of one zone to the part of the request that all zones
+// get.
+func requestFor(shared *messenger.CompareRequest, pool *scheduler.Pool, zone string, now time.Time) *messenger.CompareRequest {
 	returned, renewed := pool.LoansOf(zone, now)
 	return &messenger.CompareRequest{
 		From: shared.GetFrom(), Origin: shared.GetOrigin(), Names: shared.GetNames(), Totals: shared.GetTotals(),
@@ -87,30 +92,30 @@
 	}
 }
 
-func (c *Conductor) compareWith(asked time.Time, h *hosted, zone string, owner detector.Member, request *messenger.CompareRequest) {
-	h.calling[zone] = true
+func (c *Conductor) compareWith(sentAt time.Time, h *hostedPool, zone string, owner detector.Member, request *messenger.CompareRequest) {
+	h.comparing[zone] = true
 	method := c.peers.get(owner.Address).scheduling.Compare
 	call(c, kindCompare, method, request, func(answer *messenger.CompareResponse, err error) {
-		delete(h.calling, zone)
+		delete(h.comparing, zone)
 		if err != nil || answer.GetNotHere() || c.pools[h.service] != h {
 			return
 		}
 		now := c.clock.Now()
-		h.told[zone] = now
+		h.answeredAt[zone] = now
 		if h.joining {
 			c.join(now, h, answer)
 		}
 		h.desk.Apply(now, scheduler.Lent{
-			Zone: zone, Origin: answer.GetOrigin(), Idle: int(answer.GetIdle()), RequestedAt: asked,
+			Zone: zone, Origin: answer.GetOrigin(), Idle: int(answer.GetIdle()), RequestedAt: sentAt,
 			Totals: decodeTotals(answer.GetNames(), answer.GetTotals()), Loans: decodeLoans(answer),
 		})
 	})
 }
 
-// join ends a pool's joining with the first history, or when every zone has
-// answered without one. A peer that is joining itself has none to give, and its
-// answer must not hide the history that another zone has.
-func (c *Conductor) join(now time.Time, h *hosted, answer *messenger.CompareResponse) {
+// join ends the joining state of a pool with the first history received, or when
+// every zone has answered without a history. A peer that is joining as well has no
+// history, and its answer must not hide the history that another zone has.
+func (c *Conductor) join(now time.Time, h *hostedPool, answer *messenger.CompareResponse) {
 	if len(answer.GetHistory()) > 0 {
 		h.desk.Apply(now, scheduler.History{Totals: decodeTotals(answer.GetNames(), answer.GetHistory())})
 		h.joining = false
@@ -118,7 +123,7 @@
 	}
 	for _, zone := range c.detector.Zones() {
 		_, found := detector.Owner(c.detector.Members(zone), zone, h.service)
-		if found && h.told[zone].IsZero() {
+		if found && h.answeredAt[zone].IsZero() {
 			return
 		}
 	}
@@ -128,7 +133,8 @@
 func decodeLoans(answer *messenger.CompareResponse) []scheduler.Loan {
 	loans := make([]scheduler.Loan, 0, len(answer.GetLoans()))
 	for _, l := range answer.GetLoans() {
-		// A loan that is extended comes without the address that is known.
+		// The answer omits the address of an extended loan, because the borrower has
+		// it already.
 		address, _ := netip.ParseAddrPort(interner.At(answer.GetNames(), l.GetAddress()))
 		loans = append(loans, scheduler.Loan{
 			ID: l.GetId(), Workspace: interner.At(answer.GetNames(), l.GetWorkspace()),
@@ -147,10 +153,10 @@
 	return address.String()
 }
 
-// receiveCompare answers another zone's scheduler.
+// receiveCompare answers the offer of another zone's scheduler.
 func (c *Conductor) receiveCompare(now time.Time, request *messenger.CompareRequest) *messenger.CompareResponse {
 	from := request.GetFrom()
-	if c.options.Alone || from.GetZone() == c.options.Zone {
+	if c.options.Standalone || from.GetZone() == c.options.Zone {
 		return &messenger.CompareResponse{NotHere: true}
 	}
 	h := c.pools[from.GetService()]
@@ -171,7 +177,7 @@
 	return c.answerCompare(h, request.GetJoining(), h.desk.Apply(now, event))
 }
 
-func (c *Conductor) answerCompare(h *hosted, joining bool, loans []scheduler.Loan) *messenger.CompareResponse {
+func (c *Conductor) answerCompare(h *hostedPool, joining bool, loans []scheduler.Loan) *messenger.CompareResponse {
 	var table interner.Writer
 	response := &messenger.CompareResponse{Origin: h.desk.Incarnation}
 	for _, l := range loans {
--- a/router/internal/conductor/compare_test.go
+++ b/router/internal/conductor/compare_test.go
@@ -9,15 +9,15 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// Symptom: after a zone's scheduler was lost, workspaces that had been served
-// most start again as if they had had nothing.
-// Sequence: two zones' schedulers are new at the same time; each asks the other
-// first, which has no history, and then the third, which has.
-// Cause: the first answer ends the joining, whether it brings history or not.
-func TestAnswerWithoutHistoryHidesNone(t *testing.T) {
-	w := newWorld(t, 3, 1, false)
+// Guards against the loss of the service history of a zone whose scheduler was lost,
+// after which the workspaces served most would start again from zero. Two zones'
+// schedulers are new at the same time: each asks the other first, which has no
+// history, and then the third, which has. The first answer must not end the joining
+// state unless it brings a history.
+func TestAnswerWithoutHistoryDoesNotEndJoining(t *testing.T) {
+	w := newSimulation(t, 3, 1, false)
 	for zone := range 3 {
-		w.announce(zone, "e1", worldSlots)
+		w.announce(zone, "e1", endpointSlots)
 	}
 	w.run(100*time.Millisecond, func() {})
 	n := w.nodes[w.scheduler(0)]
@@ -26,11 +26,11 @@
 	h := n.pool(now, service)
 	require.True(t, h.joining)
 
-	h.told["zone-1"] = now
+	h.answeredAt["zone-1"] = now
 	n.join(now, h, &messenger.CompareResponse{Origin: 1})
 	require.True(t, h.joining, "another zone has not answered yet")
 
-	h.told["zone-2"] = now
+	h.answeredAt["zone-2"] = now
 	n.join(now, h, &messenger.CompareResponse{
 		Origin: 2, Names: []string{"large"}, History: []*messenger.Total{{Workspace: 0, Charged: 700}},
 	})
@@ -41,5 +41,5 @@
 
 	h.joining = true
 	n.join(now, h, &messenger.CompareResponse{Origin: 3})
-	require.False(t, h.joining, "nobody has any: the fleet is new")
+	require.False(t, h.joining, "no zone has a history: the fleet is new")
 }
--- a/router/internal/conductor/conductor.go
+++ b/router/internal/conductor/conductor.go
@@ -1,17 +1,18 @@
-// Package conductor is a router's control state and the one goroutine that
-// owns it: the list of live routers, the router's ends of the pools that its
-// requests wait for, and the pools whose scheduler this router is.
+// Package conductor coordinates this router with the other routers of the fleet. It
+// owns the router's control state: the membership list, the clients through which
+// the router's requests wait for slots of a pool, and the pools whose scheduler runs
+// on this router.
 //
-// Everything that happens is a function sent to that goroutine; calls to other
-// routers run in goroutines of their own and send their result back the same
-// way. Decisions are made by the pure machines of the packages detector,
-// enlister and scheduler.
+// All control state belongs to one goroutine. Every event is a function sent to that
+// goroutine; calls to other routers run in goroutines of their own and return their
+// result the same way. Decisions are made by the pure state machines of the packages
+// detector, enlister and scheduler.
 //
-// Invariants: no control state is touched by another goroutine; at most one
-// call for each enlister and one for each session of a desk is in flight, and
-// every call has a timeout; a pool that this router no longer schedules is
-// handed over and forgotten, and so are all pools after this process stood
-// still for longer than the others wait before they take its pools over.
+// Invariants: no other goroutine touches control state; at most one call for each
+// enlister and one for each session of a desk is in flight, and every call has a
+// timeout; a pool that this router no longer schedules is handed over and dropped;
+// all pools are dropped after this process has stalled for longer than the other
+// routers wait before they take its pools over.
 package conductor
 
 import (
@@ -34,40 +35,43 @@
 )
 
 const (
-	// callTimeout bounds a call between routers. It is well above a round trip
-	// and below the time in which a dead scheduler is replaced.
+	// callTimeout bounds a call between routers. It is well above a round trip and
+	// below the time in which a dead scheduler is replaced.
 	callTimeout = 700 * time.Millisecond
-	// DefaultCompare is the least time between two exchanges with other zones.
-	DefaultCompare = 100 * time.Millisecond
-	// DefaultCompareBytes is for fleets of today's size, whose requests leave most
-	// of a node's 29 KB/s. At the target size they do not: see docs/CAPACITY.md.
-	DefaultCompareBytes = 20000
-	queueLength         = 1024
-	// tickPause is the least time between two Ticks of a pool.
-	tickPause = 5 * time.Millisecond
+	// DefaultCompareInterval is the minimum time between two exchanges with other
+	// zones.
+	DefaultCompareInterval = 100 * time.Millisecond
+	// DefaultCompareBytesPerSecond suits fleets of the current size, whose requests
+	// leave most of a node's 29 KB/s unused. At the target size they do not: see
+	// docs/CAPACITY.md.
+	DefaultCompareBytesPerSecond = 20000
+	eventQueueLength             = 1024
+	// minTickInterval is the minimum time between two Ticks of a pool.
+	minTickInterval = 5 * time.Millisecond
 )
 
-// Options are what a Conductor is made of.
+// Options configure a Conductor.
 type Options struct {
 	Name        string
 	Zone        string
 	Incarnation uint64
 	Address     netip.AddrPort // of the control listener
 	Seeds       []netip.AddrPort
-	// Alone makes this router the scheduler of its own requests: the baseline.
-	Alone        bool
-	Heartbeat    time.Duration
-	SuspectAfter time.Duration
-	Compare      time.Duration
-	// CompareBytes is the bytes a second for exchanges between zones;
-	// DefaultCompareBytes if zero.
-	CompareBytes int
-	Client       *http.Client
-	Clock        clockwork.Clock
-	Log          zerolog.Logger
-	Registry     *prometheus.Registry
-	// Leaser and Sender let this router order the engines of its pools; without
-	// them it gives no orders.
+	// Standalone makes this router schedule its own requests without other routers.
+	// It is the baseline for comparisons.
+	Standalone      bool
+	Heartbeat       time.Duration
+	SuspectAfter    time.Duration
+	CompareInterval time.Duration
+	// CompareBytesPerSecond limits the exchanges between zones. Zero means
+	// DefaultCompareBytesPerSecond.
+	CompareBytesPerSecond int
+	Client                *http.Client
+	Clock                 clockwork.Clock
+	Log                   zerolog.Logger
+	Registry              *prometheus.Registry
+	// Leaser and Sender let this router order the engines of its pools to load and
+	// unload models; without them it sends no orders.
 	Leaser commander.Leaser
 	Sender commander.Sender
 }
@@ -80,37 +84,37 @@
 	metrics *metrics
 	peers   *peers
 	events  chan func()
-	launch  func(func()) // runs a call beside the control goroutine
+	launch  func(func()) // runs a call outside the control goroutine
 	done    chan struct{}
-	contact atomic.Bool
-	// others are the control addresses of the zone's other live routers.
-	others atomic.Pointer[[]netip.AddrPort]
+	settled atomic.Bool
+	// livePeers are the control addresses of the other live routers of the zone.
+	livePeers atomic.Pointer[[]netip.AddrPort]
 
-	// Below is touched by the control goroutine only.
-	self     scheduler.RouterID
-	detector *detector.Detector
-	version  uint64 // of the detector's lists, as last acted upon
-	thawed   uint64
-	rules    *matcher.Rules
-	lines    map[string]*line
-	pools    map[string]*hosted
-	pending  map[uint64]*Waiter
-	seq      uint64
-	origins  uint64
-	beatAt   time.Time
-	roundAt  time.Time
-	rounds   uint32
-	announce announced
-	passing  []passing // handovers to try again
+	// The fields below are accessed by the control goroutine only.
+	self          scheduler.RouterID
+	detector      *detector.Detector
+	version       uint64 // last version of the detector's lists that was acted upon
+	handledStalls uint64
+	rules         *matcher.Rules
+	poolClients   map[string]*poolClient
+	pools         map[string]*hostedPool
+	pending       map[uint64]*Waiter
+	seq           uint64
+	origins       uint64
+	heartbeatAt   time.Time
+	compareAt     time.Time
+	compareRound  uint32
+	announcements announcementTable
+	handovers     []handover // handovers to be retried
 }
 
-// New returns a conductor; Run makes it work.
+// New returns a conductor. Run starts it.
 func New(options Options) *Conductor {
-	if options.Compare <= 0 {
-		options.Compare = DefaultCompare
+	if options.CompareInterval <= 0 {
+		options.CompareInterval = DefaultCompareInterval
 	}
-	if options.CompareBytes <= 0 {
-		options.CompareBytes = DefaultCompareBytes
+	if options.CompareBytesPerSecond <= 0 {
+		options.CompareBytesPerSecond = DefaultCompareBytesPerSecond
 	}
 	now := options.Clock.Now()
 	c := &Conductor{
@@ -119,7 +123,7 @@
 		log:     options.Log,
 		metrics: newMetrics(options.Registry),
 		peers:   newPeers(options.Client),
-		events:  make(chan func(), queueLength),
+		events:  make(chan func(), eventQueueLength),
 		launch:  func(work func()) { go work() },
 		done:    make(chan struct{}),
 		self:    scheduler.RouterID{Name: options.Name, Incarnation: options.Incarnation},
@@ -129,9 +133,9 @@
 			},
 			Seeds: options.Seeds, Heartbeat: options.Heartbeat, SuspectAfter: options.SuspectAfter,
 		}),
-		lines:   make(map[string]*line),
-		pools:   make(map[string]*hosted),
-		pending: make(map[uint64]*Waiter),
+		poolClients: make(map[string]*poolClient),
+		pools:       make(map[string]*hostedPool),
+		pending:     make(map[uint64]*Waiter),
 	}
 	if c.options.Heartbeat <= 0 {
 		c.options.Heartbeat = detector.DefaultHeartbeat
@@ -161,9 +165,9 @@
 	}
 }
 
-// drainQueue takes what has queued up, so that many events make one batch.
+// drainQueue handles the queued events, so that many events form one batch.
 func (c *Conductor) drainQueue() {
-	for range queueLength {
+	for range eventQueueLength {
 		select {
 		case event := <-c.events:
 			event()
@@ -173,8 +177,8 @@
 	}
 }
 
-// post sends an event to the control goroutine. It is dropped once that has
-// ended, since nothing is left to be decided then.
+// post sends an event to the control goroutine. The event is dropped if that
+// goroutine has ended, since no decision is left to make.
 func (c *Conductor) post(event func()) {
 	select {
 	case c.events <- event:
@@ -200,34 +204,34 @@
 	}
 }
 
-// step lets time pass, sends what there is to send, and returns when the next
-// step is due if nothing else happens.
+// step advances the control state to now, sends pending calls, and returns the time
+// of the next step if no event comes before.
 func (c *Conductor) step(now time.Time) time.Time {
-	if !now.Before(c.beatAt) {
-		c.beatAt = now.Add(c.options.Heartbeat)
-		c.sendBeats(c.detector.Tick(now))
+	if !now.Before(c.heartbeatAt) {
+		c.heartbeatAt = now.Add(c.options.Heartbeat)
+		c.sendHeartbeats(c.detector.Tick(now))
 	}
-	if c.detector.Thawed() != c.thawed {
-		c.thawed = c.detector.Thawed()
-		c.thaw(now)
+	if c.detector.Thawed() != c.handledStalls {
+		c.handledStalls = c.detector.Thawed()
+		c.resetAfterStall(now)
 	}
 	if c.detector.Version() != c.version {
 		c.version = c.detector.Version()
-		c.regroup(now)
+		c.applyMembership(now)
 	}
-	if !now.Before(c.roundAt) {
-		c.roundAt = now.Add(c.options.Compare)
+	if !now.Before(c.compareAt) {
+		c.compareAt = now.Add(c.options.CompareInterval)
 		c.compare(now)
 	}
-	next := earliest(c.beatAt, c.roundAt)
-	next = earliest(next, c.stepAnnounced(now))
-	next = earliest(next, c.stepPassing(now))
-	next = earliest(next, c.stepLines(now))
-	// Pools come last: whatever the others brought may have made grants.
+	next := earliest(c.heartbeatAt, c.compareAt)
+	next = earliest(next, c.stepAnnouncements(now))
+	next = earliest(next, c.retryHandovers(now))
+	next = earliest(next, c.stepPoolClients(now))
+	// Pools come last, because the previous steps may have caused grants.
 	return earliest(next, c.stepPools(now))
 }
 
-// earliest ignores zero times, which mean never.
+// earliest returns the earlier of two times. A zero time means never.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -235,27 +239,28 @@
 	return a
 }
 
-// thaw forgets all pools. While this process stood still, others took its
-// pools over and gave their slots to other requests; what it knows is old.
-func (c *Conductor) thaw(now time.Time) {
+// resetAfterStall drops all pools. While this process stalled, other routers took
+// its pools over and gave their slots to other requests, so its state is stale.
+func (c *Conductor) resetAfterStall(now time.Time) {
 	c.log.Warn().Msg("this process stood still for longer than its lease; its pools start anew")
 	clear(c.pools)
-	for _, l := range c.lines {
+	for _, l := range c.poolClients {
 		l.enlister.Restart(now)
 	}
 }
 
-// regroup follows a change of the lists of routers.
-func (c *Conductor) regroup(now time.Time) {
+// applyMembership acts on a change of the membership lists: it updates the
+// schedulers in use and hands over the pools that belong to another router.
+func (c *Conductor) applyMembership(now time.Time) {
 	c.metrics.live.Set(float64(len(c.detector.Live())))
-	var others []netip.AddrPort
+	var peers []netip.AddrPort
 	for _, m := range c.detector.Live() {
 		if m.Name != c.self.Name {
-			others = append(others, m.Address)
+			peers = append(peers, m.Address)
 		}
 	}
-	c.others.Store(&others)
-	for _, l := range c.lines {
+	c.livePeers.Store(&peers)
+	for _, l := range c.poolClients {
 		c.reassign(now, l)
 	}
 	for _, h := range c.pools {
@@ -268,17 +273,17 @@
 	c.reannounce(now)
 }
 
-// owner is the router that schedules this zone's pool of a service.
+// owner returns the router that schedules this zone's pool of a service.
 func (c *Conductor) owner(service string) (detector.Member, bool) {
-	if c.options.Alone {
+	if c.options.Standalone {
 		return c.detector.Self(), true
 	}
 	return c.detector.Owner(c.options.Zone, service)
 }
 
-// origin makes a number that names one scheduler's life in the whole fleet.
-// Forty bits keep it short in every message; two of the few origins of a
-// service meet by chance once in a million million lives.
+// origin returns a number that identifies one incarnation of a scheduler in the
+// whole fleet. It has 40 bits to keep messages short; the few origins of a service
+// collide with a probability of one in a million million incarnations.
 func (c *Conductor) origin(service string) uint64 {
 	const bits = 40
 	c.origins++
@@ -288,14 +293,15 @@
 	return max(1, hash.Sum64()>>(64-bits))
 }
 
-// Configured passes new rules on to all pools.
-func (c *Conductor) Configured(rules *matcher.Rules) {
+// SetRules applies new rules to all pools.
+func (c *Conductor) SetRules(rules *matcher.Rules) {
 	c.post(func() {
 		c.rules = rules
 		now := c.clock.Now()
 		for service, h := range c.pools {
 			if c.plain(service) != h.plain {
-				// Its units mean something else now: routers and endpoints come again.
+				// The units of its counters have changed. Routers and endpoints
+				// register with a new pool.
 				delete(c.pools, service)
 				continue
 			}
@@ -307,53 +313,55 @@
 // Leave announces that this router is about to stop, and hands its pools over.
 func (c *Conductor) Leave(ctx context.Context) {
 	c.do(ctx, func() {
-		c.log.Info().Int("pools", len(c.pools)).Msg("leaving; handing pools over")
-		c.sendBeats(c.detector.Leave())
+		c.log.Info().Int("pools", len(c.pools)).Msg("router is leaving; handing its pools over to other routers")
+		c.sendHeartbeats(c.detector.Leave())
 	})
 }
 
-// Peers lists the control addresses of other routers, live ones first.
+// Peers returns the control addresses of other routers, live ones first, then the
+// seeds.
 func (c *Conductor) Peers() []netip.AddrPort {
 	var peers []netip.AddrPort
-	if others := c.others.Load(); others != nil {
-		peers = append(peers, *others...)
+	if live := c.livePeers.Load(); live != nil {
+		peers = append(peers, *live...)
 	}
 	return append(peers, c.options.Seeds...)
 }
 
-// Peer returns the client of another router.
+// Peer returns the membership client of another router.
 func (c *Conductor) Peer(address netip.AddrPort) messenger.Membership {
 	return c.peers.get(address).membership
 }
 
-// Flush waits until the schedulers have heard of every ending, or the context
-// ends; a scheduler that has not frees the slots when the router's lease ends.
+// Flush waits until the schedulers have acknowledged the end of every request, or
+// the context ends. A scheduler without that acknowledgement frees the slots when
+// the router's lease expires.
 func (c *Conductor) Flush(ctx context.Context) {
-	const pause = 10 * time.Millisecond
-	for quiet := false; !quiet && ctx.Err() == nil; {
+	const pollInterval = 10 * time.Millisecond
+	for flushed := false; !flushed && ctx.Err() == nil; {
 		ran := c.do(ctx, func() {
-			quiet = true
-			for _, l := range c.lines {
-				quiet = quiet && l.enlister.EndingsDelivered()
+			flushed = true
+			for _, l := range c.poolClients {
+				flushed = flushed && l.enlister.EndingsDelivered()
 			}
 		})
-		if !ran || quiet {
+		if !ran || flushed {
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-c.clock.After(pause):
+		case <-c.clock.After(pollInterval):
 		}
 	}
 }
 
-// Alive tells whether the control goroutine answers before the context ends.
+// Alive reports whether the control goroutine answers before the context ends.
 func (c *Conductor) Alive(ctx context.Context) bool {
 	return c.do(ctx, func() {})
 }
 
-// Ready tells whether this router has settled into its zone: it has heard
-// another router, or there was time enough to.
+// Ready reports whether this router has joined its zone: it has had contact with
+// another router, or the time to wait for contact has passed.
 func (c *Conductor) Ready() bool {
-	return c.contact.Load()
+	return c.settled.Load()
 }
--- a/router/internal/conductor/endpoints.go
+++ b/router/internal/conductor/endpoints.go
@@ -12,7 +12,7 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// receiveAnnouncement takes what a router passed on: an announcement, or
+// receiveAnnouncement handles what a router forwarded: an announcement, or the
 // renewals of a pool.
 func (c *Conductor) receiveAnnouncement(now time.Time, request *messenger.AnnounceRequest) *messenger.AnnounceResponse {
 	if message := request.GetAnnouncement(); message != nil {
@@ -37,7 +37,7 @@
 	return response
 }
 
-func (c *Conductor) applyRenewal(now time.Time, h *hosted, renewal *messenger.Renewal) bool {
+func (c *Conductor) applyRenewal(now time.Time, h *hostedPool, renewal *messenger.Renewal) bool {
 	known := h.endpoints[renewal.GetId()]
 	if known == nil || known.GetIncarnation() != renewal.GetIncarnation() {
 		return false
@@ -50,7 +50,8 @@
 	return c.applyAnnouncement(now, renewed, 0)
 }
 
-// applyAnnouncement takes an announcement that a router heard that long ago.
+// applyAnnouncement applies an announcement that a router received that long ago. It
+// returns false if this router does not schedule the pool or the address is invalid.
 func (c *Conductor) applyAnnouncement(now time.Time, message *messenger.Announcement, age time.Duration) bool {
 	h := c.pool(now, message.GetService())
 	address, err := netip.ParseAddrPort(message.GetAddress())
@@ -59,13 +60,13 @@
 	}
 	old := h.endpoints[message.GetId()]
 	if old.GetIncarnation() > message.GetIncarnation() || (old == nil && len(h.endpoints) >= maxAnnounced) {
-		return true // news of a former life changes nothing
+		return true // stale: the announcement of a former incarnation changes nothing
 	}
 	ttl := time.Duration(message.GetTtlMs()) * time.Millisecond
 	h.expires[message.GetId()] = now.Add(ttl)
 	h.desk.Apply(now, scheduler.Announced{
 		ID: message.GetId(), Incarnation: message.GetIncarnation(), Address: address,
-		Labels: labelsOf(message), Models: h.shown(message), Slots: c.slots(message), TTL: ttl,
+		Labels: labelsOf(message), Models: h.visibleModels(message), Slots: c.slots(message), TTL: ttl,
 		Leaving: message.GetLeaving(), Load: int(message.GetLoad()),
 		Cached: message.GetCached(), Evicted: message.GetEvicted(),
 	})
@@ -75,15 +76,16 @@
 		message.Cached, message.Evicted = nil, nil
 	}
 	h.endpoints[message.GetId()] = message
-	c.hear(now, h, message, address, age)
+	c.updateCommander(now, h, message, address, age)
 	return true
 }
 
-// forgetEndpoints drops the announcements of endpoints that have been silent.
-func (c *Conductor) forgetEndpoints(now time.Time) {
+// removeExpiredEndpoints drops the announcements of endpoints that expired more than
+// endpointRetention ago.
+func (c *Conductor) removeExpiredEndpoints(now time.Time) {
 	for _, h := range c.pools {
 		for id, expires := range h.expires {
-			if now.Sub(expires) > endpointMemory {
+			if now.Sub(expires) > endpointRetention {
 				delete(h.expires, id)
 				delete(h.endpoints, id)
 			}
@@ -91,23 +93,24 @@
 	}
 }
 
-// endpointMemory is how long a silent endpoint is remembered for the status.
-const endpointMemory = time.Minute
+// endpointRetention is how long the status shows an endpoint whose announcement has
+// expired.
+const endpointRetention = time.Minute
 
-// slots is how many requests this router's pool may run at an endpoint. Alone,
-// every router takes an equal part and at least one.
+// slots returns how many requests this router's pool may run at an endpoint. In
+// standalone mode every router takes an equal part, and at least one.
 func (c *Conductor) slots(message *messenger.Announcement) int {
 	slots := int(message.GetSlots())
-	if !c.options.Alone {
+	if !c.options.Standalone {
 		return slots
 	}
 	return max(1, slots/len(c.detector.Live()))
 }
 
-// rescale applies announcements again when the number of live routers changes
-// what each may use of an endpoint.
+// rescale applies announcements again when a change of the number of live routers
+// changes the part of each endpoint that a standalone router may use.
 func (c *Conductor) rescale(now time.Time) {
-	if !c.options.Alone {
+	if !c.options.Standalone {
 		return
 	}
 	for _, h := range c.pools {
--- a/router/internal/conductor/metrics.go
+++ b/router/internal/conductor/metrics.go
@@ -61,7 +61,7 @@
 	return m
 }
 
-// CountBytes publishes the bytes of all control connections of a process.
+// CountBytes exports the bytes of all control connections of a process.
 func CountBytes(registry *prometheus.Registry, counter *dialer.Counter) {
 	registry.MustRegister(
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
--- a/router/internal/conductor/ordering.go
+++ b/router/internal/conductor/ordering.go
@@ -16,61 +16,64 @@
 	"shallotkeel.example/router/internal/commander"
 )
 
-// leaseTimeout bounds a request for a lease, an election of the keepers included.
+// leaseTimeout bounds a request for a lease, including an election of the keepers.
 const leaseTimeout = 3 * time.Second
 
-// transit is the most that a state is older than its arrival here, besides the
-// age that came with it: renewals are collected, and a call takes its time.
-const transit = renewEvery + callTimeout
+// maxTransit bounds how much older than its arrival here an announced state is, in
+// addition to the age that came with it: renewals are collected, and a call takes
+// time.
+const maxTransit = renewalInterval + callTimeout
 
-// ordering tells whether this router orders engines. Alone, every router is a
-// scheduler of every pool and knows only its own requests.
-func (c *Conductor) ordering() bool {
-	return c.options.Leaser != nil && c.options.Sender != nil && !c.options.Alone
+// ordersEngines reports whether this router orders engines. In standalone mode it
+// does not, because every router schedules every pool and sees only its own
+// requests.
+func (c *Conductor) ordersEngines() bool {
+	return c.options.Leaser != nil && c.options.Sender != nil && !c.options.Standalone
 }
 
-// room is how many models fit into an endpoint; 0 if it takes no orders.
-func (c *Conductor) room(message *messenger.Announcement) int {
+// modelCapacity returns how many models fit into an endpoint, or 0 if it accepts no
+// orders.
+func (c *Conductor) modelCapacity(message *messenger.Announcement) int {
 	labels := labelsOf(message)
 	if c.rules != nil {
 		if c.rules.Draining(message.GetId(), labels) {
-			return 0 // its copies serve no new work
+			return 0 // its models serve no new requests
 		}
 		labels = c.rules.Effective(message.GetId(), labels)
 	}
-	room, err := strconv.Atoi(labels[describer.LabelRoom])
+	capacity, err := strconv.Atoi(labels[describer.LabelRoom])
 	if err != nil {
 		return 0
 	}
-	return min(max(room, 0), describer.MaxRoom)
+	return min(max(capacity, 0), describer.MaxRoom)
 }
 
-// hear tells the pool's commander what an engine announced. It comes after the
-// announcement was applied, so that nothing is granted for a model that was
-// hidden before and is read as not in use after.
-func (c *Conductor) hear(now time.Time, h *hosted, message *messenger.Announcement, address netip.AddrPort, age time.Duration) {
-	room := 0
-	if c.ordering() && !message.GetLeaving() {
-		room = c.room(message)
+// updateCommander passes an engine's announcement to the pool's commander. It runs
+// after the announcement was applied: otherwise a request could be granted for a
+// model that was hidden before and then be read as not in use.
+func (c *Conductor) updateCommander(now time.Time, h *hostedPool, message *messenger.Announcement, address netip.AddrPort, age time.Duration) {
+	capacity := 0
+	if c.ordersEngines() && !message.GetLeaving() {
+		capacity = c.modelCapacity(message)
 	}
-	if room == 0 && h.commander == nil {
+	if capacity == 0 && h.commander == nil {
 		return
 	}
 	if h.commander == nil {
 		holder := c.self.Name + "/" + strconv.FormatUint(c.self.Incarnation, 36) + "/" + strconv.FormatUint(h.desk.Incarnation, 36)
 		h.commander = commander.New(&messenger.Pool{Zone: c.options.Zone, Service: h.service}, holder)
 	}
-	h.commander.Heard(commander.Reading{
+	h.commander.Observe(commander.Reading{
 		Endpoint: orderer.Endpoint{
 			ID: message.GetId(), Incarnation: message.GetIncarnation(), Address: address,
-			Fenced: message.GetFenced(), Room: room, Loaded: message.GetLoaded(),
+			Fenced: message.GetFenced(), Room: capacity, Loaded: message.GetLoaded(),
 		},
-		At: now.Add(-age - transit), Expires: h.expires[message.GetId()],
+		At: now.Add(-age - maxTransit), Expires: h.expires[message.GetId()],
 	})
 }
 
-// shown lists the models for which an endpoint gets new work.
-func (h *hosted) shown(message *messenger.Announcement) []string {
+// visibleModels returns the models for which an endpoint gets new requests.
+func (h *hostedPool) visibleModels(message *messenger.Announcement) []string {
 	if h.commander == nil {
 		return message.GetModels()
 	}
@@ -81,31 +84,31 @@
 	return slices.DeleteFunc(slices.Clone(message.GetModels()), func(model string) bool { return model == hidden })
 }
 
-// command lets a pool's commander act, and returns when it wants to act again.
-func (c *Conductor) command(now time.Time, h *hosted) time.Time {
+// stepCommander runs a pool's commander, and returns the time of its next step.
+func (c *Conductor) stepCommander(now time.Time, h *hostedPool) time.Time {
 	if h.commander == nil || c.rules == nil {
 		return time.Time{}
 	}
-	if due := h.commander.Due(now); due.IsZero() || now.Before(due) {
-		return due
+	if next := h.commander.NextStep(now); next.IsZero() || now.Before(next) {
+		return next
 	}
 	actions := h.commander.Step(now, c.rules, func() scheduler.Usage { return h.desk.Pool.Usage() })
 	for _, order := range actions.Orders {
-		c.order(now, h.commander, order)
+		c.sendOrder(now, h.commander, order)
 	}
 	if actions.Lease != nil {
-		c.askLease(now, h.commander, actions.Lease)
+		c.requestLease(now, h.commander, actions.Lease)
 	}
-	return h.commander.Due(now)
+	return h.commander.NextStep(now)
 }
 
-// order sends an order. Its time counts from the step that checked the lease,
-// so that a process that stood still in between sends nothing.
-func (c *Conductor) order(now time.Time, from *commander.Commander, order orderer.Order) {
+// sendOrder sends an order. Its timeout counts from the step that checked the lease,
+// so that a process that stalled in between sends nothing.
+func (c *Conductor) sendOrder(now time.Time, from *commander.Commander, order orderer.Order) {
 	ctx, cancel := clockwork.WithDeadline(context.Background(), c.clock, now.Add(orderer.OrderTimeout))
 	c.metrics.messages.WithLabelValues(kindOrder).Inc()
 	c.log.Info().Str("endpoint", order.Endpoint).Str("order", string(order.Kind)).Str("model", order.Model).
-		Uint64("fence", order.Fence).Msg("orders an engine")
+		Uint64("fence", order.Fence).Msg("sending an order to an engine to change its loaded models")
 	c.launch(func() {
 		defer cancel()
 		result := c.options.Sender.Send(ctx, order)
@@ -116,7 +119,8 @@
 	})
 }
 
-func (c *Conductor) askLease(sent time.Time, from *commander.Commander, request *messenger.LeaseRequest) {
+// requestLease sends a lease request to the keepers. The lease counts from sent.
+func (c *Conductor) requestLease(sent time.Time, from *commander.Commander, request *messenger.LeaseRequest) {
 	c.metrics.messages.WithLabelValues(kindLease).Inc()
 	c.launch(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
--- a/router/internal/conductor/ordering_test.go
+++ b/router/internal/conductor/ordering_test.go
@@ -19,19 +19,19 @@
 	"shallotkeel.example/router/internal/commander"
 )
 
-const testLease = 15 * time.Second
-
-// leases is the keepers as far as leases go.
-type leases struct {
-	world  *world
-	spare  uint32 // permits that nobody asked for
-	holder string
-	fence  uint64
-	until  time.Time
+const testLeaseDuration = 15 * time.Second
+
+// fakeLeaser grants leases in place of the keepers.
+type fakeLeaser struct {
+	sim          *simulation
+	extraPermits uint32 // permits granted in addition to the requested ones
+	holder       string
+	fence        uint64
+	until        time.Time
 }
 
-func (l *leases) Lease(_ context.Context, q *messenger.LeaseRequest) (*messenger.LeaseResponse, error) {
-	now := l.world.clock.Now()
+func (l *fakeLeaser) Lease(_ context.Context, q *messenger.LeaseRequest) (*messenger.LeaseResponse, error) {
+	now := l.sim.clock.Now()
 	if q.GetHolder() != l.holder {
 		if now.Before(l.until) {
 			return &messenger.LeaseResponse{HeldBy: l.holder, LeaseMs: 1000}, nil
@@ -39,22 +39,22 @@
 		l.fence++
 		l.holder = q.GetHolder()
 	}
-	l.until = now.Add(testLease)
-	return &messenger.LeaseResponse{Fence: l.fence, LeaseMs: uint32(testLease / time.Millisecond), Permits: l.spare + q.GetWantLoads()}, nil
+	l.until = now.Add(testLeaseDuration)
+	return &messenger.LeaseResponse{Fence: l.fence, LeaseMs: uint32(testLeaseDuration / time.Millisecond), Permits: l.extraPermits + q.GetWantLoads()}, nil
 }
 
-// engine takes orders over HTTP and announces itself.
-type engine struct {
-	world   *world
+// fakeEngine accepts orders over HTTP and announces itself.
+type fakeEngine struct {
+	sim     *simulation
 	server  *httptest.Server
 	message *messenger.Announcement
 	mutex   sync.Mutex
 	orders  []string
 }
 
-func newEngine(t *testing.T, w *world, fenced bool, loaded ...string) *engine {
+func newFakeEngine(t *testing.T, w *simulation, fenced bool, loaded ...string) *fakeEngine {
 	t.Helper()
-	e := &engine{world: w}
+	e := &fakeEngine{sim: w}
 	e.server = httptest.NewServer(e)
 	t.Cleanup(e.server.Close)
 	e.message = &messenger.Announcement{
@@ -64,8 +64,8 @@
 	return e
 }
 
-// ServeHTTP obeys like the stand-in.
-func (e *engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP carries out an order as the stand-in endpoint does.
+func (e *fakeEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var order struct {
 		Fence uint64
 		Order string
@@ -86,15 +86,16 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// announce tells a router that lives what the engine has, every second.
-func (e *engine) announce() func() {
-	var told time.Time
+// announce returns a step function that announces the engine's state at a live
+// router once a second.
+func (e *fakeEngine) announce() func() {
+	var announcedAt time.Time
 	return func() {
-		now := e.world.clock.Now()
-		if now.Sub(told) < time.Second {
+		now := e.sim.clock.Now()
+		if now.Sub(announcedAt) < time.Second {
 			return
 		}
-		told = now
+		announcedAt = now
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
 		message := &messenger.Announcement{
@@ -102,118 +103,119 @@
 			Address: e.message.GetAddress(), Slots: e.message.GetSlots(), TtlMs: e.message.GetTtlMs(),
 			Fenced: e.message.GetFenced(), Loaded: e.message.GetLoaded(), Models: e.message.GetModels(), Labels: e.message.GetLabels(),
 		}
-		e.world.nodes[e.world.live(0)].take(message, func(error) {})
+		e.sim.nodes[e.sim.live(0)].acceptAnnouncement(message, func(error) {})
 	}
 }
 
-func (e *engine) obeyed() []string {
+func (e *fakeEngine) receivedOrders() []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return slices.Clone(e.orders)
 }
 
-// ordering is a world whose routers order engines.
-func ordering(t *testing.T, alone bool) (*world, *leases) {
+// newOrderingSimulation returns a simulation whose routers order engines.
+func newOrderingSimulation(t *testing.T, standalone bool) (*simulation, *fakeLeaser) {
 	t.Helper()
-	w := newWorld(t, 1, 3, alone)
-	keepers := &leases{world: w}
+	w := newSimulation(t, 1, 3, standalone)
+	leaser := &fakeLeaser{sim: w}
 	for _, n := range w.nodes {
-		n.options.Leaser, n.options.Sender = keepers, commander.NewHTTPSender(w.clock)
+		n.options.Leaser, n.options.Sender = leaser, commander.NewHTTPSender(w.clock)
 	}
-	return w, keepers
+	return w, leaser
 }
 
 func TestMissingModelIsLoaded(t *testing.T) {
 	for name, test := range map[string]struct {
-		fenced bool
-		alone  bool
-		room   string
-		drain  string
-		after  time.Duration
-		want   []string
+		fenced     bool
+		standalone bool
+		room       string
+		drain      string
+		after      time.Duration
+		want       []string
 	}{
-		"a fenced engine at once":      {fenced: true, room: "1", after: 8 * time.Second, want: []string{"1 load " + model}},
-		"one that ignores numbers not": {room: "1", after: 4 * time.Second},
-		"but after the last lease":     {room: "1", after: 12 * time.Second, want: []string{"1 load " + model}},
-		"nor where it is drained":      {fenced: true, room: "1", drain: "yes", after: 12 * time.Second},
-		"never without room":           {fenced: true, after: 12 * time.Second},
-		"nor where routers are alone":  {fenced: true, alone: true, room: "1", after: 12 * time.Second},
+		"fenced engine: at once":           {fenced: true, room: "1", after: 8 * time.Second, want: []string{"1 load " + model}},
+		"unfenced engine: not at once":     {room: "1", after: 4 * time.Second},
+		"unfenced engine: after the lease": {room: "1", after: 12 * time.Second, want: []string{"1 load " + model}},
+		"draining engine: never":           {fenced: true, room: "1", drain: "yes", after: 12 * time.Second},
+		"engine without room: never":       {fenced: true, after: 12 * time.Second},
+		"standalone routers: never":        {fenced: true, standalone: true, room: "1", after: 12 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, _ := ordering(t, test.alone)
-			e := newEngine(t, w, test.fenced)
+			w, _ := newOrderingSimulation(t, test.standalone)
+			e := newFakeEngine(t, w, test.fenced)
 			e.message.Labels["room"], e.message.Labels["drain"] = test.room, test.drain
 			w.run(test.after, e.announce())
-			require.Equal(t, test.want, e.obeyed())
+			require.Equal(t, test.want, e.receivedOrders())
 		})
 	}
 }
 
-// Symptom: a model appears and vanishes again at an engine that ignores fencing
-// numbers. Sequence: its scheduler stands still just before it sends an order;
-// another one takes the pool and the lease over and orders; the first resumes.
-// Cause: an order's time counts from when it is sent, not from when the lease
-// was looked at.
+// Guards against a model that appears and vanishes again at an engine that ignores
+// fencing numbers. Its scheduler stalls just before it sends an order; another
+// router takes over the pool and the lease and sends an order; the first resumes. An
+// order's timeout must count from when the lease was checked, not from when the
+// order is sent.
 func TestFormerHoldersOrderIsNotSent(t *testing.T) {
-	w, keepers := ordering(t, false)
-	keepers.spare = 1
-	e := newEngine(t, w, false, model)
+	w, leaser := newOrderingSimulation(t, false)
+	leaser.extraPermits = 1
+	e := newFakeEngine(t, w, false, model)
 	w.run(12*time.Second, e.announce())
-	require.Empty(t, e.obeyed())
+	require.Empty(t, e.receivedOrders())
 
 	former := w.nodes[w.scheduler(0)]
-	var stood []func()
-	former.launch = func(call func()) { stood = append(stood, call) }
-	e.message.Incarnation, e.message.Loaded, e.message.Models = 2, nil, nil // it comes back empty
+	var stalled []func()
+	former.launch = func(call func()) { stalled = append(stalled, call) }
+	e.message.Incarnation, e.message.Loaded, e.message.Models = 2, nil, nil // the engine restarts without models
 	w.run(1900*time.Millisecond, e.announce())
-	former.frozen = true
+	former.stalled = true
 	w.run(40*time.Second, e.announce())
-	require.Equal(t, []string{"2 load " + model}, e.obeyed())
+	require.Equal(t, []string{"2 load " + model}, e.receivedOrders())
 
-	former.frozen = false
+	former.stalled = false
 	former.launch = func(call func()) { former.work = append(former.work, call) }
-	former.work = append(former.work, stood...)
+	former.work = append(former.work, stalled...)
 	w.run(10*time.Second, e.announce())
-	require.Equal(t, []string{"2 load " + model}, e.obeyed())
+	require.Equal(t, []string{"2 load " + model}, e.receivedOrders())
 }
 
-// Symptom: a stream breaks because its model is unloaded under it, or a model is
-// never unloaded because new work comes all the time. Sequence: a model is no
-// longer offered, a request of it runs, and more come. Cause: the pool is not
-// asked what is in use, or grants go on while the model is to be unloaded.
+// Guards against a stream that breaks because its model is unloaded while it runs,
+// and against a model that is never unloaded because new requests keep coming. A
+// model is no longer offered while a request for it runs and further requests
+// arrive. The commander must ask the pool which models are in use, and the pool must
+// stop granting the model that is to be unloaded.
 func TestModelIsHiddenAndDrainedBeforeItIsUnloaded(t *testing.T) {
 	const old = "old"
-	w, _ := ordering(t, false)
-	e := newEngine(t, w, true, old)
+	w, _ := newOrderingSimulation(t, false)
+	e := newFakeEngine(t, w, true, old)
 	n := w.nodes[w.scheduler(0)]
 	enrol := func() *Waiter {
 		waiter := &Waiter{Outcome: make(chan enlister.Outcome, 1), conductor: n.Conductor, service: service}
 		n.enrol(waiter, scheduler.Ticket{Workspace: "small", Model: old, Hint: 10})
 		return waiter
 	}
-	tell := e.announce()
-	w.run(50*time.Millisecond, tell)
+	announce := e.announce()
+	w.run(50*time.Millisecond, announce)
 	running := enrol()
-	w.run(50*time.Millisecond, tell)
+	w.run(50*time.Millisecond, announce)
 	require.IsType(t, enlister.Granted{}, <-running.Outcome)
 
-	w.run(4*time.Second, tell)
+	w.run(4*time.Second, announce)
 	late := enrol()
-	w.run(4*time.Second, tell)
-	require.Empty(t, late.Outcome, "no new work for a model that is to go")
-	require.Empty(t, e.obeyed(), "its request still runs")
+	w.run(4*time.Second, announce)
+	require.Empty(t, late.Outcome, "no new requests for a model that is to be unloaded")
+	require.Empty(t, e.receivedOrders(), "a request for the model still runs")
 
 	running.Finish(scheduler.Finish{Charged: 10, Ending: scheduler.Done, Took: time.Second})
-	w.run(8*time.Second, tell)
-	require.Equal(t, []string{"1 unload " + old, "1 load " + model}, e.obeyed())
+	w.run(8*time.Second, announce)
+	require.Equal(t, []string{"1 unload " + old, "1 load " + model}, e.receivedOrders())
 }
 
-// Symptom: an engine is told to load what it has loaded. Sequence: a router
-// tells a new scheduler what an endpoint announced a while ago. Cause: it passes
-// for what the endpoint has now.
-func TestRetoldAnnouncementIsOld(t *testing.T) {
-	w, _ := ordering(t, false)
-	e := newEngine(t, w, true)
+// Guards against an order to load a model that is loaded already. A router forwards
+// an old announcement to a new scheduler, which must not take it for the current
+// state of the endpoint.
+func TestResentAnnouncementKeepsAge(t *testing.T) {
+	w, _ := newOrderingSimulation(t, false)
+	e := newFakeEngine(t, w, true)
 	n := w.nodes[w.scheduler(0)]
 	now := w.clock.Now()
 	n.receiveAnnouncement(now, &messenger.AnnounceRequest{Announcement: e.message})
@@ -222,9 +224,9 @@
 		Fenced: true, Loaded: []string{model}, Labels: e.message.GetLabels(),
 	}
 	n.receiveAnnouncement(now.Add(time.Second), &messenger.AnnounceRequest{Announcement: old, AgeMs: 2000})
-	read := n.pools[service].commander.Known("e1")
+	read := n.pools[service].commander.LastReading("e1")
 	require.Empty(t, read.Loaded)
-	require.Equal(t, now.Add(-transit), read.At)
+	require.Equal(t, now.Add(-maxTransit), read.At)
 
 	a := &announcement{message: e.message, expires: now.Add(3 * time.Second)}
 	require.Equal(t, 2*time.Second, a.age(now.Add(2*time.Second)))
--- a/router/internal/conductor/peers.go
+++ b/router/internal/conductor/peers.go
@@ -9,18 +9,18 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// peer is the clients of one other router.
+// peer holds the clients of one other router.
 type peer struct {
 	scheduling messenger.Scheduling
 	granting   messenger.Granting
 	membership messenger.Membership
 }
 
-// maxPeers bounds the clients that are kept; connections of forgotten ones
-// close when they are idle.
+// maxPeers bounds the cached clients. Connections of dropped clients close when they
+// are idle.
 const maxPeers = 1024
 
-// peers keeps the clients by control address.
+// peers caches the clients by control address.
 type peers struct {
 	dial  func(netip.AddrPort) *peer
 	mutex sync.Mutex
@@ -53,8 +53,8 @@
 	return made
 }
 
-// call runs a call to another router in a goroutine of its own and sends the
-// result to the control goroutine.
+// call runs a call to another router in a goroutine of its own and passes the result
+// to finish on the control goroutine.
 func call[Q, A any](c *Conductor, kind string, method func(context.Context, *Q) (*A, error), request *Q, finish func(*A, error)) {
 	c.metrics.messages.WithLabelValues(kind).Inc()
 	c.launch(func() {
--- a/router/internal/conductor/line.go
+++ b/router/internal/conductor/pool_clients.go
@@ -11,30 +11,30 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// line is this router's end for one service of its zone.
-type line struct {
+// poolClient is this router's client of the scheduler of one service in its zone.
+type poolClient struct {
 	service  string
 	enlister *enlister.Enlister
 	owner    detector.Member
 	assigned bool
 }
 
-// Waiter is one request that waits for or holds a slot.
+// Waiter is a request that waits for a slot or holds one.
 type Waiter struct {
-	// Outcome gets exactly one value, unless the request is withdrawn first.
+	// Outcome receives exactly one value, unless the request is withdrawn before.
 	Outcome   chan enlister.Outcome
 	conductor *Conductor
 	service   string
 	seq       uint64
 }
 
-// Enrol lets a request wait for a slot of a service. It returns nil when the
-// conductor has ended.
+// Enrol queues a request for a slot of a service. It returns nil if the context ends
+// first or the control goroutine has ended.
 func (c *Conductor) Enrol(ctx context.Context, service string, ticket scheduler.Ticket) *Waiter {
 	w := &Waiter{Outcome: make(chan enlister.Outcome, 1), conductor: c, service: service}
 	if !c.do(ctx, func() { c.enrol(w, ticket) }) {
-		// The event may still run: it must not leave a request behind that
-		// nobody waits for.
+		// The event may still run. It must not leave an abandoned request in the
+		// queue.
 		w.Finish(scheduler.Finish{Ending: scheduler.Cancelled})
 		return nil
 	}
@@ -46,38 +46,38 @@
 	w.seq = c.seq
 	ticket.Seq = w.seq
 	c.pending[w.seq] = w
-	c.line(w.service).enlister.Add(c.clock.Now(), ticket)
+	c.poolClient(w.service).enlister.Add(c.clock.Now(), ticket)
 }
 
-// Progress tells the units that the request has used in all.
+// Progress reports the total units that the request has used so far.
 func (w *Waiter) Progress(charged uint32) {
-	w.conductor.post(func() { w.conductor.line(w.service).enlister.Progress(w.seq, charged) })
+	w.conductor.post(func() { w.conductor.poolClient(w.service).enlister.Progress(w.seq, charged) })
 }
 
-// Finish gives the slot back or withdraws the request.
+// Finish returns the slot, or withdraws the request if it holds none.
 func (w *Waiter) Finish(finish scheduler.Finish) {
 	w.conductor.post(func() {
 		finish.Seq = w.seq
 		delete(w.conductor.pending, w.seq)
-		w.conductor.line(w.service).enlister.Finish(finish)
+		w.conductor.poolClient(w.service).enlister.Finish(finish)
 	})
 }
 
-func (c *Conductor) line(service string) *line {
-	if known := c.lines[service]; known != nil {
+func (c *Conductor) poolClient(service string) *poolClient {
+	if known := c.poolClients[service]; known != nil {
 		return known
 	}
-	l := &line{
+	l := &poolClient{
 		service:  service,
 		enlister: &enlister.Enlister{Zone: c.options.Zone, Service: service, Router: c.self},
 	}
-	c.lines[service] = l
+	c.poolClients[service] = l
 	c.reassign(c.clock.Now(), l)
 	return l
 }
 
-// reassign makes the line enrol with the pool's present scheduler.
-func (c *Conductor) reassign(now time.Time, l *line) {
+// reassign makes the client enrol with the current scheduler of the pool.
+func (c *Conductor) reassign(now time.Time, l *poolClient) {
 	owner, found := c.owner(l.service)
 	same := owner.Name == l.owner.Name && owner.Incarnation == l.owner.Incarnation
 	if found == l.assigned && same {
@@ -87,9 +87,10 @@
 	l.enlister.Restart(now)
 }
 
-// stepLines sends the batches that are due.
-func (c *Conductor) stepLines(now time.Time) (next time.Time) {
-	for _, l := range c.lines {
+// stepPoolClients sends the batches that are ready, and returns the time of the next
+// step.
+func (c *Conductor) stepPoolClients(now time.Time) (next time.Time) {
+	for _, l := range c.poolClients {
 		for l.assigned {
 			batch := l.enlister.Next(now)
 			if batch == nil {
@@ -102,10 +103,11 @@
 	return next
 }
 
-// exchange sends a batch; to this router itself without a call.
-func (c *Conductor) exchange(now time.Time, l *line, batch *messenger.ExchangeRequest) {
+// exchange sends a batch to the pool's scheduler. A scheduler on this router needs
+// no call.
+func (c *Conductor) exchange(now time.Time, l *poolClient, batch *messenger.ExchangeRequest) {
 	if l.owner.Name == c.self.Name {
-		c.deliver(l.enlister.Answered(now, batch.GetNumber(), c.receive(now, batch)))
+		c.deliver(l.enlister.Answered(now, batch.GetNumber(), c.receiveExchange(now, batch)))
 		return
 	}
 	method := c.peers.get(l.owner.Address).scheduling.Exchange
@@ -118,29 +120,29 @@
 	})
 }
 
-// deliver tells the waiting requests what became of them.
+// deliver passes the outcomes to the waiting requests.
 func (c *Conductor) deliver(outcomes []enlister.Outcome) {
 	for _, outcome := range outcomes {
 		switch o := outcome.(type) {
 		case enlister.Granted:
 			c.metrics.grants.Inc()
-			c.tell(o.Seq, o)
+			c.notify(o.Seq, o)
 		case enlister.Refused:
-			c.tell(o.Seq, o)
+			c.notify(o.Seq, o)
 		}
 	}
 }
 
-func (c *Conductor) tell(seq uint64, outcome enlister.Outcome) {
+func (c *Conductor) notify(seq uint64, outcome enlister.Outcome) {
 	if w := c.pending[seq]; w != nil {
 		delete(c.pending, seq)
 		w.Outcome <- outcome
 	}
 }
 
-// grant takes a scheduler's call in.
-func (c *Conductor) grant(request *messenger.GrantRequest) *messenger.GrantResponse {
-	for _, l := range c.lines {
+// receiveGrant handles the grants that a scheduler sends.
+func (c *Conductor) receiveGrant(request *messenger.GrantRequest) *messenger.GrantResponse {
+	for _, l := range c.poolClients {
 		if l.enlister.Scheduler() == request.GetScheduler() {
 			response, outcomes := l.enlister.Grant(request)
 			c.metrics.declined.Add(float64(len(response.GetDeclined())))
@@ -151,7 +153,7 @@
 	return &messenger.GrantResponse{Unknown: true}
 }
 
-// addressOf finds the control address of a router of this zone.
+// addressOf returns the control address of a live router of this zone.
 func (c *Conductor) addressOf(router scheduler.RouterID) (netip.AddrPort, bool) {
 	for _, m := range c.detector.Live() {
 		if m.Name == router.Name && m.Incarnation == router.Incarnation {
--- a/router/internal/conductor/report.go
+++ b/router/internal/conductor/report.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// reportTimeout bounds the question to one router.
+	// reportTimeout bounds the report call to one router.
 	reportTimeout = time.Second
-	// reportsAtOnce bounds the questions in flight.
-	reportsAtOnce = 32
+	// maxConcurrentReports bounds the report calls in flight.
+	maxConcurrentReports = 32
 )
 
-// States of an endpoint.
+// States of an endpoint in a report.
 const (
 	stateServing  = "serving"
 	stateDraining = "draining"
@@ -32,26 +32,26 @@
 	stateSuspect  = "suspect"
 )
 
-// Report tells of the pools and endpoints of the whole fleet, as their
-// schedulers see them, and lists the routers that did not answer.
+// Report returns the status of the pools and endpoints of the whole fleet as their
+// schedulers see them, and the names of the routers that did not answer.
 func (c *Conductor) Report(ctx context.Context) (reporter.Status, []string) {
 	var gathered reporter.Status
-	var members []listed
+	var members []routerAddress
 	c.do(ctx, func() {
 		gathered = c.report(c.clock.Now())
-		members = c.everyone()
+		members = c.otherRouters()
 	})
 	var mutex sync.Mutex
-	var silent []string
+	var unanswered []string
 	var group errgroup.Group
-	group.SetLimit(reportsAtOnce)
+	group.SetLimit(maxConcurrentReports)
 	for _, m := range members {
 		group.Go(func() error {
-			part, err := c.ask(ctx, m.address)
+			part, err := c.fetchReport(ctx, m.address)
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
-				silent = append(silent, m.name)
+				unanswered = append(unanswered, m.name)
 				return nil
 			}
 			gathered.Pools = append(gathered.Pools, part.Pools...)
@@ -62,29 +62,30 @@
 	}
 	_ = group.Wait() // its functions return no errors
 	sortReport(&gathered)
-	slices.Sort(silent)
-	return gathered, silent
+	slices.Sort(unanswered)
+	return gathered, unanswered
 }
 
-type listed struct {
+type routerAddress struct {
 	name    string
 	address netip.AddrPort
 }
 
-// everyone lists the other routers of all zones.
-func (c *Conductor) everyone() []listed {
-	var members []listed
+// otherRouters returns the names and control addresses of the other routers of all
+// zones.
+func (c *Conductor) otherRouters() []routerAddress {
+	var members []routerAddress
 	for _, zone := range append(c.detector.Zones(), c.options.Zone) {
 		for _, m := range c.detector.Members(zone) {
 			if m.Name != c.self.Name {
-				members = append(members, listed{name: m.Name, address: m.Address})
+				members = append(members, routerAddress{name: m.Name, address: m.Address})
 			}
 		}
 	}
 	return members
 }
 
-func (c *Conductor) ask(ctx context.Context, address netip.AddrPort) (reporter.Status, error) {
+func (c *Conductor) fetchReport(ctx context.Context, address netip.AddrPort) (reporter.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	c.metrics.messages.WithLabelValues(kindReport).Inc()
@@ -103,13 +104,13 @@
 	slices.SortFunc(status.Endpoints, func(a, b reporter.Endpoint) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.ID, b.ID))
 	})
-	// Alone, every router knows every endpoint of its zone.
+	// In standalone mode every router reports every endpoint of its zone.
 	status.Endpoints = slices.CompactFunc(status.Endpoints, func(a, b reporter.Endpoint) bool {
 		return a.Zone == b.Zone && a.ID == b.ID
 	})
 }
 
-// report describes what this router schedules.
+// report returns the status of what this router schedules.
 func (c *Conductor) report(now time.Time) reporter.Status {
 	var status reporter.Status
 	self := reporter.Router{Name: c.self.Name, Zone: c.options.Zone, Leaving: c.detector.Self().Leaving}
@@ -138,7 +139,7 @@
 	return status
 }
 
-func (c *Conductor) reportEndpoint(h *hosted, e scheduler.EndpointStats) reporter.Endpoint {
+func (c *Conductor) reportEndpoint(h *hostedPool, e scheduler.EndpointStats) reporter.Endpoint {
 	message := h.endpoints[e.Endpoint]
 	labels := labelsOf(message)
 	if c.rules != nil {
@@ -159,7 +160,7 @@
 	return endpoint
 }
 
-// Report answers another router's question.
+// Report answers a report call of another router.
 func (s *server) Report(ctx context.Context, _ *messenger.ReportRequest) (*messenger.ReportResponse, error) {
 	var status reporter.Status
 	s.conductor.do(ctx, func() { status = s.conductor.report(s.conductor.clock.Now()) })
--- a/router/internal/conductor/server.go
+++ b/router/internal/conductor/server.go
@@ -10,7 +10,7 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// Snapshots gives the configuration in force, for routers that reach no keeper.
+// Snapshots provides the configuration in force, for routers that reach no keeper.
 type Snapshots interface {
 	Snapshot(ctx context.Context, request *messenger.WatchRequest) (*messenger.WatchResponse, error)
 }
@@ -32,7 +32,7 @@
 	mux.Handle(membership.PathPrefix(), membership)
 }
 
-// serve runs an answer on the control goroutine.
+// serve runs an answer function on the control goroutine.
 func serve[Q, A any](ctx context.Context, s *server, request *Q, answer func(time.Time, *Q) *A) (*A, error) {
 	var result *A
 	c := s.conductor
@@ -42,30 +42,31 @@
 	return result, nil
 }
 
-// Exchange takes a router's batch.
+// Exchange answers a batch of a router's requests.
 func (s *server) Exchange(ctx context.Context, q *messenger.ExchangeRequest) (*messenger.ExchangeResponse, error) {
-	return serve(ctx, s, q, s.conductor.receive)
+	return serve(ctx, s, q, s.conductor.receiveExchange)
 }
 
-// Announce takes an endpoint's announcement.
+// Announce handles an endpoint's announcement, or renewals, that another router
+// forwards.
 func (s *server) Announce(ctx context.Context, q *messenger.AnnounceRequest) (*messenger.AnnounceResponse, error) {
 	return serve(ctx, s, q, s.conductor.receiveAnnouncement)
 }
 
-// Compare takes another zone's offer.
+// Compare answers the offer of another zone's scheduler.
 func (s *server) Compare(ctx context.Context, q *messenger.CompareRequest) (*messenger.CompareResponse, error) {
 	return serve(ctx, s, q, s.conductor.receiveCompare)
 }
 
-// Handover takes a pool's counters.
+// Handover handles the counters of a pool's previous scheduler.
 func (s *server) Handover(ctx context.Context, q *messenger.HandoverRequest) (*messenger.HandoverResponse, error) {
-	return serve(ctx, s, q, s.conductor.takeOver)
+	return serve(ctx, s, q, s.conductor.receiveHandover)
 }
 
-// Grant takes a scheduler's grants.
+// Grant handles the grants of a scheduler.
 func (s *server) Grant(ctx context.Context, q *messenger.GrantRequest) (*messenger.GrantResponse, error) {
 	return serve(ctx, s, q, func(_ time.Time, q *messenger.GrantRequest) *messenger.GrantResponse {
-		return s.conductor.grant(q)
+		return s.conductor.receiveGrant(q)
 	})
 }
 
@@ -76,7 +77,7 @@
 	})
 }
 
-// Snapshot gives the configuration in force here.
+// Snapshot returns the configuration in force at this router.
 func (s *server) Snapshot(ctx context.Context, q *messenger.WatchRequest) (*messenger.WatchResponse, error) {
 	if s.snapshots == nil {
 		return &messenger.WatchResponse{}, nil
--- a/router/internal/conductor/world_test.go
+++ b/router/internal/conductor/simulation_test.go
@@ -22,53 +22,53 @@
 )
 
 const (
-	model     = "draft-7b"
-	service   = "modelli"
-	worldStep = 5 * time.Millisecond
-	jobLength = time.Second
+	model          = "draft-7b"
+	service        = "modelli"
+	simulationStep = 5 * time.Millisecond
+	jobDuration    = time.Second
 )
 
-var errCut = errors.New("cut")
+var errPartitioned = errors.New("cut")
 
-// job is one request of a caller.
+// job is one client request.
 type job struct {
 	router    string
 	workspace string
 	waiter    *Waiter
 	added     time.Time
-	ends      time.Time // of its run
+	ends      time.Time // when its run ends
 	endpoint  string
 	done      bool
 }
 
-// node is one router of the world.
+// node is one router of the simulation.
 type node struct {
 	*Conductor
 	server  *server
 	work    []func()
-	frozen  bool
+	stalled bool
 	stopped bool
 }
 
-// world runs conductors step by step in one goroutine, on one clock.
-type world struct {
-	t      *testing.T
-	clock  *clockwork.FakeClock
-	nodes  map[netip.AddrPort]*node
-	order  []netip.AddrPort
-	cut    func(from, to netip.AddrPort) bool
-	alone  bool
-	jobs   []*job
-	most   map[string]int // of the jobs that ran at once at an endpoint
-	delay  []time.Duration
-	served map[string]int
-	calls  int
+// simulation runs conductors step by step in one goroutine, with one clock.
+type simulation struct {
+	t           *testing.T
+	clock       *clockwork.FakeClock
+	nodes       map[netip.AddrPort]*node
+	order       []netip.AddrPort
+	partitioned func(from, to netip.AddrPort) bool
+	standalone  bool
+	jobs        []*job
+	maxRunning  map[string]int // maximum of the jobs that ran at the same time, by endpoint
+	delay       []time.Duration
+	served      map[string]int
+	calls       int
 }
 
-func newWorld(t *testing.T, zones, each int, alone bool) *world {
-	w := &world{
-		t: t, clock: clockwork.NewFakeClockAt(time.Unix(1_800_000_000, 0)), nodes: make(map[netip.AddrPort]*node), alone: alone,
-		most: make(map[string]int), served: make(map[string]int),
+func newSimulation(t *testing.T, zones, each int, standalone bool) *simulation {
+	w := &simulation{
+		t: t, clock: clockwork.NewFakeClockAt(time.Unix(1_800_000_000, 0)), nodes: make(map[netip.AddrPort]*node), standalone: standalone,
+		maxRunning: make(map[string]int), served: make(map[string]int),
 	}
 	for z := range zones {
 		for i := range each {
@@ -83,7 +83,7 @@
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.%d.%d:8100", zone, i+1))
 }
 
-func worldRules() *matcher.Rules {
+func testRules() *matcher.Rules {
 	objects := make(map[describer.Key]describer.Object)
 	for _, object := range []describer.Object{
 		{Kind: describer.Service, Name: service, Labels: labeler.Labels{"type": "model", "model." + model: "yes"}},
@@ -94,86 +94,88 @@
 	return matcher.Compile(describer.Snapshot{Revision: 1, Objects: objects})
 }
 
-// start starts a router, or starts it again without memory.
-func (w *world) start(zone, i int) *node {
+// start starts a router, or restarts it without its state.
+func (w *simulation) start(zone, i int) *node {
 	at := addressOf(zone, i)
 	if w.nodes[at] == nil {
 		w.order = append(w.order, at)
 	}
 	c := New(Options{
 		Name: fmt.Sprintf("router-%d-%d", zone, i), Zone: fmt.Sprintf("zone-%d", zone), Address: at,
-		Incarnation: uint64(w.clock.Now().UnixMilli()), Alone: w.alone,
+		Incarnation: uint64(w.clock.Now().UnixMilli()), Standalone: w.standalone,
 		Seeds: []netip.AddrPort{addressOf(0, 0), addressOf(zone, 0)},
 		Clock: w.clock, Log: zerolog.Nop(),
 	})
 	n := &node{Conductor: c, server: &server{conductor: c}}
 	c.launch = func(work func()) { n.work = append(n.work, work) }
 	c.peers.dial = func(to netip.AddrPort) *peer {
-		wire := &wire{world: w, from: at, to: to}
-		return &peer{scheduling: wire, granting: wire, membership: wire}
+		peerLink := &link{sim: w, from: at, to: to}
+		return &peer{scheduling: peerLink, granting: peerLink, membership: peerLink}
 	}
-	c.rules = worldRules()
+	c.rules = testRules()
 	w.nodes[at] = n
 	return n
 }
 
-// wire carries calls to another router's pure answers.
-type wire struct {
-	world    *world
+// link delivers calls to another router directly, without a network.
+type link struct {
+	sim      *simulation
 	from, to netip.AddrPort
 }
 
-func over[Q, A any](l *wire, request *Q, answer func(*Conductor, time.Time, *Q) *A) (*A, error) {
-	target := l.world.nodes[l.to]
-	if target == nil || target.frozen || target.stopped || (l.world.cut != nil && l.world.cut(l.from, l.to)) {
-		return nil, errCut
+func deliverCall[Q, A any](l *link, request *Q, answer func(*Conductor, time.Time, *Q) *A) (*A, error) {
+	target := l.sim.nodes[l.to]
+	if target == nil || target.stalled || target.stopped || (l.sim.partitioned != nil && l.sim.partitioned(l.from, l.to)) {
+		return nil, errPartitioned
 	}
-	l.world.calls++
-	return answer(target.Conductor, l.world.clock.Now(), request), nil
+	l.sim.calls++
+	return answer(target.Conductor, l.sim.clock.Now(), request), nil
 }
 
-func (l *wire) Exchange(_ context.Context, q *messenger.ExchangeRequest) (*messenger.ExchangeResponse, error) {
-	return over(l, q, (*Conductor).receive)
+func (l *link) Exchange(_ context.Context, q *messenger.ExchangeRequest) (*messenger.ExchangeResponse, error) {
+	return deliverCall(l, q, (*Conductor).receiveExchange)
 }
 
-func (l *wire) Announce(_ context.Context, q *messenger.AnnounceRequest) (*messenger.AnnounceResponse, error) {
-	return over(l, q, (*Conductor).receiveAnnouncement)
+func (l *link) Announce(_ context.Context, q *messenger.AnnounceRequest) (*messenger.AnnounceResponse, error) {
+	return deliverCall(l, q, (*Conductor).receiveAnnouncement)
 }
 
-func (l *wire) Compare(_ context.Context, q *messenger.CompareRequest) (*messenger.CompareResponse, error) {
-	return over(l, q, (*Conductor).receiveCompare)
+func (l *link) Compare(_ context.Context, q *messenger.CompareRequest) (*messenger.CompareResponse, error) {
+	return deliverCall(l, q, (*Conductor).receiveCompare)
 }
 
-func (l *wire) Handover(_ context.Context, q *messenger.HandoverRequest) (*messenger.HandoverResponse, error) {
-	return over(l, q, (*Conductor).takeOver)
+func (l *link) Handover(_ context.Context, q *messenger.HandoverRequest) (*messenger.HandoverResponse, error) {
+	return deliverCall(l, q, (*Conductor).receiveHandover)
 }
 
-func (l *wire) Grant(_ context.Context, q *messenger.GrantRequest) (*messenger.GrantResponse, error) {
-	return over(l, q, func(c *Conductor, _ time.Time, q *messenger.GrantRequest) *messenger.GrantResponse { return c.grant(q) })
+func (l *link) Grant(_ context.Context, q *messenger.GrantRequest) (*messenger.GrantResponse, error) {
+	return deliverCall(l, q, func(c *Conductor, _ time.Time, q *messenger.GrantRequest) *messenger.GrantResponse {
+		return c.receiveGrant(q)
+	})
 }
 
-func (l *wire) Heartbeat(_ context.Context, q *messenger.HeartbeatRequest) (*messenger.HeartbeatResponse, error) {
-	return over(l, q, func(c *Conductor, now time.Time, q *messenger.HeartbeatRequest) *messenger.HeartbeatResponse {
+func (l *link) Heartbeat(_ context.Context, q *messenger.HeartbeatRequest) (*messenger.HeartbeatResponse, error) {
+	return deliverCall(l, q, func(c *Conductor, now time.Time, q *messenger.HeartbeatRequest) *messenger.HeartbeatResponse {
 		return c.detector.Receive(now, q)
 	})
 }
 
-func (l *wire) Snapshot(context.Context, *messenger.WatchRequest) (*messenger.WatchResponse, error) {
-	return nil, errCut
+func (l *link) Snapshot(context.Context, *messenger.WatchRequest) (*messenger.WatchResponse, error) {
+	return nil, errPartitioned
 }
 
-func (l *wire) Report(context.Context, *messenger.ReportRequest) (*messenger.ReportResponse, error) {
-	return nil, errCut
+func (l *link) Report(context.Context, *messenger.ReportRequest) (*messenger.ReportResponse, error) {
+	return nil, errPartitioned
 }
 
-// announce lets an endpoint announce itself at a router that lives.
-func (w *world) announce(zone int, id string, slots uint32) {
+// announce announces an endpoint at a live router of a zone.
+func (w *simulation) announce(zone int, id string, slots uint32) {
 	for _, at := range w.order {
 		n := w.nodes[at]
-		if n.stopped || n.frozen || n.options.Zone != fmt.Sprintf("zone-%d", zone) {
+		if n.stopped || n.stalled || n.options.Zone != fmt.Sprintf("zone-%d", zone) {
 			continue
 		}
-		n.take(&messenger.Announcement{
+		n.acceptAnnouncement(&messenger.Announcement{
 			Id: id, Incarnation: 1, Service: service, Zone: n.options.Zone, Models: []string{model},
 			Address: "10.1.0.1:9000", Slots: slots, TtlMs: 3000,
 		}, func(error) {})
@@ -181,7 +183,7 @@
 	}
 }
 
-func (w *world) add(at netip.AddrPort, workspace string) {
+func (w *simulation) add(at netip.AddrPort, workspace string) {
 	n := w.nodes[at]
 	j := &job{router: n.options.Name, workspace: workspace, added: w.clock.Now()}
 	j.waiter = &Waiter{Outcome: make(chan enlister.Outcome, 1), conductor: n.Conductor, service: service}
@@ -189,9 +191,9 @@
 	w.jobs = append(w.jobs, j)
 }
 
-// run lets time pass. Each step calls also, if given.
-func (w *world) run(span time.Duration, also func()) {
-	for end := w.clock.Now().Add(span); w.clock.Now().Before(end); w.clock.Advance(worldStep) {
+// run advances the clock by a span. Each step calls also, if it is not nil.
+func (w *simulation) run(span time.Duration, also func()) {
+	for end := w.clock.Now().Add(span); w.clock.Now().Before(end); w.clock.Advance(simulationStep) {
 		if also != nil {
 			also()
 		}
@@ -202,11 +204,11 @@
 	}
 }
 
-func (w *world) step(n *node) {
-	if n.frozen || n.stopped {
+func (w *simulation) step(n *node) {
+	if n.stalled || n.stopped {
 		return
 	}
-	for range 4 { // answers to calls may make further calls
+	for range 4 { // answers to calls may cause further calls
 		n.step(w.clock.Now())
 		work := n.work
 		n.work = nil
@@ -217,69 +219,69 @@
 	}
 }
 
-func (w *world) runJobs() {
+func (w *simulation) runJobs() {
 	now := w.clock.Now()
 	running := make(map[string]int)
 	for _, j := range w.jobs {
 		n := w.owner(j)
-		if j.done || n.frozen {
+		if j.done || n.stalled {
 			continue
 		}
 		select {
 		case outcome := <-j.waiter.Outcome:
 			granted, ok := outcome.(enlister.Granted)
 			require.True(w.t, ok, "%v", outcome)
-			j.endpoint, j.ends = granted.Endpoint, now.Add(jobLength)
+			j.endpoint, j.ends = granted.Endpoint, now.Add(jobDuration)
 			w.delay = append(w.delay, now.Sub(j.added))
 		default:
 		}
 		if !j.ends.IsZero() && !now.Before(j.ends) {
 			j.done = true
 			w.served[j.workspace]++
-			j.waiter.Finish(scheduler.Finish{Charged: 100, Ending: scheduler.Done, First: 10 * time.Millisecond, Took: jobLength})
+			j.waiter.Finish(scheduler.Finish{Charged: 100, Ending: scheduler.Done, First: 10 * time.Millisecond, Took: jobDuration})
 		}
 		if !j.done && !j.ends.IsZero() {
 			running[j.endpoint]++
 		}
 	}
 	for endpoint, count := range running {
-		w.most[endpoint] = max(w.most[endpoint], count)
+		w.maxRunning[endpoint] = max(w.maxRunning[endpoint], count)
 	}
 }
 
-func (w *world) owner(j *job) *node {
+func (w *simulation) owner(j *job) *node {
 	for _, n := range w.nodes {
 		if n.Conductor == j.waiter.conductor {
 			return n
 		}
 	}
-	j.done = true // its router has died, and the caller with it
-	return &node{frozen: true}
+	j.done = true // its router has died, and its client connection with it
+	return &node{stalled: true}
 }
 
-// kill stops a router without a word.
-func (w *world) kill(at netip.AddrPort) {
+// kill stops a router without notice to the others.
+func (w *simulation) kill(at netip.AddrPort) {
 	w.nodes[at].stopped = true
 	for _, j := range w.jobs {
 		j.done = j.done || j.waiter.conductor == w.nodes[at].Conductor
 	}
 }
 
-func (w *world) scheduler(zone int) netip.AddrPort {
+func (w *simulation) scheduler(zone int) netip.AddrPort {
 	owner, found := w.nodes[w.live(zone)].owner(service)
 	require.True(w.t, found)
 	return owner.Address
 }
 
-func (w *world) live(zone int) netip.AddrPort {
+func (w *simulation) live(zone int) netip.AddrPort {
 	at := slices.IndexFunc(w.order, func(at netip.AddrPort) bool {
 		n := w.nodes[at]
-		return !n.stopped && !n.frozen && n.options.Zone == fmt.Sprintf("zone-%d", zone)
+		return !n.stopped && !n.stalled && n.options.Zone == fmt.Sprintf("zone-%d", zone)
 	})
 	return w.order[at]
 }
 
-func (w *world) left() (waiting, running int) {
+func (w *simulation) unfinished() (waiting, running int) {
 	for _, j := range w.jobs {
 		switch {
 		case j.done:
--- a/router/internal/enroller/enroller.go
+++ b/router/internal/enroller/enroller.go
@@ -1,8 +1,8 @@
-// Package enroller gets slots for the relayer from the pools' schedulers.
+// Package enroller obtains slots for the relayer from the schedulers of the pools.
 //
-// Invariants: a request that is withdrawn while its grant arrives gives the
-// slot back; a slot is given back once; progress reaches the control goroutine
-// at most once in a while, however many tokens stream.
+// Invariants: a request that is withdrawn while its grant arrives returns the slot;
+// a slot is returned once; progress reaches the control goroutine at most once per
+// progressInterval, however many tokens stream.
 package enroller
 
 import (
@@ -23,9 +23,10 @@
 // ErrStopped is the kind of the error after the control goroutine has ended.
 var ErrStopped = merry.Sentinel("this router has stopped")
 
-// progressEvery is how often a slot passes progress on. The scheduler is told
-// about once a second; a token a call would cost more than the token.
-const progressEvery = 200 * time.Millisecond
+// progressInterval is the minimum time between two progress reports of a slot. The
+// scheduler gets about one a second; a call per token would cost more than the
+// token.
+const progressInterval = 200 * time.Millisecond
 
 // Enroller implements relayer.Enroller.
 type Enroller struct {
@@ -49,7 +50,7 @@
 	case outcome := <-waiter.Outcome:
 		return e.answer(waiter, outcome)
 	case <-ctx.Done():
-		// If the grant is on its way, this gives its slot back unused.
+		// If the grant is in flight, this returns its slot unused.
 		waiter.Finish(scheduler.Finish{Ending: scheduler.Cancelled})
 		return nil, ctx.Err()
 	}
@@ -68,33 +69,33 @@
 
 // slot implements relayer.Slot.
 type slot struct {
-	waiter  *conductor.Waiter
-	granted enlister.Granted
-	clock   clockwork.Clock
-	told    time.Time
-	once    sync.Once
+	waiter         *conductor.Waiter
+	granted        enlister.Granted
+	clock          clockwork.Clock
+	progressSentAt time.Time
+	once           sync.Once
 }
 
-// Endpoint is the id of the endpoint to send to.
+// Endpoint returns the ID of the endpoint to send the request to.
 func (s *slot) Endpoint() string { return s.granted.Endpoint }
 
-// Incarnation is the endpoint's incarnation.
+// Incarnation returns the endpoint's incarnation.
 func (s *slot) Incarnation() uint64 { return s.granted.Incarnation }
 
-// Address is where the endpoint listens.
+// Address returns the address at which the endpoint listens.
 func (s *slot) Address() netip.AddrPort { return s.granted.Address }
 
-// Progress tells the units used in all so far.
+// Progress reports the total units used so far, at most once per progressInterval.
 func (s *slot) Progress(charged uint32) {
 	now := s.clock.Now()
-	if now.Sub(s.told) < progressEvery {
+	if now.Sub(s.progressSentAt) < progressInterval {
 		return
 	}
-	s.told = now
+	s.progressSentAt = now
 	s.waiter.Progress(charged)
 }
 
-// Finish gives the slot back.
+// Finish returns the slot. Further calls have no effect.
 func (s *slot) Finish(finish scheduler.Finish) {
 	s.once.Do(func() { s.waiter.Finish(finish) })
 }
