--- a/lib/forwarder/dialect.go
+++ b/lib/forwarder/dialect.go
@@ -8,59 +8,58 @@
 	"shallotkeel.example/lib/resolver"
 )
 
-// Incoming is what a client says of its request besides method, path and body.
+// Incoming is what a client's headers say about its request.
 type Incoming struct {
 	ID string
-	// Key is the key of a workspace, without its scheme.
+	// Key is the API key of a workspace, without its scheme.
 	Key string
-	// Deadline is how long the client waits; 0 if it does not say.
+	// Deadline is how long the client waits, 0 if it does not say.
 	Deadline time.Duration
-	// Resume is the id of the last event that the client has, "" for a new stream.
+	// Resume is the ID of the last event that the client received, "" for a new stream.
 	Resume string
-	// Resumes is the id of the client's request that brought the first event of the stream that
-	// it takes up, "" for a new one.
+	// Resumes is the ID of the client's request that returned the first event of the stream that is
+	// resumed, "" for a new stream.
 	Resumes string
 	Work    balancer.Work
 }
 
-// Mark is what the system itself tells an endpoint with a request.
+// Mark is the control information that the system adds to a request for an endpoint.
 type Mark struct {
-	// Instance is the only one that may run the request.
+	// Instance is the only endpoint instance that may run the request.
 	Instance  string
 	Workspace string
-	// Left is the time until the answer is of no use any more.
-	Left time.Duration
-	// Resume goes before the client's own if it is set.
+	// Remaining is the time until the answer is useless.
+	Remaining time.Duration
+	// Resume, if set, replaces the value of the client's own header.
 	Resume string
 }
 
-// Answer is what an endpoint's answer says of its request.
+// Answer is what the headers of an endpoint's answer say about the request.
 type Answer struct {
-	// Signed tells that the endpoint itself made it.
+	// Signed reports that the answer was made by the endpoint itself.
 	Signed bool
-	// NotRun tells that the endpoint did not and will not run the request.
+	// NotRun reports that the endpoint did not run the request and will not run it.
 	NotRun bool
-	// Misdirected tells that another instance has the address.
+	// Misdirected reports that another instance has the address now.
 	Misdirected bool
-	// Backoff is for how long the endpoint wants nothing more from this router, 0 if it does
-	// not say.
+	// Backoff is how long the endpoint wants no more requests from this router, 0 if it does not say.
 	Backoff time.Duration
-	// Leaving tells that the endpoint says that it leaves.
+	// Leaving reports that the endpoint announces that it is leaving.
 	Leaving bool
-	// Unread tells of a header that cannot be read, and so counts as not said.
-	Unread error
+	// Unreadable is the error of a header that is unreadable and therefore ignored, nil if there is none.
+	Unreadable error
 }
 
-// Dialect is the headers of one interface, and its form of a configuration.
+// Dialect defines the headers of one interface, and its format of a configuration.
 type Dialect interface {
-	// Read decodes a client's headers. What cannot be read counts as not said.
+	// Read decodes a client's headers. Unreadable headers are ignored.
 	Read(header http.Header) Incoming
-	// Outgoing returns the headers for an endpoint: the client's, without those of
-	// one connection and those that only the system may set, and the mark's.
+	// Outgoing returns the headers for an endpoint: the client's, without hop-by-hop headers and those that
+	// only the system may set, and the headers for the mark.
 	Outgoing(header http.Header, mark Mark) http.Header
-	// Answer decodes an endpoint's answer.
+	// Answer decodes the headers of an endpoint's answer.
 	Answer(answer *http.Response) Answer
-	// Own tells whether an answer belongs to the request of that id.
+	// Own reports whether an answer belongs to the request with that ID.
 	Own(answer *http.Response, id string) bool
 	// Plan decodes and checks a configuration.
 	Plan(text []byte) (resolver.Plan, error)
--- a/lib/forwarder/forwarder.go
+++ b/lib/forwarder/forwarder.go
@@ -1,17 +1,16 @@
-// Package forwarder sends requests to endpoints over kept HTTP/1.1 connections
-// and says exactly how far each one got.
+// Package forwarder sends requests to endpoints over persistent HTTP/1.1 connections, and reports
+// exactly how far each request got.
 //
-// The standard client repeats some requests by itself, asks for compressed
-// answers, and does not tell whether a request's bytes have left. Here each
-// exchange is one request on one connection, driven by the caller's goroutine,
-// so that "not sent" is known and nothing runs twice. The grammar of HTTP is the
-// standard library's.
+// The standard client repeats some requests by itself, asks for compressed answers, and does not report
+// whether bytes of a request have been sent. Here each exchange is one request on one connection, driven
+// by the caller's goroutine, so that "not sent" is known and no request runs twice. Parsing and
+// formatting of HTTP messages are the standard library's.
 //
 // Invariants:
 //   - a request is written at most once, to one connection;
-//   - a connection is used again only after a whole answer that belonged to its
-//     request, with nothing unread behind it;
-//   - an answer with another request's id is passed over, never handed on;
+//   - a connection is reused only after a complete answer that belonged to its request, with no unread
+//     bytes behind it;
+//   - an answer with the ID of another request is skipped, never returned to the caller;
 //   - every wait ends with the context.
 package forwarder
 
@@ -33,50 +32,45 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// The kinds of failure of an exchange.
+// Errors of an exchange.
 var (
-	// ErrUnsent means that no byte of the request has left: it did not and will
-	// not run at that endpoint.
+	// ErrUnsent means that no byte of the request was sent: it did not run at that endpoint and will not.
 	ErrUnsent = merry.Sentinel("the request was not sent")
-	// ErrWithdrawn means that the caller itself took the request back before it was sent.
-	// It comes with ErrUnsent.
-	ErrWithdrawn = merry.Sentinel("it was withdrawn")
-	// ErrBroken means that the connection failed after bytes had left: the
-	// request may have run.
+	// ErrWithdrawn means that the caller withdrew the request before it was sent. It is wrapped together
+	// with ErrUnsent.
+	ErrWithdrawn = merry.Sentinel("the caller withdrew the request")
+	// ErrBroken means that the connection failed after the first write had begun: the request may have run.
 	ErrBroken = merry.Sentinel("the connection to the endpoint broke")
-	// ErrForeign means that the endpoint answered another request instead.
+	// ErrForeign means that the endpoint sent the answer to another request instead.
 	ErrForeign = merry.Sentinel("the endpoint answered another request")
 )
 
 const (
-	// DefaultDialTimeout bounds a new connection. Endpoints are a few milliseconds
-	// away and a lost first packet is sent again after a second, so that a second
-	// endpoint is tried sooner than that, and within a usual target of 250 ms for
-	// the begin of an answer.
+	// DefaultDialTimeout bounds the time for a new connection. Endpoints are a few milliseconds away, and a
+	// lost first packet is retransmitted after a second. The timeout is shorter than that, so that another
+	// endpoint is tried earlier, and within a usual target of 250 ms for the begin of an answer.
 	DefaultDialTimeout = 200 * time.Millisecond
-	// DefaultIdle is how long a connection is kept where the endpoint does not
-	// say. Services close idle connections after a time of their own.
+	// DefaultIdle is how long an idle connection is kept if the endpoint does not announce a time. Services
+	// close idle connections after timeouts of their own.
 	DefaultIdle = 4 * time.Second
-	// idleMargin is taken off the time that an endpoint announces, for the way.
+	// idleMargin is subtracted from the idle timeout that an endpoint announces, for the network latency.
 	idleMargin = 700 * time.Millisecond
-	// readSize is a connection's read buffer. Events are some 100 bytes.
-	readSize = 4 << 10
-	// inlineBody is the largest body that is written before the answer is read.
-	// Longer ones are written beside: an endpoint may answer before it has read
-	// all of it.
-	inlineBody = 8 << 10
-	// maxForeign bounds the answers to other requests that are passed over.
+	// readBufferSize is the size of a connection's read buffer in bytes. Events have about 100 bytes.
+	readBufferSize = 4 << 10
+	// maxInlineBody is the largest body, in bytes, that is written before the answer is read. Longer bodies
+	// are written concurrently, because an endpoint may answer before it has read the whole body.
+	maxInlineBody = 8 << 10
+	// maxForeign bounds the number of answers to other requests that are skipped.
 	maxForeign = 2
-	// maxSkipped bounds the body of an answer that is passed over.
-	maxSkipped = 256 << 10
+	// maxSkippedBytes bounds the body of an answer that is skipped.
+	maxSkippedBytes = 256 << 10
 )
 
-// Client keeps connections to endpoints. Set Clock before use.
+// Client keeps a pool of connections to each endpoint. Clock must be set before use.
 type Client struct {
 	Clock       clockwork.Clock
 	DialTimeout time.Duration // DefaultDialTimeout if 0
-	// OwnAnswer tells whether an answer belongs to the request of that id. All do
-	// if it is nil.
+	// OwnAnswer reports whether an answer belongs to the request with that ID. If it is nil, all do.
 	OwnAnswer func(answer *http.Response, id string) bool
 
 	mutex  sync.Mutex
@@ -84,69 +78,69 @@
 	opened uint64
 }
 
-// pool is the connections to one address.
+// pool holds the connections to one address.
 type pool struct {
-	idle []*conn // the one used last at the end
-	open int     // idle or in use, or being made
+	idle []*conn // the most recently used at the end
+	open int     // idle, in use, or being dialled
 }
 
+// conn is a connection to an endpoint.
 type conn struct {
 	net.Conn
-	reader   *bufio.Reader
-	address  netip.AddrPort
-	usableTo time.Time
-	reused   bool
+	reader  *bufio.Reader
+	address netip.AddrPort
+	expires time.Time // when it must not be reused any more
+	reused  bool
 }
 
 // Outgoing is a request for an endpoint.
 type Outgoing struct {
-	ID     string // by which the answer is recognised
+	ID     string // identifies the answer
 	Method string
-	Target string // path and query, exactly as they came
+	Target string // path and query, exactly as the client sent them
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a connection of its own: one that was idle may have been
-	// closed at the other end unseen, and a request that must not repeat would be
-	// lost on it.
+	// Fresh requests a new connection: the other end may have closed an idle connection unnoticed, and a
+	// request that must not be repeated would be lost on it.
 	Fresh bool
 }
 
-// Exchange is a request under way.
+// Exchange is a request in flight and its answer.
 type Exchange struct {
 	*http.Response
-	// Reused tells that the connection had carried another request before.
+	// Reused reports that the connection had carried another request before.
 	Reused bool
 
-	client  *Client
-	conn    *conn
-	release func() bool
-	written chan error // of a body that is written beside
-	whole   bool
+	client      *Client
+	conn        *conn
+	stopCancel  func() bool
+	bodyWritten chan error // result of a concurrent body write, nil if the body was written inline
+	complete    bool
 }
 
-// Opened returns how many connections were made.
+// Opened returns the number of dials begun since the start, failed ones included.
 func (c *Client) Opened() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.opened
 }
 
-// Do sends a request and returns once the answer's header is there. Sent is
-// called right before the first byte leaves; if it returns false nothing is
-// sent. The exchange must be closed.
+// Do sends a request and returns once the header of its answer has been received. Sent is called right
+// before the first byte is written; if it returns false, nothing is sent. Errors wrap ErrUnsent,
+// ErrBroken or ErrForeign. The caller must close the exchange.
 func (c *Client) Do(ctx context.Context, address netip.AddrPort, out *Outgoing, sent func() bool) (*Exchange, error) {
-	cn, err := c.take(ctx, address, out.Fresh)
+	cn, err := c.acquire(ctx, address, out.Fresh)
 	if err != nil {
 		return nil, merry.Errorf("%w: %w", ErrUnsent, err)
 	}
 	if sent != nil && !sent() {
-		c.giveBack(cn)
+		c.putIdle(cn)
 		return nil, merry.Errorf("%w: %w", ErrUnsent, ErrWithdrawn)
 	}
 	x := &Exchange{client: c, conn: cn, Reused: cn.reused}
-	x.release = context.AfterFunc(ctx, func() {
-		// The deadline ends reads and writes at once; the error closes the connection.
+	x.stopCancel = context.AfterFunc(ctx, func() {
+		// A deadline in the past ends reads and writes at once; their error makes Close discard the connection.
 		if err := cn.SetDeadline(time.Unix(1, 0)); err != nil {
 			cn.Close()
 		}
@@ -162,7 +156,7 @@
 	return x, nil
 }
 
-// send writes the request. The head and a short body share one write.
+// send writes the request. The head and a short body are sent in one write.
 func (x *Exchange) send(out *Outgoing) error {
 	var head bytes.Buffer
 	head.Grow(1024)
@@ -174,7 +168,7 @@
 		head.WriteString("Content-Length: " + strconv.Itoa(len(out.Body)) + "\r\n")
 	}
 	head.WriteString("\r\n")
-	if len(out.Body) <= inlineBody {
+	if len(out.Body) <= maxInlineBody {
 		head.Write(out.Body)
 		_, err := x.conn.Write(head.Bytes())
 		return err
@@ -182,10 +176,10 @@
 	if _, err := x.conn.Write(head.Bytes()); err != nil {
 		return err
 	}
-	x.written = make(chan error, 1)
+	x.bodyWritten = make(chan error, 1)
 	go func() {
 		_, err := x.conn.Write(out.Body)
-		x.written <- err
+		x.bodyWritten <- err
 	}()
 	return nil
 }
@@ -194,7 +188,7 @@
 func (x *Exchange) receive(out *Outgoing) error {
 	request := &http.Request{Method: out.Method}
 	for range maxForeign + 1 {
-		answer, err := http.ReadResponse(x.conn.reader, request) //nolint:bodyclose // the connection's fate is decided by the exchange's Close
+		answer, err := http.ReadResponse(x.conn.reader, request) //nolint:bodyclose // Exchange.Close closes or keeps the connection
 		if err != nil {
 			return merry.Errorf("%w: %w", ErrBroken, err)
 		}
@@ -206,15 +200,15 @@
 			answer.Body = &body{inner: answer.Body, exchange: x}
 			return nil
 		}
-		// An answer that came late stands where the own one is due.
-		if n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxSkipped)); err != nil || n == maxSkipped || answer.Close {
-			return merry.Errorf("%w, and its end was not found", ErrForeign)
+		// A late answer to another request precedes the expected one.
+		if n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxSkippedBytes)); err != nil || n == maxSkippedBytes || answer.Close {
+			return merry.Errorf("%w, and the end of that answer was not found", ErrForeign)
 		}
 	}
 	return merry.Errorf("%w several times", ErrForeign)
 }
 
-// body notes when an answer has been read to its end.
+// body records that an answer has been read to its end.
 type body struct {
 	inner    io.ReadCloser
 	exchange *Exchange
@@ -223,49 +217,50 @@
 func (b *body) Read(buffer []byte) (int, error) {
 	n, err := b.inner.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		b.exchange.whole = true
+		b.exchange.complete = true
 	}
 	return n, err
 }
 
 func (b *body) Close() error {
-	return nil // the exchange's Close decides what becomes of the connection
+	return nil // Exchange.Close closes or keeps the connection
 }
 
-// Whole tells whether the answer was read to its end.
-func (x *Exchange) Whole() bool {
-	return x.whole
+// Complete reports whether the answer was read to its end.
+func (x *Exchange) Complete() bool {
+	return x.complete
 }
 
-// Close ends the exchange. The connection is kept if the answer was whole.
+// Close ends the exchange. The connection is kept if the answer is complete and the connection reusable.
 func (x *Exchange) Close() {
-	interrupted := !x.release()
+	interrupted := !x.stopCancel()
 	if interrupted || !x.reusable() {
-		x.client.drop(x.conn)
+		x.client.discard(x.conn)
 		return
 	}
 	x.conn.reused = true
-	x.conn.usableTo = x.client.Clock.Now().Add(keepFor(x.Header))
-	x.client.giveBack(x.conn)
+	x.conn.expires = x.client.Clock.Now().Add(idleTimeout(x.Header))
+	x.client.putIdle(x.conn)
 }
 
+// reusable reports whether the connection can carry another request.
 func (x *Exchange) reusable() bool {
-	if x.Response == nil || !x.whole || x.Response.Close || x.conn.reader.Buffered() > 0 {
+	if x.Response == nil || !x.complete || x.Response.Close || x.conn.reader.Buffered() > 0 {
 		return false
 	}
-	if x.written == nil {
+	if x.bodyWritten == nil {
 		return true
 	}
 	select {
-	case err := <-x.written:
+	case err := <-x.bodyWritten:
 		return err == nil
 	default:
-		return false // the endpoint answered before it had read the body
+		return false // the endpoint answered before it had read the whole body
 	}
 }
 
-// keepFor returns how long a connection may be idle, as its endpoint says.
-func keepFor(header http.Header) time.Duration {
+// idleTimeout returns how long a connection may be idle, from the endpoint's Keep-Alive header.
+func idleTimeout(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -280,21 +275,22 @@
 	return DefaultIdle
 }
 
-// take returns an idle connection that still looks alive, or a new one.
-func (c *Client) take(ctx context.Context, address netip.AddrPort, fresh bool) (*conn, error) {
+// acquire returns an idle connection that is still open, or a new one.
+func (c *Client) acquire(ctx context.Context, address netip.AddrPort, fresh bool) (*conn, error) {
 	for !fresh {
 		cn := c.takeIdle(address)
 		if cn == nil {
 			break
 		}
-		if c.Clock.Now().Before(cn.usableTo) && quiet(cn.Conn) {
+		if c.Clock.Now().Before(cn.expires) && isIdle(cn.Conn) {
 			return cn, nil
 		}
-		c.drop(cn)
+		c.discard(cn)
 	}
 	return c.dial(ctx, address)
 }
 
+// takeIdle removes the most recently used idle connection from the pool and returns it, nil if none.
 func (c *Client) takeIdle(address netip.AddrPort) *conn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -307,6 +303,7 @@
 	return cn
 }
 
+// dial opens a new connection.
 func (c *Client) dial(ctx context.Context, address netip.AddrPort) (*conn, error) {
 	c.count(address, 1)
 	timeout := c.DialTimeout
@@ -316,15 +313,16 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var dialer net.Dialer
-	dialer.KeepAlive = -1 // every wait is bounded by its request's own time
+	dialer.KeepAlive = -1 // every wait is bounded by the deadline of its request
 	made, err := dialer.DialContext(ctx, "tcp", address.String())
 	if err != nil {
 		c.count(address, -1)
 		return nil, err
 	}
-	return &conn{Conn: made, reader: bufio.NewReaderSize(made, readSize), address: address}, nil
+	return &conn{Conn: made, reader: bufio.NewReaderSize(made, readBufferSize), address: address}, nil
 }
 
+// count adds change to the number of open connections to an address.
 func (c *Client) count(address netip.AddrPort, change int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -345,52 +343,53 @@
 	}
 }
 
-func (c *Client) giveBack(cn *conn) {
+// putIdle returns a connection to the pool.
+func (c *Client) putIdle(cn *conn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	p := c.pools[cn.address]
 	p.idle = append(p.idle, cn)
 }
 
-func (c *Client) drop(cn *conn) {
+// discard closes a connection that is not in the pool.
+func (c *Client) discard(cn *conn) {
 	cn.Close()
 	c.count(cn.address, -1)
 }
 
-// Forget closes the idle connections to an address. The host calls it when what
-// listens there has started again: behind a network partition that an endpoint did
-// not survive, its connections look open, and each would cost a request.
+// Forget closes the idle connections to an address. The caller uses it when the process at that address
+// has restarted: if an endpoint crashed behind a network partition, its connections seem open, and each
+// would cost a request.
 func (c *Client) Forget(address netip.AddrPort) {
 	c.mutex.Lock()
-	var over []*conn
+	var closing []*conn
 	if p, found := c.pools[address]; found {
-		over, p.idle = p.idle, nil
+		closing, p.idle = p.idle, nil
 	}
 	c.mutex.Unlock()
-	for _, cn := range over {
-		c.drop(cn)
+	for _, cn := range closing {
+		c.discard(cn)
 	}
 }
 
-// Sweep closes idle connections whose time is over. The host calls it now and
-// then.
+// Sweep closes the idle connections whose idle time has expired. The caller runs it periodically.
 func (c *Client) Sweep() {
 	now := c.Clock.Now()
-	var over []*conn
+	var closing []*conn
 	c.mutex.Lock()
 	for _, p := range c.pools {
 		kept := p.idle[:0]
 		for _, cn := range p.idle {
-			if now.Before(cn.usableTo) {
+			if now.Before(cn.expires) {
 				kept = append(kept, cn)
 			} else {
-				over = append(over, cn)
+				closing = append(closing, cn)
 			}
 		}
 		p.idle = kept
 	}
 	c.mutex.Unlock()
-	for _, cn := range over {
-		c.drop(cn)
+	for _, cn := range closing {
+		c.discard(cn)
 	}
 }
--- a/lib/forwarder/forwarder_test.go
+++ b/lib/forwarder/forwarder_test.go
@@ -18,14 +18,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// endpoint is a stand-in that answers each connection by a script.
+// endpoint is a server that handles each connection by a script.
 type endpoint struct {
 	t       *testing.T
 	address netip.AddrPort
 	accepts atomic.Int64
 }
 
-// listen starts an endpoint that runs serve for each connection, with its number.
+// listen starts an endpoint that calls serve for each connection, with the connection's number.
 func listen(t *testing.T, serve func(number int64, conn net.Conn, reader *bufio.Reader)) *endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,8 +48,8 @@
 	return e
 }
 
-// take reads one request with its body.
-func take(reader *bufio.Reader) *http.Request {
+// readRequest reads one request with its body, and returns nil on an error.
+func readRequest(reader *bufio.Reader) *http.Request {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
 		return nil
@@ -60,7 +60,8 @@
 	return request
 }
 
-func answer(conn net.Conn, id, body string) {
+// writeAnswer writes an answer with an ID.
+func writeAnswer(conn net.Conn, id, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -71,7 +72,7 @@
 	}
 }
 
-// openTo returns how many connections to an address exist.
+// openTo returns the number of connections to an address.
 func (c *Client) openTo(address netip.AddrPort) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -81,7 +82,7 @@
 	return 0
 }
 
-// idleTo returns how many connections to an address wait for a request.
+// idleTo returns the number of idle connections to an address.
 func (c *Client) idleTo(address netip.AddrPort) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -91,7 +92,7 @@
 	return 0
 }
 
-func get(id string) *Outgoing {
+func newRequest(id string) *Outgoing {
 	return &Outgoing{ID: id, Method: http.MethodGet, Target: "/a//b?x=%2F", Host: "h", Header: http.Header{}}
 }
 
@@ -107,13 +108,14 @@
 	return string(body), err
 }
 
-// echo answers every request of a connection with its own id.
+// echo answers every request of a connection with the request's own ID.
 func echo(_ int64, conn net.Conn, reader *bufio.Reader) {
-	for request := take(reader); request != nil; request = take(reader) {
-		answer(conn, request.Header.Get("Id"), "whole")
+	for request := readRequest(reader); request != nil; request = readRequest(reader) {
+		writeAnswer(conn, request.Header.Get("Id"), "whole")
 	}
 }
 
+// withID adds the request's ID to its headers, for echo.
 func withID(out *Outgoing) *Outgoing {
 	out.Header.Set("Id", out.ID)
 	return out
@@ -123,7 +125,7 @@
 	e := listen(t, echo)
 	c := newClient()
 	for i := range 5 {
-		body, err := fetch(t, c, e, withID(get(fmt.Sprint(i))))
+		body, err := fetch(t, c, e, withID(newRequest(fmt.Sprint(i))))
 		require.NoError(t, err)
 		require.Equal(t, "whole", body)
 	}
@@ -135,31 +137,29 @@
 	require.EqualValues(t, 2, e.accepts.Load())
 }
 
-// Symptom: a booking is confirmed twice. Sequence: an endpoint takes a request on
-// a kept connection, runs it, and its connection breaks before the answer. Cause:
-// the standard client sends what it holds to be idempotent once more by itself.
+// Guards against a booking that is confirmed twice: an endpoint runs a request from a kept connection,
+// which breaks before the answer. The standard client would repeat a request that it considers idempotent.
 func TestNothingIsSentTwice(t *testing.T) {
 	var runs atomic.Int64
 	e := listen(t, func(_ int64, conn net.Conn, reader *bufio.Reader) {
-		request := take(reader)
-		answer(conn, request.Header.Get("Id"), "whole")
-		if take(reader) != nil {
+		request := readRequest(reader)
+		writeAnswer(conn, request.Header.Get("Id"), "whole")
+		if readRequest(reader) != nil {
 			runs.Add(1)
 		}
 	})
 	c := newClient()
-	_, err := fetch(t, c, e, withID(get("first")))
+	_, err := fetch(t, c, e, withID(newRequest("first")))
 	require.NoError(t, err)
-	_, err = fetch(t, c, e, withID(get("second")))
+	_, err = fetch(t, c, e, withID(newRequest("second")))
 	require.ErrorIs(t, err, ErrBroken)
 	require.NotErrorIs(t, err, ErrUnsent)
 	require.EqualValues(t, 1, runs.Load())
 	require.EqualValues(t, 1, e.accepts.Load())
 }
 
-// Symptom: a client gets bytes that its browser cannot read, or a path that is
-// not its own. Cause: the client library asked for compression, or cleaned the
-// path.
+// Guards against answers that a browser cannot decode, or a path other than the client's, because the
+// HTTP client asks for compression or cleans the path.
 func TestRequestsAreSentAsTheyCame(t *testing.T) {
 	lines := make(chan string, 1)
 	e := listen(t, func(_ int64, conn net.Conn, reader *bufio.Reader) {
@@ -172,39 +172,38 @@
 			}
 		}
 		lines <- all.String()
-		answer(conn, "1", "")
+		writeAnswer(conn, "1", "")
 	})
-	_, err := fetch(t, newClient(), e, get("1"))
+	_, err := fetch(t, newClient(), e, newRequest("1"))
 	require.NoError(t, err)
 	require.Equal(t, "GET /a//b?x=%2F HTTP/1.1\r\nHost: h\r\n\r\n", <-lines)
 }
 
-// Symptom: a client gets another's answer. Sequence: an endpoint sends an answer
-// twice, the second one when the connection is idle, or right where the next
-// answer is due.
+// Guards against a client that gets the answer to another request: an endpoint sends an answer twice,
+// the second one while the connection is idle, or in place of the next answer.
 func TestAnswersOfOthersAreNeverHandedOn(t *testing.T) {
-	// An extra answer is there before the next request only if that one waits for it.
+	// The next request waits for the extra answer, so that it arrives first.
 	extra := make(chan struct{}, 2)
 	tests := map[string]struct {
 		serve    func(number int64, conn net.Conn, reader *bufio.Reader)
 		waits    bool
 		accepted int64
 	}{
-		"while the connection is idle": {accepted: 2, waits: true, serve: func(_ int64, conn net.Conn, reader *bufio.Reader) {
-			for request := take(reader); request != nil; request = take(reader) {
-				answer(conn, request.Header.Get("Id"), "whole")
-				answer(conn, request.Header.Get("Id"), "again")
+		"while the connection is unused": {accepted: 2, waits: true, serve: func(_ int64, conn net.Conn, reader *bufio.Reader) {
+			for request := readRequest(reader); request != nil; request = readRequest(reader) {
+				writeAnswer(conn, request.Header.Get("Id"), "whole")
+				writeAnswer(conn, request.Header.Get("Id"), "again")
 				extra <- struct{}{}
 			}
 		}},
-		"where the next one is due": {accepted: 1, serve: func(_ int64, conn net.Conn, reader *bufio.Reader) {
+		"before the next answer": {accepted: 1, serve: func(_ int64, conn net.Conn, reader *bufio.Reader) {
 			last := ""
-			for request := take(reader); request != nil; request = take(reader) {
+			for request := readRequest(reader); request != nil; request = readRequest(reader) {
 				if last != "" {
-					answer(conn, last, "late")
+					writeAnswer(conn, last, "late")
 				}
 				last = request.Header.Get("Id")
-				answer(conn, last, "whole")
+				writeAnswer(conn, last, "whole")
 			}
 		}},
 	}
@@ -213,7 +212,7 @@
 			e := listen(t, test.serve)
 			c := newClient()
 			for _, id := range []string{"first", "second"} {
-				body, err := fetch(t, c, e, withID(get(id)))
+				body, err := fetch(t, c, e, withID(newRequest(id)))
 				require.NoError(t, err)
 				require.Equal(t, "whole", body)
 				if test.waits {
@@ -223,27 +222,27 @@
 			require.Equal(t, test.accepted, e.accepts.Load())
 		})
 	}
-	t.Run("instead of the own one", func(t *testing.T) {
+	t.Run("instead of the expected answer", func(t *testing.T) {
 		e := listen(t, func(_ int64, conn net.Conn, reader *bufio.Reader) {
-			take(reader)
+			readRequest(reader)
 			for range maxForeign + 1 {
-				answer(conn, "another", "late")
+				writeAnswer(conn, "another", "late")
 			}
 		})
-		_, err := fetch(t, newClient(), e, get("1"))
+		_, err := fetch(t, newClient(), e, newRequest("1"))
 		require.ErrorIs(t, err, ErrForeign)
 	})
 }
 
-// Symptom: an endpoint reads the head of one request as the body of another.
-// Sequence: it answers before it has read a long body and keeps the connection.
+// Guards against an endpoint that reads the head of a request as the body of another: it answers before
+// it has read a long body, and keeps the connection open.
 func TestEarlyAnswerEndsItsConnection(t *testing.T) {
 	e := listen(t, func(_ int64, conn net.Conn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
-		answer(conn, "long", "early")
-		time.Sleep(50 * time.Millisecond) // it reads on later, or never
+		writeAnswer(conn, "long", "early")
+		time.Sleep(50 * time.Millisecond) // it may read the rest of the body later or never
 	})
 	c := newClient()
 	out := &Outgoing{ID: "long", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: make([]byte, 16<<20)}
@@ -266,11 +265,11 @@
 				return
 			}
 			lengths <- n
-			answer(conn, "1", "whole")
+			writeAnswer(conn, "1", "whole")
 		}
 	})
 	c := newClient()
-	for _, length := range []int{inlineBody, 1 << 20} {
+	for _, length := range []int{maxInlineBody, 1 << 20} {
 		out := &Outgoing{ID: "1", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: make([]byte, length)}
 		_, err := fetch(t, c, e, out)
 		require.NoError(t, err)
@@ -279,20 +278,20 @@
 	require.EqualValues(t, 1, e.accepts.Load())
 }
 
-// An answer without a length ends with its connection. One that was reset is not
-// whole, and must not look so.
+// The end of the connection is the end of an answer without a length. An answer whose connection was
+// reset is incomplete, and must not be taken for complete.
 func TestEndOfAnswerWithoutLength(t *testing.T) {
 	tests := map[string]struct {
-		reset bool
-		whole bool
+		reset    bool
+		complete bool
 	}{
-		"closed": {whole: true},
+		"closed": {complete: true},
 		"reset":  {reset: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			e := listen(t, func(_ int64, conn net.Conn, reader *bufio.Reader) {
-				take(reader)
+				readRequest(reader)
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\npart")
 				if test.reset {
 					time.Sleep(20 * time.Millisecond) // the part arrives first
@@ -300,31 +299,31 @@
 				}
 			})
 			c := newClient()
-			x, err := c.Do(t.Context(), e.address, get("1"), nil)
+			x, err := c.Do(t.Context(), e.address, newRequest("1"), nil)
 			require.NoError(t, err)
 			body, err := io.ReadAll(x.Body)
 			require.Equal(t, "part", string(body))
-			require.Equal(t, test.whole, err == nil)
-			require.Equal(t, test.whole, x.Whole())
+			require.Equal(t, test.complete, err == nil)
+			require.Equal(t, test.complete, x.Complete())
 			x.Close()
 			require.Zero(t, c.openTo(e.address))
 		})
 	}
 }
 
-// Symptom: endpoints work on for clients that have left. Cause: the connection
-// was kept until the answer came.
+// Guards against endpoints that keep working for clients that have disconnected, because the connection
+// is kept until the answer arrives.
 func TestEndOfContextClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	e := listen(t, func(_ int64, _ net.Conn, reader *bufio.Reader) {
-		take(reader)
+		readRequest(reader)
 		if _, err := reader.ReadByte(); err != nil {
 			close(closed)
 		}
 	})
 	c := newClient()
 	ctx, cancel := context.WithCancel(t.Context())
-	_, err := c.Do(ctx, e.address, get("1"), func() bool {
+	_, err := c.Do(ctx, e.address, newRequest("1"), func() bool {
 		time.AfterFunc(20*time.Millisecond, cancel)
 		return true
 	})
@@ -333,29 +332,28 @@
 	require.Zero(t, c.openTo(e.address))
 }
 
-func TestUnsentIsKnown(t *testing.T) {
+func TestUnsentRequestsAreReported(t *testing.T) {
 	e := listen(t, echo)
 	c := newClient()
-	_, err := c.Do(t.Context(), e.address, get("1"), func() bool { return false })
+	_, err := c.Do(t.Context(), e.address, newRequest("1"), func() bool { return false })
 	require.ErrorIs(t, err, ErrUnsent)
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	free.Close()
-	_, err = c.Do(t.Context(), netip.MustParseAddrPort(free.Addr().String()), get("1"), func() bool {
-		t.Error("nothing may be sent without a connection")
+	_, err = c.Do(t.Context(), netip.MustParseAddrPort(free.Addr().String()), newRequest("1"), func() bool {
+		t.Error("sent must not be called without a connection")
 		return true
 	})
 	require.ErrorIs(t, err, ErrUnsent)
 }
 
-// Symptom: a request is lost on a connection that its endpoint has closed.
-// Sequence: the endpoint closes it when idle; the request is written before the
-// end is noticed.
+// Guards against a request that is lost on an idle connection that its endpoint has closed, because the
+// request is written before the close is noticed.
 func TestClosedConnectionsAreNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	e := listen(t, func(number int64, conn net.Conn, reader *bufio.Reader) {
-		request := take(reader)
-		answer(conn, request.Header.Get("Id"), "whole")
+		request := readRequest(reader)
+		writeAnswer(conn, request.Header.Get("Id"), "whole")
 		if number == 1 {
 			conn.Close()
 			closed <- struct{}{}
@@ -364,26 +362,25 @@
 		echo(number, conn, reader)
 	})
 	c := newClient()
-	_, err := fetch(t, c, e, withID(get("first")))
+	_, err := fetch(t, c, e, withID(newRequest("first")))
 	require.NoError(t, err)
 	<-closed
 	require.Eventually(t, func() bool {
 		cn := c.takeIdle(e.address)
-		defer c.giveBack(cn)
-		return !quiet(cn.Conn)
+		defer c.putIdle(cn)
+		return !isIdle(cn.Conn)
 	}, 5*time.Second, time.Millisecond)
-	_, err = fetch(t, c, e, withID(get("second")))
+	_, err = fetch(t, c, e, withID(newRequest("second")))
 	require.NoError(t, err)
 	require.EqualValues(t, 2, e.accepts.Load())
 }
 
-// Symptom: requests to an endpoint that has just started again break or hang.
-// Sequence: it crashed behind a network partition, so that its connections look open.
-// Cause: they were kept.
+// Guards against requests that break or hang at an endpoint that has just restarted: it crashed behind a
+// network partition, so that its kept connections seem open.
 func TestForgottenConnectionsAreNotUsed(t *testing.T) {
 	e := listen(t, func(_ int64, conn net.Conn, reader *bufio.Reader) {
-		for request := take(reader); request != nil; request = take(reader) {
-			answer(conn, request.URL.Path, "body")
+		for request := readRequest(reader); request != nil; request = readRequest(reader) {
+			writeAnswer(conn, request.URL.Path, "body")
 		}
 	})
 	c := newClient()
@@ -408,26 +405,26 @@
 		header string
 		keep   time.Duration
 	}{
-		"not said":       {keep: DefaultIdle},
-		"seconds":        {header: "timeout=5", keep: 5*time.Second - idleMargin},
-		"with a maximum": {header: "max=100, Timeout=2", keep: 2*time.Second - idleMargin},
-		"nothing":        {header: "timeout=0", keep: -idleMargin},
-		"not to be read": {header: "timeout=soon", keep: 0},
-		"something else": {header: "max=3", keep: DefaultIdle},
+		"no header":       {keep: DefaultIdle},
+		"seconds":         {header: "timeout=5", keep: 5*time.Second - idleMargin},
+		"with a maximum":  {header: "max=100, Timeout=2", keep: 2*time.Second - idleMargin},
+		"nothing":         {header: "timeout=0", keep: -idleMargin},
+		"unreadable time": {header: "timeout=soon", keep: 0},
+		"only a maximum":  {header: "max=3", keep: DefaultIdle},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			header := http.Header{}
 			header.Set("Keep-Alive", test.header)
-			require.Equal(t, test.keep, keepFor(header))
+			require.Equal(t, test.keep, idleTimeout(header))
 		})
 	}
-	t.Run("and is kept", func(t *testing.T) {
+	t.Run("and is applied", func(t *testing.T) {
 		e := listen(t, echo)
 		clock := clockwork.NewFakeClock()
 		c := newClient()
 		c.Clock = clock
-		_, err := fetch(t, c, e, withID(get("1")))
+		_, err := fetch(t, c, e, withID(newRequest("1")))
 		require.NoError(t, err)
 		clock.Advance(DefaultIdle - 1)
 		c.Sweep()
@@ -441,13 +438,13 @@
 func TestEnded(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
-	require.False(t, Ended(far), "no TCP connection")
-	e := listen(t, func(_ int64, _ net.Conn, reader *bufio.Reader) { take(reader) })
+	require.False(t, Ended(far), "a pipe has no socket")
+	e := listen(t, func(_ int64, _ net.Conn, reader *bufio.Reader) { readRequest(reader) })
 	conn, err := net.Dial("tcp", e.address.String())
 	require.NoError(t, err)
 	defer conn.Close()
 	require.False(t, Ended(conn))
-	// A reader that waits must not keep the look waiting.
+	// A blocked reader must not block the check.
 	read := make(chan error, 1)
 	go func() {
 		_, err := conn.Read(make([]byte, 1))
@@ -459,8 +456,8 @@
 	require.Eventually(t, func() bool { return Ended(conn) }, 5*time.Second, time.Millisecond)
 }
 
-// FuzzAnswer feeds any bytes as an answer: an exchange ends, and what it hands on
-// belongs to the request.
+// FuzzAnswer feeds arbitrary bytes as an answer: the exchange must end, and an answer that it returns
+// must belong to the request.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nId: 2\r\n\r\n"))
@@ -469,18 +466,18 @@
 	f.Fuzz(func(t *testing.T, bytes []byte) {
 		near, far := net.Pipe()
 		c := newClient()
-		x := &Exchange{client: c, conn: &conn{Conn: near, reader: bufio.NewReader(near)}, release: func() bool { return true }}
+		x := &Exchange{client: c, conn: &conn{Conn: near, reader: bufio.NewReader(near)}, stopCancel: func() bool { return true }}
 		go func() {
-			far.Write(bytes) //nolint:errcheck // the reader may have seen enough
+			far.Write(bytes) //nolint:errcheck // the reader may have closed its end
 			far.Close()
 		}()
 		defer near.Close()
-		if err := x.receive(get("1")); err != nil {
+		if err := x.receive(newRequest("1")); err != nil {
 			return
 		}
 		require.Equal(t, "1", x.Header.Get("Id"))
 		if _, err := io.Copy(io.Discard, x.Body); err == nil {
-			require.True(t, x.Whole())
+			require.True(t, x.Complete())
 		}
 	})
 }
--- a/router/internal/director/bounds.go
+++ b/router/internal/director/bounds.go
@@ -1,45 +1,47 @@
 package director
 
 const (
-	// idlePerMB and connectionsPerMB bound clients' connections by memory: one with
-	// its buffers and its goroutine takes some 25 KB. From the first on connections are
-	// closed behind their answers, beyond the second new ones are closed unread.
+	// idlePerMB and connectionsPerMB bound the number of client connections by the instance's memory:
+	// a connection with its buffers and its goroutine takes about 25 KB. Above idlePerMB connections
+	// are closed after their answers; above connectionsPerMB new connections are closed unread.
 	idlePerMB        = 4
 	connectionsPerMB = 10
-	// runningPerCore bounds the requests under way by processor time: with many more a small
-	// instance is late by seconds in a flood.
+	// runningPerCore bounds the requests in flight by processor time: with many more, a small instance
+	// is late by seconds in a flood.
 	runningPerCore = 800
-	// startsPerCore is how many requests a second a core may start until its lateness is
-	// known, and leastStartsPerCore however late it is.
-	startsPerCore      = 800
-	leastStartsPerCore = 100
-	// refusalsPerCore is how many requests a core refuses in a second: more new connections are
-	// not read while requests are refused, and leastEntriesPerCore are however late the process is.
-	refusalsPerCore     = 20_000
-	leastEntriesPerCore = 2000
-	// waitingPerCore bounds the connections of clients whose requests have not been read
-	// yet while the process lags, by processor time: they are refused within some 20 ms.
+	// startsPerCore is the number of requests per second that a core may start until its lateness is
+	// known; minStartsPerCore is the lower bound, however late the process is.
+	startsPerCore    = 800
+	minStartsPerCore = 100
+	// refusalsPerCore is the number of requests that a core refuses per second. While requests are
+	// refused, no more new connections than that are read; minEntriesPerCore is the lower bound,
+	// however late the process is.
+	refusalsPerCore   = 20_000
+	minEntriesPerCore = 2000
+	// waitingPerCore bounds, by processor time, the client connections whose requests have not been
+	// read yet while the process lags: they are refused within about 20 ms.
 	waitingPerCore = 300
-	// leastRunning is the bound of the smallest instance.
-	leastRunning = 32
-	// descriptorShare is the part of the descriptors that clients may use. The rest
-	// is for endpoints, keepers and files.
+	// minRunning is the lower bound of maxRunning, for the smallest instance.
+	minRunning = 32
+	// descriptorShare is the share of the file descriptors that clients may use. The rest is for
+	// endpoints, keepers and files.
 	descriptorShare = 0.6
-	// leastWaiting is the bound of mostWaiting for the smallest instance.
-	leastWaiting = 16
+	// minWaiting is the lower bound of maxWaiting, for the smallest instance.
+	minWaiting = 16
 )
 
-// room tells whether one more client may connect, and counts it.
-func (d *Director) room() bool {
-	return d.holds() && (!d.passer.ScreeningActive() || d.enters())
+// admitConnection reports whether one more client may connect. While requests are screened, an
+// admitted connection takes one of the permitted entries.
+func (d *Director) admitConnection() bool {
+	return d.hasCapacity() && (!d.passer.ScreeningActive() || d.takeEntry())
 }
 
-// holds tells whether one more client may be connected. While the process lags
-// only so many connections may be busy as requests may be under way: each that is taken
-// beyond that makes all others later, until nobody is served in time.
-func (d *Director) holds() bool {
-	open, busy := d.connected.counts()
-	if d.pacer.Lags() && busy-d.passer.Running() >= d.mostWaiting() {
+// hasCapacity reports whether one more client connection fits. While the process lags, the number
+// of busy connections beyond the running requests is limited to maxWaiting: each further connection
+// would delay all others, until no request is served in time.
+func (d *Director) hasCapacity() bool {
+	open, busy := d.clientConnections.counts()
+	if d.pacer.Lags() && busy-d.passer.Running() >= d.maxWaiting() {
 		return false
 	}
 	byMemory := d.settings.Memory * connectionsPerMB
@@ -47,8 +49,9 @@
 	return open < min(byMemory, byDescriptors)
 }
 
-// enters tells whether one more connection may be read while requests are refused, and takes it.
-func (d *Director) enters() bool {
+// takeEntry reports whether one more connection may be read while requests are refused, and counts
+// it if so.
+func (d *Director) takeEntry() bool {
 	now := d.clock.Now()
 	if !d.pacer.Entries.Available(now) {
 		return false
@@ -57,18 +60,19 @@
 	return true
 }
 
-// crowded tells whether connections are closed behind their answers.
-func (d *Director) crowded() bool {
-	open, _ := d.connected.counts()
+// disablesKeepAlive reports whether client connections are closed after their answers.
+func (d *Director) disablesKeepAlive() bool {
+	open, _ := d.clientConnections.counts()
 	return open > d.settings.Memory*idlePerMB
 }
 
-// mostRunning is how many requests may be under way.
-func (d *Director) mostRunning() int {
-	return max(int(d.settings.Processors*runningPerCore), leastRunning)
+// maxRunning returns the maximum number of requests in flight.
+func (d *Director) maxRunning() int {
+	return max(int(d.settings.Processors*runningPerCore), minRunning)
 }
 
-// mostWaiting is how many requests may wait to be read while the process lags.
-func (d *Director) mostWaiting() int {
-	return max(int(d.settings.Processors*waitingPerCore), leastWaiting)
+// maxWaiting returns the maximum number of connections whose requests may wait to be read while the
+// process lags.
+func (d *Director) maxWaiting() int {
+	return max(int(d.settings.Processors*waitingPerCore), minWaiting)
 }
--- a/router/internal/director/connections.go
+++ b/router/internal/director/connections.go
@@ -6,17 +6,17 @@
 	"sync"
 )
 
-// connections counts clients' connections, and those of them on which nothing is
-// under way. Its zero value is empty.
+// connections counts client connections, and those of them that are idle. Its zero value is ready
+// to use.
 type connections struct {
-	mutex sync.Mutex
-	open  int
-	made  uint64 // since the start
-	idle  map[net.Conn]struct{}
+	mutex    sync.Mutex
+	open     int
+	accepted uint64 // total since the start
+	idle     map[net.Conn]struct{}
 }
 
-// change takes a connection's new state, as http.Server tells it.
-func (c *connections) change(conn net.Conn, state http.ConnState) {
+// setState records the new state of a connection, as http.Server.ConnState reports it.
+func (c *connections) setState(conn net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.idle == nil {
@@ -26,7 +26,7 @@
 	switch state {
 	case http.StateNew:
 		c.open++
-		c.made++
+		c.accepted++
 	case http.StateIdle:
 		c.idle[conn] = struct{}{}
 	case http.StateClosed, http.StateHijacked:
@@ -34,17 +34,17 @@
 	}
 }
 
-// counts returns how many connections are open, and on how many of them something
-// is under way or about to be.
+// counts returns the number of open connections, and how many of them are busy: with a request in
+// flight, or new and without a request yet.
 func (c *connections) counts() (open, busy int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.open, c.open - len(c.idle)
 }
 
-// total returns how many connections there have been.
+// total returns the number of connections accepted since the start.
 func (c *connections) total() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.made
+	return c.accepted
 }
--- a/router/internal/director/connections_test.go
+++ b/router/internal/director/connections_test.go
@@ -31,59 +31,58 @@
 		{one, http.StateClosed, 1, 0},
 		{other, http.StateClosed, 0, 0},
 	} {
-		c.change(step.conn, step.state)
+		c.setState(step.conn, step.state)
 		open, busy := c.counts()
 		require.Equal(t, step.open, open)
 		require.Equal(t, step.busy, busy)
 	}
 }
 
-// Symptom: a router that is late by seconds stays so for as long as a flood lasts.
-// Sequence: it goes on taking connections up to what its memory bears, and each one
-// makes all others later. Cause: only the number of connections was bounded.
+// Guards against a router that stays seconds late for as long as a flood lasts: if only memory
+// bounds the number of connections, each further one delays all others.
 func TestLaggingRouterTakesNoMoreThanItCanServe(t *testing.T) {
-	d := New(sound(t), "settings.json", zerolog.Nop(), clockwork.NewFakeClock())
-	conns := make([]net.Conn, 0, d.mostWaiting()+1)
+	d := New(validSettings(t), "settings.json", zerolog.Nop(), clockwork.NewFakeClock())
+	conns := make([]net.Conn, 0, d.maxWaiting()+1)
 	add := func() {
 		conn, _ := net.Pipe()
-		d.connected.change(conn, http.StateNew)
+		d.clientConnections.setState(conn, http.StateNew)
 		conns = append(conns, conn)
 	}
-	require.Less(t, d.mostWaiting(), d.mostRunning())
-	for range d.mostWaiting() {
+	require.Less(t, d.maxWaiting(), d.maxRunning())
+	for range d.maxWaiting() {
 		add()
 	}
-	require.True(t, d.room())
+	require.True(t, d.admitConnection())
 	for range 10 {
 		d.pacer.Observe(time.Second)
 	}
-	require.False(t, d.room())
-	d.connected.change(conns[0], http.StateIdle)
-	require.True(t, d.room(), "idle connections cost no time")
+	require.False(t, d.admitConnection())
+	d.clientConnections.setState(conns[0], http.StateIdle)
+	require.True(t, d.admitConnection(), "idle connections cost no time")
 	for range 40 {
 		d.pacer.Observe(0)
 	}
 	add()
 	add()
-	require.True(t, d.room())
+	require.True(t, d.admitConnection())
 	for range d.settings.Memory * connectionsPerMB {
 		add()
 	}
-	require.False(t, d.room(), "memory bounds them all")
+	require.False(t, d.admitConnection(), "memory bounds the number of connections, also of a router on time")
 }
 
-// Guards against a flooded router that spends its time on polls: what it serves is bounded by
-// that time.
-func TestLateRouterAsksLessOften(t *testing.T) {
+// Guards against a flooded router that spends its processor time on polls, at the expense of the
+// requests that it serves.
+func TestLateRouterPollsLessOften(t *testing.T) {
 	d := &Director{}
-	primary, _ := d.waits(60, 60, 6)
+	primary, _ := d.pollWaits(60, 60, 6)
 	require.Equal(t, subscriber.LeastWait, primary)
 	for range 20 {
 		d.pacer.Observe(2 * pacer.OnTimeThreshold)
 	}
-	primary, others := d.waits(60, 60, 6)
+	primary, others := d.pollWaits(60, 60, 6)
 	require.Equal(t, subscriber.LateWait, primary)
 	require.Equal(t, subscriber.BriefWaitFor(60, 6), others)
-	primary, _ = d.waits(60, 200, 5)
-	require.Equal(t, subscriber.WaitFor(200, 5), primary, "it asks no more often than the others")
+	primary, _ = d.pollWaits(60, 200, 5)
+	require.Equal(t, subscriber.WaitFor(200, 5), primary, "a long wait in a large fleet is not shortened by lateness")
 }
--- a/router/internal/director/director.go
+++ b/router/internal/director/director.go
@@ -40,66 +40,64 @@
 )
 
 const (
-	// sweepPause is how often idle connections are looked through.
-	sweepPause = 500 * time.Millisecond
-	// gatherShare is the part of the time that an event may be on its way for which
-	// it may be held back. The rest is for the network and a late timer.
-	gatherShare = 0.4
-	// leaveTime is how long requests are still taken after a planned stop has
-	// begun. New connections come for up to two seconds after the answer "not
-	// ready", because the platform asks each second and believes two answers. A
-	// request that is taken later than three seconds after the begin may be too
-	// long for what is left of the grace time, and would be cut.
-	leaveTime = 2600 * time.Millisecond
-	// stopMargin is kept at the end of the grace time, for the process's own end.
+	// sweepInterval is the interval at which idle connections are swept and load is sampled.
+	sweepInterval = 500 * time.Millisecond
+	// coalesceShare is the share of an event's permitted time in the router for which the event may be
+	// held back to be sent with others. The rest is for the network and late timers.
+	coalesceShare = 0.4
+	// drainTime is how long requests are still accepted after a planned stop has begun. New connections
+	// arrive for up to two seconds after the answer "not ready", because the platform probes each second
+	// and acts on the second such answer. A request accepted more than three seconds after the stop
+	// began may take longer than the rest of the grace time, and would be cut.
+	drainTime = 2600 * time.Millisecond
+	// stopMargin is reserved at the end of the grace time for the process's own exit.
 	stopMargin = 500 * time.Millisecond
-	// minGrace is the shortest grace time in which a planned stop fits.
-	minGrace = leaveTime + 2*stopMargin
-	// screenedMost bounds the connections whose first request is waited for while
-	// requests are refused before the server takes them, 16 KB each while it is read.
-	screenedMost = 512
-	// headerTimeout and idleTimeout bound clients' connections. Clients use a
-	// connection again for up to four fifths of the idle time that the
-	// configuration names, which is seconds.
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 3 * time.Minute
-	maxHeader     = 64 << 10
+	// minGrace is the shortest grace time in which a planned stop completes.
+	minGrace = drainTime + 2*stopMargin
+	// maxScreened bounds the connections whose first request is awaited while requests are refused
+	// before the HTTP server accepts them; each takes a buffer of 16 KB while it is read.
+	maxScreened = 512
+	// headerTimeout and idleTimeout bound client connections. Clients reuse a connection for up to four
+	// fifths of the idle time in the configuration, which is seconds.
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 3 * time.Minute
+	maxHeaderBytes = 64 << 10
 )
 
-// Director is one router.
+// Director is a router on the platform's own interface.
 type Director struct {
 	settings Settings
 	path     string
 	log      zerolog.Logger
 	clock    clockwork.Clock
 
-	balancer *balancer.Balancer
-	budget   *budgeter.Budgeter
-	shares   *apportioner.Apportioner
-	client   *forwarder.Client
-	reader   *newsreader.Reader
-	streams  *recaller.Recaller
-	passer   *passer.Passer
-	news     *subscriber.Subscriber
+	balancer   *balancer.Balancer
+	budget     *budgeter.Budgeter
+	shares     *apportioner.Apportioner
+	client     *forwarder.Client
+	reader     *newsreader.Reader
+	streams    *recaller.Recaller
+	passer     *passer.Passer
+	subscriber *subscriber.Subscriber
 
-	connected connections
-	screened  atomic.Pointer[screener.Listener] // nil before clients are served
-	pacer     pacer.Pacer
-	rate      rate // of requests
-	pressure  pressure
-	serving   serving
-	shedder   shedder
+	clientConnections connections
+	screened          atomic.Pointer[screener.Listener] // nil until Run has started it
+	pacer             pacer.Pacer
+	rate              rate // requests per second
+	pressure          pressure
+	requestCost       requestCost
+	shedder           shedder
 
-	mutex    sync.Mutex
-	planning map[netip.AddrPort]messenger.Planning
-	control  *http.Client
-	bytes    dialer.Counter
-	stopping chan struct{}
-	registry *prometheus.Registry
+	mutex        sync.Mutex
+	planning     map[netip.AddrPort]messenger.Planning
+	control      *http.Client
+	controlBytes dialer.Counter
+	stopping     chan struct{}
+	registry     *prometheus.Registry
 }
 
-// New returns a router that serves nothing yet. Path is its settings file, which
-// is looked at for changes.
+// New returns a router that does not serve yet. Path is its settings file, which Run watches for
+// changes.
 func New(settings Settings, path string, log zerolog.Logger, clock clockwork.Clock) *Director {
 	d := &Director{
 		settings: settings, path: path, log: log, clock: clock,
@@ -109,38 +107,38 @@
 		planning: make(map[netip.AddrPort]messenger.Planning),
 		stopping: make(chan struct{}), registry: prometheus.NewRegistry(),
 	}
-	d.control = dialer.Client(settings.Secret, &d.bytes)
+	d.control = dialer.Client(settings.Secret, &d.controlBytes)
 	dialect := platform.Dialect{}
 	d.streams = recaller.New(recaller.Options{
-		Name: settings.Name, Keepers: d.answerers, Dial: d.dial, Learn: d.learn, Clock: clock, Log: log,
+		Name: settings.Name, Keepers: d.answeringKeepers, Dial: d.dial, Learn: d.learnEndpoints, Clock: clock, Log: log,
 	})
 	d.reader = newsreader.New(newsreader.Options{
 		Name: settings.Name, Zone: settings.Zone, Dialect: dialect, Clock: clock, Log: log, Dial: d.dial,
-		Endpoints: d.endpoints, Plan: d.plan, Routers: d.routers,
-		Uses: func() map[string]apportioner.Use { return d.shares.Uses(clock.Now()) }, Loads: d.balancer.UnreadTokens, Fleet: d.fleet,
-		Backlog: func() time.Duration { return d.backlog(clock.Now()) },
-		Homes:   d.balancer.SetSampling,
-		Begun:   d.streams.Report, Told: d.streams.Told, Untold: d.streams.Lost,
+		Endpoints: d.updateEndpoints, Plan: d.preparePlan, Routers: d.updateRouterCount,
+		Uses: func() map[string]apportioner.Use { return d.shares.Uses(clock.Now()) }, Loads: d.balancer.UnreadTokens, Fleet: d.updateFleet,
+		Backlog:           func() time.Duration { return d.backlog(clock.Now()) },
+		Sampling:          d.balancer.SetSampling,
+		UnreportedStreams: d.streams.Report, ReportAnswered: d.streams.ReportAnswered, ReportLost: d.streams.ReportLost,
 		Evacuated: func(zones []string) { d.balancer.SetEvacuatedZones(clock.Now(), zones) },
-		Rations: func(asked time.Time, keeper netip.AddrPort, rations []balancer.Ration) {
-			d.balancer.TakeLeases(clock.Now(), asked, keeper, rations)
+		Rations: func(polledAt time.Time, keeper netip.AddrPort, rations []balancer.Ration) {
+			d.balancer.TakeLeases(clock.Now(), polledAt, keeper, rations)
 		},
 	})
-	d.news = subscriber.New(subscriber.Options{
+	d.subscriber = subscriber.New(subscriber.Options{
 		Host: d.reader, Clock: clock, Log: log, Dial: d.dial, Wait: subscriber.LeastWait,
 		Primary: &subscriber.Primary{Name: settings.Name, Zone: settings.Zone},
 	})
-	d.pacer.Starts = &pacer.Rate{Min: settings.Processors * leastStartsPerCore, Initial: settings.Processors * startsPerCore}
-	d.pacer.Entries = &pacer.Rate{Min: settings.Processors * leastEntriesPerCore, Initial: settings.Processors * refusalsPerCore}
+	d.pacer.Starts = &pacer.Rate{Min: settings.Processors * minStartsPerCore, Initial: settings.Processors * startsPerCore}
+	d.pacer.Entries = &pacer.Rate{Min: settings.Processors * minEntriesPerCore, Initial: settings.Processors * refusalsPerCore}
 	d.passer = passer.New(passer.Options{
 		Dialect: dialect, FleetState: d.reader, Streams: d.streams, Balancer: d.balancer, Budget: d.budget, Shares: d.shares,
 		Client: d.client, Clock: clock, Log: log, Metrics: passer.NewMetrics(d.registry),
-		Crowded:       d.crowded,
-		Diverting:     d.shedder.away.Load,
-		CoalesceDelay: time.Duration(gatherShare * float64(settings.Pass.Duration)),
-		// The bound on what is under way comes before the lag: a process lags only
-		// when it has taken too much already, and stays late for as long as that takes.
-		MaxRequests:       d.mostRunning(),
+		Crowded:       d.disablesKeepAlive,
+		Diverting:     d.shedder.diverting.Load,
+		CoalesceDelay: time.Duration(coalesceShare * float64(settings.Pass.Duration)),
+		// MaxRequests limits the load before the process lags: lag arises only once too many requests
+		// have been accepted, and lasts until they are done.
+		MaxRequests:       d.maxRunning(),
 		MaxTotalBodyBytes: passer.MaxTotalBodyBytes(settings.Memory),
 		CPUStarved:        d.pacer.Lags,
 		StartRate:         d.pacer.Starts,
@@ -149,7 +147,7 @@
 	return d
 }
 
-// dial returns the client of a keeper.
+// dial returns the cached client for a keeper, and creates it on first use.
 func (d *Director) dial(address netip.AddrPort) messenger.Planning {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -161,28 +159,29 @@
 	return known
 }
 
-// answerers returns the keepers that answer. None does before the news are followed.
-func (d *Director) answerers() []netip.AddrPort {
-	return d.news.Answerers()
+// answeringKeepers returns the keepers that answer; there are none before polling has begun.
+func (d *Director) answeringKeepers() []netip.AddrPort {
+	return d.subscriber.Answerers()
 }
 
-// learn takes endpoints that a keeper has named besides its news.
-func (d *Director) learn(keeper netip.AddrPort, listings []*messenger.Listing) {
+// learnEndpoints adds endpoints that a keeper has named outside the regular updates.
+func (d *Director) learnEndpoints(keeper netip.AddrPort, listings []*messenger.Listing) {
 	d.reader.Learn(keeper, listings)
 }
 
-// endpoints takes news of endpoints.
-func (d *Director) endpoints(listings []lister.Listing) {
+// updateEndpoints applies changes of endpoints to the balancer, and closes the idle connections to
+// endpoints that have restarted.
+func (d *Director) updateEndpoints(listings []lister.Listing) {
 	for _, listing := range listings {
 		if d.balancer.Update(listing) {
 			d.client.Forget(listing.Address)
-			d.log.Info().Str("endpoint", listing.ID).Time("started", listing.Started).Msg("endpoint has started again")
+			d.log.Info().Str("endpoint", listing.ID).Time("started", listing.Started).Msg("endpoint has restarted; its idle connections are closed")
 		}
 	}
 }
 
-// plan prepares for a configuration that is about to be in force.
-func (d *Director) plan(table *resolver.Table) {
+// preparePlan applies limits of a configuration that is about to come into force.
+func (d *Director) preparePlan(table *resolver.Table) {
 	d.shares.SetCapacity(table.Limits().Rate)
 	for name, service := range table.Services() {
 		d.balancer.SetColdLimit(name, service.Cold)
@@ -192,18 +191,16 @@
 	}
 }
 
-// fleet takes what the whole fleet asks for, what the other routers have at the
-// endpoints, and how long the engines still read as the median router believes. A router
-// that is late takes engines for slow, and would hold its workspace to less than the others
-// give.
-func (d *Director) fleet(fleet newsreader.Fleet) {
+// updateFleet applies the fleet's total demand, the load that other routers have at the endpoints,
+// and the engines' backlog as the median router estimates it. The median is used because a late
+// router overestimates the backlog, and would limit its workspaces to less than other routers do.
+func (d *Director) updateFleet(fleet newsreader.Fleet) {
 	now := d.clock.Now()
 	d.balancer.SetOtherLoads(now, fleet.Loads)
 	d.shares.SetFleetUse(now, fleet.Uses, fleet.Backlog)
 }
 
-// backlog returns how long the engines still read what they have been sent, of the
-// service that has most to do.
+// backlog returns the estimated prefill backlog of the service that has the longest.
 func (d *Director) backlog(now time.Time) time.Duration {
 	table := d.reader.Table()
 	if table == nil {
@@ -218,19 +215,19 @@
 	return longest
 }
 
-// routers takes how many routers the fleet has.
-func (d *Director) routers(count int) {
+// updateRouterCount applies the number of routers in the fleet, and adapts the poll interval.
+func (d *Director) updateRouterCount(count int) {
 	d.shedder.routers.Store(int64(count))
 	d.budget.SetRouters(count)
 	d.shares.SetRouterCount(count)
 	d.balancer.SetRouterCount(count)
-	rate := d.rate.take(d.clock.Now(), d.passer.Received())
-	d.news.Pace(d.waits(rate, count, d.news.Keepers()))
+	rate := d.rate.update(d.clock.Now(), d.passer.Received())
+	d.subscriber.Pace(d.pollWaits(rate, count, d.subscriber.Keepers()))
 }
 
-// waits returns how long keepers are to hold this router's polls if it has so many requests a
-// second, in a fleet of so many routers and keepers.
-func (d *Director) waits(requests float64, routers, keepers int) (primary, others time.Duration) {
+// pollWaits returns how long keepers are to hold this router's polls, for its requests per second and
+// the number of routers and keepers: the primary keeper, which gets full reports, and the others.
+func (d *Director) pollWaits(requests float64, routers, keepers int) (primary, others time.Duration) {
 	primary, others = subscriber.ReportWaitFor(requests, routers, keepers), subscriber.BriefWaitFor(routers, keepers)
 	if d.pacer.Lateness() > pacer.OnTimeThreshold {
 		primary = max(primary, subscriber.LateWait)
@@ -238,56 +235,56 @@
 	return primary, others
 }
 
-// ready tells whether new clients may come.
+// ready reports whether the router accepts new clients.
 func (d *Director) ready() bool {
 	select {
 	case <-d.stopping:
 		return false
 	default:
-		return d.reader.Table() != nil && !d.shedder.away.Load()
+		return d.reader.Table() != nil && !d.shedder.diverting.Load()
 	}
 }
 
-// Run serves until the context ends and then stops as planned.
+// Run serves until the context ends, then performs a planned stop.
 func (d *Director) Run(ctx context.Context) error {
 	starter.LimitMemory(d.settings.Memory)
-	// Connections are bounded by their idle time. Keep-alive probes would cost four system
-	// calls of each, a quarter of what it takes to refuse a request on one.
+	// Connections are bounded by their idle time. Keep-alive probes would cost four system calls per
+	// connection, a quarter of the cost of refusing a request on it.
 	accepts := net.ListenConfig{KeepAlive: -1}
 	clients, err := accepts.Listen(ctx, "tcp", d.settings.Listen.String())
 	if err != nil {
 		return merry.Errorf("listen address: %w; set \"listen\" to a free address of this instance", err)
 	}
 	defer clients.Close()
-	asked, err := net.Listen("tcp", d.settings.Ready.String())
+	readiness, err := net.Listen("tcp", d.settings.Ready.String())
 	if err != nil {
 		return merry.Errorf("ready address: %w; set \"ready\" to a free address of this instance", err)
 	}
-	defer asked.Close()
-	watched, err := net.Listen("tcp", d.settings.Metrics.String())
+	defer readiness.Close()
+	scraped, err := net.Listen("tcp", d.settings.Metrics.String())
 	if err != nil {
 		return merry.Errorf("metrics address: %w; set \"metrics\" to a free address of this instance", err)
 	}
-	defer watched.Close()
+	defer scraped.Close()
 	front := &http.Server{
-		ConnContext: framer.WithConn, ConnState: d.connected.change, ErrorLog: stdlog.New(d.log, "", 0),
-		Handler: d.passer, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		ConnContext: framer.WithConn, ConnState: d.clientConnections.setState, ErrorLog: stdlog.New(d.log, "", 0),
+		Handler: d.passer, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	ready := &http.Server{Handler: platform.Ready(d.ready), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	metrics := http.NewServeMux()
 	metrics.Handle("GET /metrics", promhttp.HandlerFor(d.registry, promhttp.HandlerOpts{}))
-	figures := &http.Server{Handler: metrics, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	metricsServer := &http.Server{Handler: metrics, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	failures := make(chan error, 3)
-	go func() { failures <- figures.Serve(watched) }()
+	go func() { failures <- metricsServer.Serve(scraped) }()
 	screened := screener.New(clients, screener.Options{
-		Room: d.room, Screens: d.passer.ScreeningActive, Judge: d.passer.Screen, Most: screenedMost, Clock: d.clock, Log: d.log,
+		Admit: d.admitConnection, ScreeningActive: d.passer.ScreeningActive, Judge: d.passer.Screen, MaxWaiting: maxScreened, Clock: d.clock, Log: d.log,
 	})
 	d.screened.Store(screened)
 	go func() { failures <- front.Serve(screened) }()
-	go func() { failures <- ready.Serve(asked) }()
+	go func() { failures <- ready.Serve(readiness) }()
 	background, endBackground := context.WithCancel(context.Background())
 	var group sync.WaitGroup
-	group.Go(func() { d.news.Run(background, d.settings.seeds()...) })
+	group.Go(func() { d.subscriber.Run(background, d.settings.seeds()...) })
 	group.Go(func() { d.sweep(background) })
 	group.Go(func() { d.pacer.Run(background, d.clock) })
 	group.Go(func() { reloader.Watch(background, d.path, d.clock, d.log, d.reload) })
@@ -306,19 +303,20 @@
 	return err
 }
 
-// reload takes what may change while the router runs: the seeds.
+// reload applies the settings that may change while the router runs: the seeds.
 func (d *Director) reload(text []byte) error {
 	var read file
 	if err := loader.Decode(d.path, text, &read); err != nil {
 		return err
 	}
-	d.news.Know(read.Platform.seeds()...)
+	d.subscriber.Know(read.Platform.seeds()...)
 	return nil
 }
 
-// sweep closes connections that have been idle for too long.
+// sweep periodically closes connections to endpoints that have been idle for too long, and updates
+// the start rate, the pressure log and the diversion of new clients.
 func (d *Director) sweep(ctx context.Context) {
-	ticker := d.clock.NewTicker(sweepPause)
+	ticker := d.clock.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -326,15 +324,15 @@
 			return
 		case <-ticker.Chan():
 			d.client.Sweep()
-			d.keepStarts()
-			d.tellPressure()
-			d.shed()
+			d.reserveStarts()
+			d.logPressure()
+			d.updateDiversion()
 		}
 	}
 }
 
-// stop is the planned stop: no new clients, then every request that is under
-// way, then the open connections.
+// stop performs the planned stop: it reports not ready, accepts requests for drainTime longer, and
+// then closes the listener and waits for the requests in flight within the grace time.
 func (d *Director) stop(front *http.Server) {
 	d.log.Info().Int("running", d.passer.Running()).Msg("planned stop begins")
 	close(d.stopping)
@@ -343,9 +341,9 @@
 	defer cancel()
 	select {
 	case <-ctx.Done():
-	case <-d.clock.After(leaveTime):
+	case <-d.clock.After(drainTime):
 	}
 	if err := front.Shutdown(ctx); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		d.log.Warn().Err(err).Int("running", d.passer.Running()).Msg("requests are cut: the time for the stop is over")
+		d.log.Warn().Err(err).Int("running", d.passer.Running()).Msg("requests cut because the grace time for the stop is over")
 	}
 }
--- a/router/internal/director/director_test.go
+++ b/router/internal/director/director_test.go
@@ -21,7 +21,7 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-const patience = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
 func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
@@ -31,7 +31,7 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-func sound(t *testing.T) Settings {
+func validSettings(t *testing.T) Settings {
 	t.Helper()
 	return Settings{
 		Name: "router", Zone: "hall", Listen: freeAddress(t), Ready: freeAddress(t), Metrics: freeAddress(t),
@@ -57,11 +57,11 @@
 		"grace":       func(s *Settings) { s.Grace.Duration = time.Second },
 		"retry":       func(s *Settings) { s.Retry.Window.Duration = 0 },
 	}
-	fine := sound(t)
-	require.Empty(t, fine.Check())
+	valid := validSettings(t)
+	require.Empty(t, valid.Check())
 	for key, spoil := range tests {
 		t.Run(key, func(t *testing.T) {
-			s := fine
+			s := valid
 			spoil(&s)
 			problems := s.Check()
 			require.Len(t, problems, 1)
@@ -71,23 +71,23 @@
 	}
 }
 
-// Symptom: a planned stop cuts requests, or keeps clients coming until the process
-// is killed. Sequence: a router is told to stop while a request is under way; its
-// client has an idle connection besides.
+// Guards against a planned stop that cuts requests, or that lets clients come until the process is
+// killed. The router is stopped while a request is in flight, and its client has an idle connection
+// as well.
 func TestPlannedStopCutsNothing(t *testing.T) {
-	settings := sound(t)
+	settings := validSettings(t)
 	path := filepath.Join(t.TempDir(), "settings.json")
 	require.NoError(t, os.WriteFile(path, []byte("{}"), 0o600))
 	clock := clockwork.NewFakeClock()
 	d := New(settings, path, zerolog.Nop(), clock)
 	plan := `{"version":1,"services":[{"name":"desk"}],"routes":[{"name":"r","host":"h","path_prefix":"/","kind":"non_idempotent","timeout_ms":60000,"service":"desk"}]}`
-	d.planning[netip.MustParseAddrPort("127.0.0.1:1")] = fixed{plan: plan}
+	d.planning[netip.MustParseAddrPort("127.0.0.1:1")] = stubKeeper{plan: plan}
 	d.reader.News(t.Context(), netip.MustParseAddrPort("127.0.0.1:1"), &messenger.FollowResponse{Plan: 1})
-	begun, end := make(chan struct{}), make(chan struct{})
+	started, end := make(chan struct{}), make(chan struct{})
 	endpoint := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Shallotkeel-Response-Stamp", "s")
 		if r.URL.Path == "/slow" {
-			close(begun)
+			close(started)
 			<-end
 		}
 		io.WriteString(w, "whole") //nolint:errcheck // the test sees what arrives
@@ -114,7 +114,7 @@
 		require.NoError(t, err)
 		return response.StatusCode, string(text), response.Close
 	}
-	require.Eventually(t, func() bool { status, _, _ := get(settings.Ready, "/api/ready"); return status == http.StatusOK }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { status, _, _ := get(settings.Ready, "/api/ready"); return status == http.StatusOK }, waitTimeout, time.Millisecond)
 	status, body, closes := get(settings.Listen, "/fast")
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "whole", body)
@@ -127,35 +127,35 @@
 		_, body, _ := get(settings.Listen, "/slow")
 		slow <- body
 	}()
-	<-begun
+	<-started
 	cancel()
 	require.Eventually(t, func() bool {
 		status, _, _ := get(settings.Ready, "/api/ready")
 		return status == http.StatusServiceUnavailable
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	status, body, closes = get(settings.Listen, "/fast")
-	require.Equal(t, http.StatusOK, status, "who still comes is served")
+	require.Equal(t, http.StatusOK, status, "new requests are served while the router drains")
 	require.Equal(t, "whole", body)
-	require.True(t, closes, "and told not to come back")
-	clock.Advance(leaveTime)
-	require.Eventually(t, func() bool { status, _, _ := get(settings.Listen, "/fast"); return status == 0 }, patience, time.Millisecond)
+	require.True(t, closes, "and their connections are closed")
+	clock.Advance(drainTime)
+	require.Eventually(t, func() bool { status, _, _ := get(settings.Listen, "/fast"); return status == 0 }, waitTimeout, time.Millisecond)
 	close(end)
 	require.Equal(t, "whole", <-slow)
 	require.NoError(t, <-ended)
 }
 
-// fixed is a keeper that has one configuration.
-type fixed struct {
+// stubKeeper is a keeper that returns a fixed configuration.
+type stubKeeper struct {
 	messenger.Planning
 	plan string
 }
 
-func (f fixed) Fetch(context.Context, *messenger.CurrentRequest) (*messenger.Plan, error) {
+func (f stubKeeper) Fetch(context.Context, *messenger.CurrentRequest) (*messenger.Plan, error) {
 	return &messenger.Plan{Version: 1, Text: []byte(f.plan)}, nil
 }
 
 func TestReloadTakesSeedsAndRefusesTheRest(t *testing.T) {
-	d := New(sound(t), "settings.json", zerolog.Nop(), clockwork.NewFakeClock())
+	d := New(validSettings(t), "settings.json", zerolog.Nop(), clockwork.NewFakeClock())
 	for name, text := range map[string]string{
 		"no JSON":     `{`,
 		"no platform": `{}`,
--- a/router/internal/director/flooded_test.go
+++ b/router/internal/director/flooded_test.go
@@ -13,22 +13,22 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// What a small instance spends on a new connection, of a whole core.
+// The core time that a small instance spends on a new connection.
 const (
-	closingCost  = 15 * time.Microsecond // unread
+	closingCost  = 15 * time.Microsecond // closed unread
 	refusingCost = 45 * time.Microsecond
 	servingCost  = 470 * time.Microsecond
 	smallCores   = 0.192
-	lookStep     = 25 * time.Millisecond
+	sampleStep   = 25 * time.Millisecond
 )
 
-// instance is a router on a part of a processor. What comes waits behind what came before.
+// instance is a router with a part of a processor core. New work queues behind earlier work.
 type instance struct {
 	*Director
 	clock   *clockwork.FakeClock
-	backlog time.Duration // of work
+	backlog time.Duration // of processor work
 	served  int
-	heard   int // requests that were judged
+	judged  int // number of requests that were judged
 }
 
 func newInstance(t *testing.T) *instance {
@@ -36,33 +36,33 @@
 	return newInstanceOf(t, `{"name":"desk"}`)
 }
 
-// newInstanceOf returns an instance before a service.
+// newInstanceOf returns an instance with a configuration of a single service.
 func newInstanceOf(t *testing.T, service string) *instance {
 	t.Helper()
-	settings := sound(t)
+	settings := validSettings(t)
 	settings.Processors = smallCores
 	clock := clockwork.NewFakeClock()
 	i := &instance{Director: New(settings, "settings.json", zerolog.Nop(), clock), clock: clock}
 	keeper := netip.MustParseAddrPort("127.0.0.1:1")
-	i.planning[keeper] = fixed{plan: `{"version":1,"services":[` + service + `],
+	i.planning[keeper] = stubKeeper{plan: `{"version":1,"services":[` + service + `],
 		"routes":[{"name":"r","host":"h","path_prefix":"/","kind":"idempotent","timeout_ms":1000,"service":"desk"}],
 		"tenants":[{"name":"flood","api_keys":["flood"]}]}`}
 	i.reader.News(t.Context(), keeper, &messenger.FollowResponse{Plan: 1})
 	return i
 }
 
-// connect decides what becomes of a new connection with a request of a workspace, and takes the
-// time for it.
+// connect simulates a new connection with a request of a workspace: the router closes it, refuses the
+// request or serves it, and the core time for that is added to the backlog.
 func (i *instance) connect(t *testing.T, workspace string) {
 	t.Helper()
 	cost := closingCost
-	if i.room() {
+	if i.admitConnection() {
 		h, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://h/x", http.NoBody)
 		require.NoError(t, err)
 		h.RequestURI = "/x"
 		h.Header.Set("Authorization", "Bearer "+workspace)
 		h.Header.Set("X-Shallotkeel-Token-Counts", "1000,10")
-		i.heard++
+		i.judged++
 		cost = refusingCost
 		if i.passer.Screen(h) == nil {
 			i.pacer.Starts.Take(i.clock.Now(), workspace)
@@ -73,28 +73,28 @@
 	i.backlog += time.Duration(float64(cost) / smallCores)
 }
 
-// flood lets connections of a workspace come for a time, and returns the latest look.
+// flood simulates connections of a workspace for a time, and returns the largest lateness seen.
 func (i *instance) flood(t *testing.T, perSecond int, length time.Duration) (latest time.Duration) {
 	t.Helper()
-	for at := time.Duration(0); at < length; at += lookStep {
-		for range perSecond * int(lookStep) / int(time.Second) {
+	for at := time.Duration(0); at < length; at += sampleStep {
+		for range perSecond * int(sampleStep) / int(time.Second) {
 			i.connect(t, "flood")
 			i.clock.Advance(time.Second / time.Duration(perSecond))
 		}
-		i.backlog = max(i.backlog-lookStep, 0)
+		i.backlog = max(i.backlog-sampleStep, 0)
 		latest = max(latest, i.backlog)
 		i.pacer.Observe(i.backlog)
 	}
 	return latest
 }
 
-// Guards against a flooded router that refuses to a standstill: refusals take the processor, and
-// what is to be served is begun less and less.
+// Guards against a flooded router that is stalled by refusals: they take the processor
+// time, and fewer and fewer requests are started.
 func TestRefusalsLeaveTimeToServe(t *testing.T) {
 	const (
 		settled = 2 * time.Second
 		length  = 10 * time.Second
-		// Refusing nobody, the router would begin so many requests in a second.
+		// The requests per second that the router could start if it refused none.
 		possible = smallCores * float64(time.Second) / float64(servingCost)
 	)
 	tests := map[string]int{
@@ -105,11 +105,11 @@
 		t.Run(name, func(t *testing.T) {
 			i := newInstance(t)
 			i.flood(t, perSecond, settled)
-			i.served, i.heard = 0, 0
+			i.served, i.judged = 0, 0
 			latest := i.flood(t, perSecond, length)
 			require.Greater(t, float64(i.served)/length.Seconds(), possible/4)
-			require.Less(t, latest, 250*time.Millisecond, "what is served is served in time")
-			require.Greater(t, i.heard-i.served, perSecond/50*int(length/time.Second), "who asks is still heard")
+			require.Less(t, latest, 250*time.Millisecond, "requests that are served are served in time")
+			require.Greater(t, i.judged-i.served, perSecond/50*int(length/time.Second), "requests are still read and refused with an answer")
 		})
 	}
 }
--- a/router/internal/director/metrics.go
+++ b/router/internal/director/metrics.go
@@ -6,8 +6,7 @@
 	"shallotkeel.example/router/internal/screener"
 )
 
-// registerGauges publishes what the router believes and how busy it is. The
-// values are read when they are asked for.
+// registerGauges registers metrics of the router's state and load. Values are read at each scrape.
 func (d *Director) registerGauges() {
 	gauge := func(opts prometheus.GaugeOpts, value func() float64) {
 		d.registry.MustRegister(prometheus.NewGaugeFunc(opts, value))
@@ -18,10 +17,10 @@
 		}
 		return 0
 	})
-	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_keepers_answering", Help: "Keepers that answered their last poll."}, func() float64 { return float64(d.news.Answering()) })
+	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_keepers_answering", Help: "Keepers that answered their last poll."}, func() float64 { return float64(d.subscriber.Answering()) })
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_running_requests", Help: "Requests under way."}, func() float64 { return float64(d.passer.Running()) })
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_client_connections", Help: "Open connections of clients."}, func() float64 {
-		open, _ := d.connected.counts()
+		open, _ := d.clientConnections.counts()
 		return float64(open)
 	})
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_late_seconds", Help: "Mean time for which what is due waits: from 0.025 on the router refuses."}, func() float64 { return d.pacer.Lateness().Seconds() })
@@ -48,7 +47,7 @@
 	})
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_starts", Help: "Requests a second that this router may start now."}, d.pacer.Starts.Value)
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_away", Help: "1 while new clients are sent to other routers."}, func() float64 {
-		if d.shedder.away.Load() {
+		if d.shedder.diverting.Load() {
 			return 1
 		}
 		return 0
@@ -56,21 +55,21 @@
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_entries", Help: "New connections a second that this router may read while it refuses."}, d.pacer.Entries.Value)
 	d.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "shallotkeel_direct_processor_seconds_total", Help: "Processor time that this process has used.",
-	}, func() float64 { return d.used().Seconds() }))
+	}, func() float64 { return d.processorTime().Seconds() }))
 	counter := func(name, help string, value func() uint64) {
 		d.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, func() float64 { return float64(value()) }))
 	}
 	counter("shallotkeel_direct_endpoint_connections_total", "Connections made to endpoints.", d.client.Opened)
-	counter("shallotkeel_direct_unread_connections_total", "Connections of clients that were closed unread, for want of room.", d.screener((*screener.Listener).Unread))
-	counter("shallotkeel_direct_left_connections_total", "Connections of clients that had left before their requests were judged.", d.screener((*screener.Listener).Left))
+	counter("shallotkeel_direct_unread_connections_total", "Connections of clients that were closed unread, for want of room.", d.screener((*screener.Listener).ClosedUnread))
+	counter("shallotkeel_direct_left_connections_total", "Connections of clients that had left before their requests were judged.", d.screener((*screener.Listener).Abandoned))
 	counter("shallotkeel_direct_screened_requests_total", "Requests that were refused before the server took their connections.", d.screener((*screener.Listener).Refused))
 }
 
-// screener returns a figure of the listener for clients, 0 before there is one.
-func (d *Director) screener(figure func(*screener.Listener) uint64) func() uint64 {
+// screener returns a function that reads a counter of the screening listener, 0 before there is one.
+func (d *Director) screener(counter func(*screener.Listener) uint64) func() uint64 {
 	return func() uint64 {
 		if screened := d.screened.Load(); screened != nil {
-			return figure(screened)
+			return counter(screened)
 		}
 		return 0
 	}
--- a/router/internal/director/pressure.go
+++ b/router/internal/director/pressure.go
@@ -6,79 +6,80 @@
 	"shallotkeel.example/router/internal/screener"
 )
 
-// pressureSpan is how much time a line on pressure covers.
+// pressureSpan is the minimum time that a log line on pressure covers.
 const pressureSpan = time.Second
 
-// counts are figures that only rise.
+// counts is a snapshot of cumulative counters.
 type counts struct {
-	full    uint64        // requests that were refused for want of room
-	taken   uint64        // requests that the server took
-	made    uint64        // connections that the server took
-	refused uint64        // requests that were refused before the server took them
-	left    uint64        // connections whose clients had left before their request was judged
-	unread  uint64        // connections that were closed unread
-	used    time.Duration // processor time
+	capacityRefusals uint64        // requests refused for lack of capacity
+	received         uint64        // requests that the HTTP server received
+	connections      uint64        // connections that the HTTP server accepted
+	screened         uint64        // requests refused before the HTTP server accepted their connections
+	abandoned        uint64        // connections whose clients had closed them before their request was judged
+	closedUnread     uint64        // connections closed unread
+	processorTime    time.Duration // processor time of the process
 }
 
-// since returns what has come since other figures.
+// since returns the increase since an earlier snapshot.
 func (c counts) since(before counts) counts {
 	return counts{
-		full: c.full - before.full, taken: c.taken - before.taken, made: c.made - before.made,
-		refused: c.refused - before.refused, left: c.left - before.left, unread: c.unread - before.unread, used: c.used - before.used,
+		capacityRefusals: c.capacityRefusals - before.capacityRefusals, received: c.received - before.received, connections: c.connections - before.connections,
+		screened: c.screened - before.screened, abandoned: c.abandoned - before.abandoned, closedUnread: c.closedUnread - before.closedUnread, processorTime: c.processorTime - before.processorTime,
 	}
 }
 
-// pressure finds the spans in which a router refuses for want of room. A line for each tells
-// what that rests on: its lateness, the starts it allows itself, and what became of the
-// connections that came. Lines of single requests do not tell a router that does too little
-// from one that gets too much: in a flood they are damped. Its zero value has seen nothing.
+// pressure finds the spans in which the router refuses requests for lack of capacity. A log line for
+// each gives the basis of the refusals: the lateness, the permitted start rate, and what became of the
+// connections that arrived. Log lines of single requests, which are damped in a flood, do not
+// distinguish a router that does too little from one that receives too much. The zero value is ready
+// to use.
 type pressure struct {
-	at     time.Time
-	before counts
+	spanStart   time.Time
+	startCounts counts
 }
 
-// look takes the figures of now. If a span is over in which requests were refused, it returns
-// how long that was and what came in it.
-func (p *pressure) look(now time.Time, seen counts) (span time.Duration, came counts, pressed bool) {
-	if p.at.IsZero() {
-		p.at, p.before = now, seen
+// sample takes the current counters. If a span has ended in which requests were refused for lack of
+// capacity, it returns the span's length and the increase of the counters, with pressed set.
+func (p *pressure) sample(now time.Time, current counts) (span time.Duration, increase counts, pressed bool) {
+	if p.spanStart.IsZero() {
+		p.spanStart, p.startCounts = now, current
 	}
-	span = now.Sub(p.at)
+	span = now.Sub(p.spanStart)
 	if span < pressureSpan {
 		return 0, counts{}, false
 	}
-	came = seen.since(p.before)
-	p.at, p.before = now, seen
-	return span, came, came.full > 0
+	increase = current.since(p.startCounts)
+	p.spanStart, p.startCounts = now, current
+	return span, increase, increase.capacityRefusals > 0
 }
 
-// counts returns what has come so far.
+// counts returns the current counters.
 func (d *Director) counts() counts {
 	return counts{
-		full:    d.passer.RefusedForCapacity(),
-		taken:   d.passer.Received(),
-		made:    d.connected.total(),
-		refused: d.screener((*screener.Listener).Refused)(),
-		left:    d.screener((*screener.Listener).Left)(),
-		unread:  d.screener((*screener.Listener).Unread)(),
-		used:    d.used(),
+		capacityRefusals: d.passer.RefusedForCapacity(),
+		received:         d.passer.Received(),
+		connections:      d.clientConnections.total(),
+		screened:         d.screener((*screener.Listener).Refused)(),
+		abandoned:        d.screener((*screener.Listener).Abandoned)(),
+		closedUnread:     d.screener((*screener.Listener).ClosedUnread)(),
+		processorTime:    d.processorTime(),
 	}
 }
 
-// tellPressure writes what the router does while it refuses requests for want of room.
-func (d *Director) tellPressure() {
-	span, came, pressed := d.pressure.look(d.clock.Now(), d.counts())
+// logPressure logs the router's load while it refuses requests for lack of capacity.
+func (d *Director) logPressure() {
+	span, increase, pressed := d.pressure.sample(d.clock.Now(), d.counts())
 	if !pressed {
 		return
 	}
-	open, busy := d.connected.counts()
+	open, busy := d.clientConnections.counts()
 	waiting := 0
 	if screened := d.screened.Load(); screened != nil {
 		waiting = screened.Waiting()
 	}
 	d.log.Info().Dur("late_ms", d.pacer.Lateness()).Float64("starts", d.pacer.Starts.Value()).Float64("entries", d.pacer.Entries.Value()).
 		Int("running", d.passer.Running()).Int("open", open).Int("busy", busy).Int("waiting", waiting).
-		Dur("span_ms", span).Uint64("refused", came.full).Uint64("taken", came.taken).Uint64("connections", came.made).
-		Uint64("screened", came.refused).Uint64("left", came.left).Uint64("unread", came.unread).
-		Dur("processor_ms", came.used).Msg("under pressure")
+		Dur("span_ms", span).Uint64("refused", increase.capacityRefusals).Uint64("taken", increase.received).Uint64("connections", increase.connections).
+		Uint64("screened", increase.screened).Uint64("left", increase.abandoned).Uint64("unread", increase.closedUnread).
+		Dur("processor_ms", increase.processorTime).Msg("under pressure")
 }
--- a/router/internal/director/pressure_test.go
+++ b/router/internal/director/pressure_test.go
@@ -7,36 +7,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a router that refuses, and logs that do not say whether it did too little
-// or got too much.
-func TestPressureIsTold(t *testing.T) {
+// Guards against a router that refuses requests without a log that shows whether it did too little
+// or received too much.
+func TestPressureIsReported(t *testing.T) {
 	start := time.Unix(1000, 0)
 	steps := []struct {
-		name string
-		at   time.Duration
-		seen counts
-		span time.Duration // 0 if nothing is told
-		came counts
+		name     string
+		at       time.Duration
+		current  counts
+		span     time.Duration // 0 if nothing is logged
+		increase counts
 	}{
-		{name: "the first look", at: 0, seen: counts{taken: 7, full: 5}},
-		{name: "within a span", at: pressureSpan / 2, seen: counts{taken: 9, full: 6}},
+		{name: "the first sample", at: 0, current: counts{received: 7, capacityRefusals: 5}},
+		{name: "within a span", at: pressureSpan / 2, current: counts{received: 9, capacityRefusals: 6}},
 		{
-			name: "a span is over", at: pressureSpan, seen: counts{taken: 10, full: 8, made: 2, refused: 3, left: 1, unread: 4},
-			span: pressureSpan, came: counts{taken: 3, full: 3, made: 2, refused: 3, left: 1, unread: 4},
+			name: "a span is over", at: pressureSpan, current: counts{received: 10, capacityRefusals: 8, connections: 2, screened: 3, abandoned: 1, closedUnread: 4},
+			span: pressureSpan, increase: counts{received: 3, capacityRefusals: 3, connections: 2, screened: 3, abandoned: 1, closedUnread: 4},
 		},
-		{name: "nothing more was refused", at: 2 * pressureSpan, seen: counts{taken: 30, full: 8}},
+		{name: "nothing more was refused", at: 2 * pressureSpan, current: counts{received: 30, capacityRefusals: 8}},
 		{
-			name: "again, and late", at: 4 * pressureSpan, seen: counts{taken: 31, full: 9},
-			span: 2 * pressureSpan, came: counts{taken: 1, full: 1},
+			name: "again, after a late sample", at: 4 * pressureSpan, current: counts{received: 31, capacityRefusals: 9},
+			span: 2 * pressureSpan, increase: counts{received: 1, capacityRefusals: 1},
 		},
 	}
 	var p pressure
 	for _, step := range steps {
-		span, came, pressed := p.look(start.Add(step.at), step.seen)
+		span, increase, pressed := p.sample(start.Add(step.at), step.current)
 		require.Equal(t, step.span > 0, pressed, step.name)
 		if pressed {
 			require.Equal(t, step.span, span, step.name)
-			require.Equal(t, step.came, came, step.name)
+			require.Equal(t, step.increase, increase, step.name)
 		}
 	}
 }
--- a/router/internal/director/processor.go
+++ b/router/internal/director/processor.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// used returns the processor time that this process has used since its start. Beside what came
-// and what became of it, it tells a router that has too much to do from one that is not let run.
-func (d *Director) used() time.Duration {
+// processorTime returns the processor time that this process has used since its start, 0 if it is
+// unknown. Together with the traffic counters it distinguishes a router with too much work from one
+// that is not scheduled.
+func (d *Director) processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		d.log.Debug().Err(err).Msg("processor time is not known")
+		d.log.Debug().Err(err).Msg("processor time could not be read; it counts as 0")
 		return 0
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/router/internal/director/rate.go
+++ b/router/internal/director/rate.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// rateSpan is over which time requests are counted.
+// rateSpan is the window over which requests are counted.
 const rateSpan = time.Second
 
-// rate is how many requests a second there are, from a count that rises. A burst shows at once,
-// as the part of the span that is over is taken for the whole if it has more. Its zero value has
-// seen none.
+// rate derives events per second from a cumulative counter. A burst shows at once: the count of the
+// unfinished window is taken for the full window if it exceeds the previous rate. The zero value is
+// ready to use.
 type rate struct {
-	mutex  sync.Mutex
-	begun  time.Time // of the span
-	before uint64    // the count then
-	last   float64   // in the span before
+	mutex      sync.Mutex
+	spanStart  time.Time
+	startCount uint64  // counter at spanStart
+	lastRate   float64 // events per second in the previous window
 }
 
-// take takes the count and returns the rate.
-func (r *rate) take(now time.Time, count uint64) float64 {
+// update takes the current counter value and returns the rate per second.
+func (r *rate) update(now time.Time, count uint64) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.begun.IsZero() {
-		r.begun, r.before = now, count
+	if r.spanStart.IsZero() {
+		r.spanStart, r.startCount = now, count
 	}
-	since := float64(count - r.before)
-	if over := now.Sub(r.begun); over >= rateSpan {
-		r.last = since / over.Seconds()
-		r.begun, r.before = now, count
-		return r.last
+	since := float64(count - r.startCount)
+	if elapsed := now.Sub(r.spanStart); elapsed >= rateSpan {
+		r.lastRate = since / elapsed.Seconds()
+		r.spanStart, r.startCount = now, count
+		return r.lastRate
 	}
-	return max(r.last, since/rateSpan.Seconds())
+	return max(r.lastRate, since/rateSpan.Seconds())
 }
--- a/router/internal/director/rate_test.go
+++ b/router/internal/director/rate_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a router that is flooded and goes on telling of it as seldom as an idle one.
+// Guards against a flooded router that keeps reporting to the keepers as seldom as an idle one.
 func TestRateFollowsABurstAtOnce(t *testing.T) {
 	var r rate
 	now, count := time.Unix(1000, 0), uint64(100)
 	take := func(pause time.Duration, more uint64) float64 {
 		now, count = now.Add(pause), count+more
-		return r.take(now, count)
+		return r.update(now, count)
 	}
-	require.Zero(t, take(0, 0), "what was before is not counted")
+	require.Zero(t, take(0, 0), "the count before the first update is ignored")
 	require.InDelta(t, 2, take(500*time.Millisecond, 2), 0.01)
 	require.InDelta(t, 4, take(500*time.Millisecond, 2), 0.01)
 	require.InDelta(t, 80, take(100*time.Millisecond, 80), 0.01)
--- a/router/internal/director/settings.go
+++ b/router/internal/director/settings.go
@@ -1,6 +1,6 @@
-// Package director assembles a router that serves clients byte for byte, without
-// a scheduler of its own: the parts that read news of the fleet, choose endpoints
-// and pass requests on, and the listeners around them.
+// Package director assembles a router that serves clients byte for byte, without a scheduler of its
+// own: the components that follow the state of the fleet, choose endpoints and forward requests, and
+// the listeners around them.
 package director
 
 import (
@@ -11,39 +11,38 @@
 	"shallotkeel.example/lib/loader"
 )
 
-// Settings are the router's settings on a platform that has an interface of its
-// own.
+// Settings are the router's settings on a platform that has an interface of its own.
 type Settings struct {
 	Name   string         `json:"name"`
 	Zone   string         `json:"zone"`
 	Listen netip.AddrPort `json:"listen"`
 	Ready  netip.AddrPort `json:"ready"`
-	// Metrics is where counters and histograms are served.
+	// Metrics is the address that serves metrics.
 	Metrics netip.AddrPort `json:"metrics"`
-	// Seeds are some keepers' addresses. Only their hosts count; Port is the port
-	// of all keepers' control addresses.
+	// Seeds are the addresses of some keepers. Only their hosts are used; Port is the port of all
+	// keepers' control addresses.
 	Seeds  []netip.AddrPort `json:"seeds"`
 	Port   uint16           `json:"port"`
 	Secret string           `json:"secret"`
-	// Memory is what the instance may use, in MB.
+	// Memory is the memory limit of the instance, in MB.
 	Memory int `json:"memory"`
-	// Processors is how much processor time the instance has, in cores.
+	// Processors is the processor time of the instance, in cores.
 	Processors float64 `json:"processors"`
-	// Descriptors is how many files and sockets the process may have open.
+	// Descriptors is the limit of open files and sockets of the process.
 	Descriptors int `json:"descriptors"`
-	// Pass is how long an event of a stream may be on its way through the router.
+	// Pass is the maximum time that an event of a stream may spend in the router.
 	Pass loader.Duration `json:"pass"`
-	// Grace is how long a planned stop may take until the process is killed.
+	// Grace is the time from the begin of a planned stop until the process is killed.
 	Grace loader.Duration `json:"grace"`
 	Retry Retry           `json:"retry"`
 }
 
-// file is a whole settings file, as it is read again while the router runs.
+// file is a complete settings file, as it is read again while the router runs.
 type file struct {
 	Platform *Settings `json:"platform"`
 }
 
-// Check lists what is wrong with the file.
+// Check returns the problems of the file.
 func (f *file) Check() []loader.Problem {
 	if f.Platform == nil {
 		return []loader.Problem{{Key: "platform", Message: "the key is gone", Remedy: "put it back or restart the router"}}
@@ -51,7 +50,7 @@
 	return f.Platform.Check()
 }
 
-// Retry bounds the requests that all routers send once more.
+// Retry bounds the requests that all routers together send again.
 type Retry struct {
 	Ratio  float64         `json:"ratio"`
 	Slack  float64         `json:"slack"`
@@ -62,7 +61,7 @@
 	return budgeter.Bound{Ratio: r.Ratio, Slack: r.Slack, Window: r.Window.Duration}
 }
 
-// Check lists what is wrong with the settings.
+// Check returns the problems of the settings.
 func (s *Settings) Check() []loader.Problem {
 	var problems []loader.Problem
 	problem := func(wrong bool, key, message, remedy string) {
@@ -86,7 +85,7 @@
 	return problems
 }
 
-// seeds returns the control addresses of the seeds.
+// seeds returns the control addresses of the seed keepers.
 func (s *Settings) seeds() []netip.AddrPort {
 	addresses := make([]netip.AddrPort, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
--- a/router/internal/director/shedder.go
+++ b/router/internal/director/shedder.go
@@ -6,61 +6,62 @@
 )
 
 const (
-	// shedShare is the part of the requests refused for want of room from which new clients had
-	// better go to other routers.
-	shedShare = 0.5
-	// shedTime is for how long they are sent there. The platform takes up to two seconds to do so.
-	shedTime = 3500 * time.Millisecond
-	// crowdedTime is for how long a router is crowded before that: what has just begun may be over
-	// soon, and its workspace's share is known only after a second.
-	crowdedTime = time.Second
-	// awayShare is the part of a fleet's routers that may be away at once.
-	awayShare = 0.125
+	// minRefusalRatio is the share of requests refused for lack of capacity from which on new clients
+	// are diverted to other routers.
+	minRefusalRatio = 0.5
+	// divertTime is how long new clients are diverted. The platform takes up to two seconds to react.
+	divertTime = 3500 * time.Millisecond
+	// minOverloadTime is how long a router must be overloaded before it diverts clients: a shorter
+	// overload may end by itself, and the share of its workspace is known only after a second.
+	minOverloadTime = time.Second
+	// maxDivertingShare is the share of a fleet's routers that may divert clients at once.
+	maxDivertingShare = 0.125
 )
 
-// shedder decides when a router that is flooded tells that it is not ready, so that new clients
-// go to its neighbours. It does so only for workspaces that get less than they are owed: clients
-// that turn to another router wait until their share has followed them, and the next one is
-// flooded as well. Only one that refuses a good part of what the whole fleet has no room for may do
-// so: where all are flooded, neighbours have no room either, and a zone without routers would
-// burden another one. Its zero value stays.
+// shedder decides when a flooded router reports not ready, so that new clients go to other routers.
+// It does so only for workspaces that get less than their guaranteed share: clients that turn to
+// another router wait until their share has followed them, and that router is flooded as well. Only a
+// router that causes a good part of the whole fleet's refusals for lack of capacity may divert: where
+// all routers are flooded, the others have no capacity either, and a zone without routers would burden
+// another zone. The zero value does not divert.
 type shedder struct {
-	routers atomic.Int64 // of the fleet
-	away    atomic.Bool  // new clients are sent elsewhere
+	routers   atomic.Int64 // number of routers in the fleet
+	diverting atomic.Bool  // new clients are sent to other routers
 
-	since, until time.Time // it is crowded, and away; used by look only
+	overloadedSince, divertUntil time.Time // zero if not overloaded or never diverted; used by update only
 }
 
-// look decides by the part of this router's requests that it refuses for want of room, 0 to 1,
-// and by what it and the whole fleet have no room for of workspaces that get too little, in
-// tokens a second. It tells whether that changes anything.
-func (s *shedder) look(now time.Time, refused, own, fleet float64) (changed bool) {
-	away := now.Before(s.until)
+// update decides by the ratio of this router's requests that it refuses for lack of capacity, 0 to 1,
+// and by the rates in tokens per second that this router and the whole fleet shed of workspaces below
+// their guaranteed share. It reports whether the decision has changed.
+func (s *shedder) update(now time.Time, refused, own, fleet float64) (changed bool) {
+	away := now.Before(s.divertUntil)
 	switch {
-	case away || refused < shedShare || !s.local(own, fleet):
-		s.since = time.Time{}
-	case s.since.IsZero():
-		s.since = now
-	case now.Sub(s.since) >= crowdedTime:
-		s.until, away = now.Add(shedTime), true
+	case away || refused < minRefusalRatio || !s.local(own, fleet):
+		s.overloadedSince = time.Time{}
+	case s.overloadedSince.IsZero():
+		s.overloadedSince = now
+	case now.Sub(s.overloadedSince) >= minOverloadTime:
+		s.divertUntil, away = now.Add(divertTime), true
 	}
-	return s.away.Swap(away) != away
+	return s.diverting.Swap(away) != away
 }
 
-// local tells whether so few routers can be as crowded as this one that all of them may leave.
+// local reports whether so few routers can be as overloaded as this one that all of them may divert
+// their new clients.
 func (s *shedder) local(own, fleet float64) bool {
 	routers := s.routers.Load()
-	most := max(awayShare*float64(routers), 1)
-	return routers > 1 && own > 0 && own*most >= fleet
+	maxDiverting := max(maxDivertingShare*float64(routers), 1)
+	return routers > 1 && own > 0 && own*maxDiverting >= fleet
 }
 
-// shed looks whether new clients had better go to other routers.
-func (d *Director) shed() {
+// updateDiversion decides whether new clients are diverted to other routers, and logs a change.
+func (d *Director) updateDiversion() {
 	now := d.clock.Now()
 	refused := d.passer.RefusalRatio(now)
 	own, fleet := d.shares.ShedRates(now)
-	if d.shedder.look(now, refused, own, fleet) {
-		d.log.Warn().Bool("away", d.shedder.away.Load()).Float64("refused", refused).Float64("own", own).Float64("fleet", fleet).
+	if d.shedder.update(now, refused, own, fleet) {
+		d.log.Warn().Bool("away", d.shedder.diverting.Load()).Float64("refused", refused).Float64("own", own).Float64("fleet", fleet).
 			Int64("routers", d.shedder.routers.Load()).Msg("readiness for new clients changed")
 	}
 }
--- a/router/internal/newsreader/crashes.go
+++ b/router/internal/newsreader/crashes.go
@@ -6,19 +6,21 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// crashMemory is how long a crash that was seen here is reported. Polls come
-// twice a second, and a keeper that is back within that time hears of it too.
-const crashMemory = 30 * time.Second
+// crashRetention is how long a crash seen by this router is reported. Polls are sent twice a second,
+// and a keeper that returns within that time gets the report too.
+const crashRetention = 30 * time.Second
 
-// maxCrashes bounds the crashes that are reported, 12 bytes each on the way.
+// maxCrashes bounds the crashes that are reported, 12 bytes each on the wire.
 const maxCrashes = 1024
 
+// crash counts the endpoint connections that broke while a request with the same digest was running.
 type crash struct {
-	at    time.Time
-	count uint32
+	lastSeen time.Time
+	count    uint32
 }
 
-func (r *Reader) takeQuarantine(fingerprints []*messenger.Fingerprint) {
+// updateQuarantine records quarantined requests from an update, and removes expired ones.
+func (r *Reader) updateQuarantine(fingerprints []*messenger.Fingerprint) {
 	if len(fingerprints) == 0 {
 		return
 	}
@@ -35,7 +37,7 @@
 	}
 }
 
-// Quarantined tells whether a request has crashed endpoints and must not run.
+// Quarantined reports whether a request must not run because it has crashed endpoints.
 func (r *Reader) Quarantined(digest uint64) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -43,7 +45,7 @@
 	return found && r.options.Clock.Now().Before(until)
 }
 
-// Crashed notes that an endpoint's connection broke under a request.
+// Crashed records that the connection to an endpoint broke while it ran a request.
 func (r *Reader) Crashed(digest uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -55,6 +57,6 @@
 		known = &crash{}
 		r.crashes[digest] = known
 	}
-	known.at = r.options.Clock.Now()
+	known.lastSeen = r.options.Clock.Now()
 	known.count++
 }
--- a/router/internal/newsreader/fleet.go
+++ b/router/internal/newsreader/fleet.go
@@ -8,42 +8,42 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// Fleet is what keepers add up of all routers' reports.
+// Fleet holds the sums that keepers compute over all routers' reports.
 type Fleet struct {
-	// Uses is what becomes of what the workspaces ask for.
+	// Uses is the demand of each workspace, and how much of it is served and shed.
 	Uses map[string]apportioner.Use
-	// Loads is how many unread tokens all other routers have at the engines.
+	// Loads is the number of unread tokens that all other routers have at each engine.
 	Loads map[uint64]int
-	// Backlog is for how long engines still read, as the median router believes.
+	// Backlog is the prefill backlog of the engines, as the median router estimates it.
 	Backlog time.Duration
 }
 
-// mostScaled bounds by how much sums are scaled up for routers that are not in them. Half
-// of the fleet is missing where keepers are cut in two; a larger part only for moments, as
-// when all start, and then the few that are heard say little of the rest.
-const mostScaled = 2
+// maxScale bounds the scaling of sums for routers that are missing in them. Half of the fleet is
+// missing where a partition cuts the keepers in two. A larger part is missing only for moments, for
+// example when all processes start, and then the few reports say little about the rest.
+const maxScale = 2
 
-// fleetOf returns the whole fleet's sums. Where keepers do not hear one another, a keeper
-// has the reports of some routers only, while the others still serve: taken for the whole
-// fleet, they would make everybody's share here twice what it is. The others are taken to
-// do as these do.
-func fleetOf(news *messenger.FollowResponse) Fleet {
+// fleetOf returns the sums of the whole fleet. In a partition, a keeper has the reports of some
+// routers only, while the other routers still serve. Taken for the whole fleet, these sums would give
+// every workspace twice its share here. The missing routers are assumed to carry the same load as the
+// reporting ones.
+func fleetOf(update *messenger.FollowResponse) Fleet {
 	scale := 1.0
-	if counted := news.GetReporting(); counted > 0 {
-		scale = min(max(float64(news.GetExpected())/float64(counted), 1), mostScaled)
+	if reporting := update.GetReporting(); reporting > 0 {
+		scale = min(max(float64(update.GetExpected())/float64(reporting), 1), maxScale)
 	}
 	fleet := Fleet{
-		Uses:    make(map[string]apportioner.Use, len(news.GetUses())),
-		Loads:   make(map[uint64]int, len(news.GetLoads())),
-		Backlog: time.Duration(news.GetBacklogMs()) * time.Millisecond,
+		Uses:    make(map[string]apportioner.Use, len(update.GetUses())),
+		Loads:   make(map[uint64]int, len(update.GetLoads())),
+		Backlog: time.Duration(update.GetBacklogMs()) * time.Millisecond,
 	}
-	for _, use := range news.GetUses() {
+	for _, use := range update.GetUses() {
 		fleet.Uses[use.GetWorkspace()] = apportioner.Use{
 			Demand: scaled(use.GetAsked(), scale), Served: scaled(use.GetGot(), scale), Shed: scaled(use.GetUnheard(), scale),
 		}
 	}
-	for _, at := range news.GetLoads() {
-		fleet.Loads[at.GetEndpoint()] = scaled(int(at.GetUnread()), scale)
+	for _, load := range update.GetLoads() {
+		fleet.Loads[load.GetEndpoint()] = scaled(int(load.GetUnread()), scale)
 	}
 	return fleet
 }
--- a/router/internal/newsreader/log.go
+++ b/router/internal/newsreader/log.go
@@ -6,19 +6,19 @@
 	"shallotkeel.example/lib/lister"
 )
 
-// mostLogged bounds the changes of endpoints that are logged one by one, in one answer of a keeper
-// and in a second. At a start keepers tell of thousands, to each router, and each line takes time
-// that requests wait for.
-const mostLogged = 16
+// maxLogged bounds the endpoint changes that are logged one by one, per update of a keeper and per
+// second. At a start, keepers send thousands of changes to each router, and each log line takes
+// processor time that requests wait for.
+const maxLogged = 16
 
-// log logs changes of endpoints, each once, however many keepers say it.
+// log logs changes of endpoints, each once, however many keepers report it.
 func (r *Reader) log(keeper netip.AddrPort, changed []lister.Listing) {
-	if len(changed) > mostLogged {
-		r.logSum(keeper, changed)
+	if len(changed) > maxLogged {
+		r.logSummary(keeper, changed)
 		return
 	}
 	for _, listing := range changed {
-		if !r.lines.Admit(r.options.Clock.Now(), r.options.Log) {
+		if !r.logDamper.Admit(r.options.Clock.Now(), r.options.Log) {
 			continue
 		}
 		r.options.Log.Info().Str("endpoint", listing.ID).Str("service", listing.Service).Stringer("address", listing.Address).
@@ -28,8 +28,9 @@
 	}
 }
 
-// logSum logs many changes as one. Each of them is in the logs of the keeper that heard it.
-func (r *Reader) logSum(keeper netip.AddrPort, changed []lister.Listing) {
+// logSummary logs many changes as one line. Each of them is in the log of the keeper that received the
+// endpoint's heartbeat.
+func (r *Reader) logSummary(keeper netip.AddrPort, changed []lister.Listing) {
 	var ready, leaving, gone, silent int
 	for _, listing := range changed {
 		switch {
--- a/router/internal/newsreader/newsreader.go
+++ b/router/internal/newsreader/newsreader.go
@@ -1,10 +1,9 @@
-// Package newsreader keeps what a router believes of the fleet: the
-// configuration in force and the endpoints, as the keepers tell it.
+// Package newsreader maintains a router's view of the fleet: the configuration in force and the
+// endpoints, from the updates that the keepers send.
 //
-// Invariants: the version in force never falls; an endpoint that any keeper has
-// called leaving or gone is never taken for ready again; nothing is forgotten
-// because a keeper is lost, so that a router that is cut off goes on with what
-// it knew.
+// Invariants: the version in force never decreases; an endpoint that any keeper has reported as
+// leaving or gone is never considered ready again; losing a keeper removes neither the configuration
+// nor endpoints, so that a router that is cut off continues with its last view.
 package newsreader
 
 import (
@@ -26,7 +25,7 @@
 	"shallotkeel.example/lib/resolver"
 )
 
-// Options are what a Reader is made of.
+// Options configures a Reader. Functions are callbacks; those from Routers on may be nil.
 type Options struct {
 	Name    string
 	Zone    string
@@ -34,64 +33,64 @@
 	Clock   clockwork.Clock
 	Log     zerolog.Logger
 	Dial    func(address netip.AddrPort) messenger.Planning
-	// Endpoints is told of changes of endpoints, in their order.
+	// Endpoints receives changes of endpoints, in order.
 	Endpoints func(listings []lister.Listing)
-	// Plan is told of every configuration before it is in force.
+	// Plan receives every configuration before it comes into force.
 	Plan func(table *resolver.Table)
-	// Routers is told how many routers the fleet has.
+	// Routers receives the number of routers in the fleet.
 	Routers func(count int)
-	// Uses returns what becomes of what the workspaces ask for here.
+	// Uses returns the demand of each workspace at this router, and how much of it is served and shed.
 	Uses func() map[string]apportioner.Use
-	// Loads returns how many unread tokens this router has at the engines.
+	// Loads returns the number of unread tokens that this router has at each engine.
 	Loads func() map[uint64]int
-	// Backlog returns for how long engines still read what they have been sent, as this
-	// router believes.
+	// Backlog returns the prefill backlog of the engines, as this router estimates it.
 	Backlog func() time.Duration
-	// Fleet is told of the whole fleet.
+	// Fleet receives the sums over the whole fleet.
 	Fleet func(fleet Fleet)
-	// Homes is told, by service, which part of the endpoints all routers know, one in
-	// 1<<shift; a service of which they know all is left out.
-	Homes func(shifts map[string]int)
-	// Begun returns the streams that began here and that the keeper which is reported to does not
-	// know yet. Told is called when it has answered the report, Untold when it does not.
-	Begun  func(keeper netip.AddrPort) []*messenger.Begun
-	Told   func(keeper netip.AddrPort)
-	Untold func(keeper netip.AddrPort)
-	// Evacuated is told of the zones whose endpoints get no new work, with each change.
+	// Sampling receives, by service, the sampled part of the endpoints that every router knows, one in
+	// 1<<shift. A service is missing if the routers know all its endpoints.
+	Sampling func(shifts map[string]int)
+	// UnreportedStreams returns the streams that began here and are not known yet to the keeper that gets
+	// the report. ReportAnswered is called when that keeper has answered the report, ReportLost when it
+	// does not answer.
+	UnreportedStreams func(keeper netip.AddrPort) []*messenger.Begun
+	ReportAnswered    func(keeper netip.AddrPort)
+	ReportLost        func(keeper netip.AddrPort)
+	// Evacuated receives, at each change, the zones whose endpoints get no new work.
 	Evacuated func(zones []string)
-	// Rations is told of the leases on cold endpoints that a keeper has given which was
-	// asked at a time.
-	Rations func(asked time.Time, keeper netip.AddrPort, rations []balancer.Ration)
+	// Rations receives the leases on cold endpoints that a keeper has granted in its answer to the poll
+	// sent at pollSentAt.
+	Rations func(pollSentAt time.Time, keeper netip.AddrPort, rations []balancer.Ration)
 }
 
 // Reader implements subscriber.Host.
 type Reader struct {
 	options Options
 	table   atomic.Pointer[resolver.Table]
-	begun   chan struct{} // closed once there is a configuration
+	ready   chan struct{} // closed once there is a configuration
 
-	mutex       sync.Mutex
-	list        lister.List
-	silent      map[string]map[netip.AddrPort]bool // instances, by the keepers that say so
-	told        map[string]bool                    // instances that were last told on as silent
-	contacts    map[netip.AddrPort]bool            // keepers that answer
-	crashes     map[uint64]*crash
-	quarantined map[uint64]time.Time         // until when
-	evacuations uint64                       // revision of the evacuated zones
-	asked       map[netip.AddrPort]time.Time // when the keepers' polls under way were sent
-	fetching    sync.Mutex
-	lines       damper.Damper // of endpoints
-	dropped     time.Time     // when endpoints that are gone were dropped last
-	enforced    chan struct{} // closed when another configuration is in force
+	mutex            sync.Mutex
+	list             lister.List
+	silent           map[string]map[netip.AddrPort]bool // endpoint instances, by the keepers that get no heartbeats of them
+	reportedSilent   map[string]bool                    // instances last passed on to Endpoints as silent
+	answeringKeepers map[netip.AddrPort]bool
+	crashes          map[uint64]*crash
+	quarantined      map[uint64]time.Time         // expiry of the quarantine, by digest
+	evacuations      uint64                       // revision of the evacuated zones
+	pollSentAt       map[netip.AddrPort]time.Time // send time of each keeper's current poll
+	fetching         sync.Mutex
+	logDamper        damper.Damper // of log lines on endpoints
+	droppedAt        time.Time     // time of the last removal of gone endpoints
+	planChanged      chan struct{} // closed and replaced when another configuration comes into force
 }
 
-// New returns a reader that knows nothing yet.
+// New returns a reader without a configuration and endpoints.
 func New(options Options) *Reader {
 	return &Reader{
-		options: options, silent: make(map[string]map[netip.AddrPort]bool), told: make(map[string]bool),
-		contacts: make(map[netip.AddrPort]bool), begun: make(chan struct{}), enforced: make(chan struct{}),
+		options: options, silent: make(map[string]map[netip.AddrPort]bool), reportedSilent: make(map[string]bool),
+		answeringKeepers: make(map[netip.AddrPort]bool), ready: make(chan struct{}), planChanged: make(chan struct{}),
 		crashes: make(map[uint64]*crash), quarantined: make(map[uint64]time.Time),
-		asked: make(map[netip.AddrPort]time.Time), lines: damper.Damper{LinesPerSecond: mostLogged},
+		pollSentAt: make(map[netip.AddrPort]time.Time), logDamper: damper.Damper{LinesPerSecond: maxLogged},
 	}
 }
 
@@ -100,27 +99,27 @@
 	return r.table.Load()
 }
 
-// Begun is closed once there is a configuration.
+// Begun returns a channel that is closed once there is a configuration.
 func (r *Reader) Begun() <-chan struct{} {
-	return r.begun
+	return r.ready
 }
 
-// Report tells a keeper what this router has in force and has seen, and its primary what
-// it has at the endpoints and what is asked for.
+// Report returns the report for a keeper: the version in force and the crashes seen here, and, for the
+// primary keeper, this router's load at the endpoints and the demand.
 func (r *Reader) Report(keeper netip.AddrPort, brief bool) *messenger.FollowRequest {
 	request := &messenger.FollowRequest{Node: r.options.Name, Zone: r.options.Zone, Plan: r.version()}
 	if !brief {
-		r.account(request)
-		if r.options.Begun != nil {
-			request.Begun = r.options.Begun(keeper)
+		r.addTotals(request)
+		if r.options.UnreportedStreams != nil {
+			request.Begun = r.options.UnreportedStreams(keeper)
 		}
 	}
 	now := r.options.Clock.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.asked[keeper], request.Evacuations = now, r.evacuations
+	r.pollSentAt[keeper], request.Evacuations = now, r.evacuations
 	for digest, seen := range r.crashes {
-		if now.Sub(seen.at) > crashMemory {
+		if now.Sub(seen.lastSeen) > crashRetention {
 			delete(r.crashes, digest)
 			continue
 		}
@@ -129,8 +128,8 @@
 	return request
 }
 
-// account fills in what is summed over all routers.
-func (r *Reader) account(request *messenger.FollowRequest) {
+// addTotals adds the values that keepers sum over all routers.
+func (r *Reader) addTotals(request *messenger.FollowRequest) {
 	if r.options.Uses != nil {
 		for workspace, use := range r.options.Uses() {
 			request.Uses = append(request.Uses, &messenger.Use{Workspace: workspace, Asked: use.Demand, Got: use.Served, Unheard: use.Shed})
@@ -146,6 +145,7 @@
 	}
 }
 
+// version returns the version of the configuration in force, 0 if there is none.
 func (r *Reader) version() uint64 {
 	if table := r.table.Load(); table != nil {
 		return table.Version()
@@ -153,89 +153,91 @@
 	return 0
 }
 
-// News takes a keeper's answer.
-func (r *Reader) News(ctx context.Context, keeper netip.AddrPort, news *messenger.FollowResponse) {
+// News applies the update in a keeper's answer to a poll.
+func (r *Reader) News(ctx context.Context, keeper netip.AddrPort, update *messenger.FollowResponse) {
 	r.mutex.Lock()
-	r.contacts[keeper] = true
+	r.answeringKeepers[keeper] = true
 	r.mutex.Unlock()
-	if r.options.Told != nil && !news.GetBrief() {
-		r.options.Told(keeper)
+	if r.options.ReportAnswered != nil && !update.GetBrief() {
+		r.options.ReportAnswered(keeper)
 	}
-	r.takeEvacuations(keeper, news)
-	r.takeListings(keeper, news.GetListings())
-	r.takeRations(keeper, news.GetRations())
-	r.takeQuarantine(news.GetQuarantined())
+	r.updateEvacuations(keeper, update)
+	r.updateListings(keeper, update.GetListings())
+	r.updateRations(keeper, update.GetRations())
+	r.updateQuarantine(update.GetQuarantined())
 	if r.options.Routers != nil {
-		r.options.Routers(int(news.GetRouters()))
+		r.options.Routers(int(update.GetRouters()))
 	}
-	if r.options.Fleet != nil && !news.GetBrief() {
-		r.options.Fleet(fleetOf(news))
+	if r.options.Fleet != nil && !update.GetBrief() {
+		r.options.Fleet(fleetOf(update))
 	}
-	if r.options.Homes != nil && !news.GetBrief() {
-		shifts := make(map[string]int, len(news.GetHomes()))
-		for _, sample := range news.GetHomes() {
-			shifts[sample.GetService()] = int(min(sample.GetShift(), mostShift))
+	if r.options.Sampling != nil && !update.GetBrief() {
+		shifts := make(map[string]int, len(update.GetHomes()))
+		for _, sample := range update.GetHomes() {
+			shifts[sample.GetService()] = int(min(sample.GetShift(), maxShift))
 		}
-		r.options.Homes(shifts)
+		r.options.Sampling(shifts)
 	}
-	if news.GetPlan() <= r.version() || news.GetBrief() && r.awaited(ctx, news.GetPlan()) {
+	if update.GetPlan() <= r.version() || update.GetBrief() && r.awaitPrimary(ctx, update.GetPlan()) {
 		return
 	}
 	r.fetch(ctx, keeper)
 }
 
-// mostShift bounds the shift of a sample: of no fleet only one endpoint in a million is told of.
-const mostShift = 20
+// maxShift bounds the shift of a sample: no fleet is so large that only one endpoint in 2^20, about a
+// million, is sampled.
+const maxShift = 20
 
-// takeEvacuations takes the zones whose endpoints get no new work. A keeper that is behind
-// the others may tell of former ones.
-func (r *Reader) takeEvacuations(keeper netip.AddrPort, news *messenger.FollowResponse) {
-	// Told on under the mutex: of two answers that come together the later one must not be
-	// undone by the other.
+// updateEvacuations applies the zones whose endpoints get no new work, unless the update's revision
+// is old: a keeper that lags behind its peers may send former zones.
+func (r *Reader) updateEvacuations(keeper netip.AddrPort, update *messenger.FollowResponse) {
+	// Evacuated is called with the mutex held: of two concurrent updates, the older revision must
+	// not be applied after the newer one.
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if news.GetEvacuations() <= r.evacuations {
+	if update.GetEvacuations() <= r.evacuations {
 		return
 	}
-	r.options.Log.Info().Strs("evacuated", news.GetEvacuated()).Uint64("revision", news.GetEvacuations()).
+	r.options.Log.Info().Strs("evacuated", update.GetEvacuated()).Uint64("revision", update.GetEvacuations()).
 		Uint64("before", r.evacuations).Stringer("keeper", keeper).Msg("evacuated zones changed")
-	r.evacuations = news.GetEvacuations()
+	r.evacuations = update.GetEvacuations()
 	if r.options.Evacuated != nil {
-		r.options.Evacuated(news.GetEvacuated())
+		r.options.Evacuated(update.GetEvacuated())
 	}
 }
 
-// takeRations takes the leases on cold endpoints that came with an answer.
-func (r *Reader) takeRations(keeper netip.AddrPort, told []*messenger.Ration) {
-	if len(told) == 0 || r.options.Rations == nil {
+// updateRations passes on the leases on cold endpoints in an update.
+func (r *Reader) updateRations(keeper netip.AddrPort, granted []*messenger.Ration) {
+	if len(granted) == 0 || r.options.Rations == nil {
 		return
 	}
-	rations := make([]balancer.Ration, 0, len(told))
-	for _, ration := range told {
+	rations := make([]balancer.Ration, 0, len(granted))
+	for _, ration := range granted {
 		rations = append(rations, balancer.Ration{
 			Endpoint: ration.GetEndpoint(), Pause: time.Duration(ration.GetPauseMs()) * time.Millisecond,
 			Term: time.Duration(ration.GetLeaseMs()) * time.Millisecond,
 		})
 	}
 	r.mutex.Lock()
-	asked := r.asked[keeper]
+	pollSentAt := r.pollSentAt[keeper]
 	r.mutex.Unlock()
-	r.options.Rations(asked, keeper, rations)
+	r.options.Rations(pollSentAt, keeper, rations)
 }
 
-// tell hands on what this router believes anew of endpoints.
-func (r *Reader) tell(keeper netip.AddrPort, changed []lister.Listing) {
+// publish logs changes of endpoints and passes them on.
+func (r *Reader) publish(keeper netip.AddrPort, changed []lister.Listing) {
 	r.log(keeper, changed)
 	r.options.Endpoints(changed)
 }
 
-// Learn takes endpoints that a keeper has named besides its news. What is known of one that leaves
-// or is gone stands.
+// Learn adds endpoints that a keeper has named outside the regular updates. An endpoint known as
+// leaving or gone stays so.
 func (r *Reader) Learn(keeper netip.AddrPort, listings []*messenger.Listing) {
-	r.takeListings(keeper, listings)
+	r.updateListings(keeper, listings)
 }
 
-func (r *Reader) takeListings(keeper netip.AddrPort, listings []*messenger.Listing) {
+// updateListings merges a keeper's listings into the list and publishes the changes.
+func (r *Reader) updateListings(keeper netip.AddrPort, listings []*messenger.Listing) {
 	if len(listings) == 0 {
 		return
 	}
@@ -243,43 +245,43 @@
 	r.mutex.Lock()
 	r.dropGone(now)
 	before := r.list.Revision()
-	said := make(map[string]bool, len(listings))
+	listed := make(map[string]bool, len(listings))
 	for _, wire := range listings {
 		listing, err := lister.FromWire(wire, now)
 		if err != nil {
-			r.options.Log.Warn().Err(err).Stringer("keeper", keeper).Msg("a listing cannot be read; it is left out")
+			r.options.Log.Warn().Err(err).Stringer("keeper", keeper).Msg("listing from keeper is unreadable; it is ignored")
 			continue
 		}
-		r.noteSilence(keeper, listing)
+		r.recordSilence(keeper, listing)
 		listing.Silent = false
 		r.list.Beat(now, listing)
-		said[listing.ID] = true
+		listed[listing.ID] = true
 	}
 	var changed []lister.Listing
 	for _, listing := range r.list.Since(before) {
-		delete(said, listing.ID)
+		delete(listed, listing.ID)
 		listing.Silent = r.isSilent(listing.ID)
-		r.note(listing.ID, listing.Silent)
+		r.recordReported(listing.ID, listing.Silent)
 		changed = append(changed, listing)
 	}
-	changed = append(changed, r.verdicts(said)...)
+	changed = append(changed, r.silenceChanges(listed)...)
 	r.mutex.Unlock()
-	r.tell(keeper, changed)
+	r.publish(keeper, changed)
 }
 
-// goneMemory is for how long an endpoint that is gone is remembered: longer than by any keeper,
-// whose late news must not bring it back.
-const goneMemory = 10 * time.Minute
+// goneRetention is how long an endpoint that is gone is remembered: longer than by any keeper, whose
+// late updates must not bring it back.
+const goneRetention = 10 * time.Minute
 
-// dropGone forgets endpoints that have long been gone. Else their number, as replacements go on,
-// would fill the list in some weeks, and no new ones would be taken.
+// dropGone removes endpoints that have been gone for goneRetention. Otherwise replaced endpoints would
+// fill the list within weeks, and new ones would not be accepted.
 func (r *Reader) dropGone(now time.Time) {
-	if now.Sub(r.dropped) < goneMemory/10 {
+	if now.Sub(r.droppedAt) < goneRetention/10 {
 		return
 	}
-	r.dropped = now
-	for _, id := range r.list.Drop(now, goneMemory) {
+	r.droppedAt = now
+	for _, id := range r.list.Drop(now, goneRetention) {
 		delete(r.silent, id)
-		delete(r.told, id)
+		delete(r.reportedSilent, id)
 	}
 }
--- a/router/internal/newsreader/newsreader_test.go
+++ b/router/internal/newsreader/newsreader_test.go
@@ -19,7 +19,7 @@
 	"shallotkeel.example/platform"
 )
 
-// keeper is a stand-in that has a configuration.
+// keeper is a stub that serves a configuration.
 type keeper struct {
 	messenger.Planning
 	plan    *messenger.Plan
@@ -31,26 +31,27 @@
 	return k.plan, nil
 }
 
-type bed struct {
+// fixture is a reader with three stub keepers, and the values that its callbacks have received.
+type fixture struct {
 	t       *testing.T
 	clock   *clockwork.FakeClock
 	keepers map[netip.AddrPort]*keeper
 	reader  *Reader
 	mutex   sync.Mutex
 	known   map[string]lister.Listing
-	zones   [][]string // evacuated, as told
-	rations []rations
+	zones   [][]string // evacuated zones, one entry per call
+	rations []leaseUpdate
 }
 
-// rations are leases as they were told.
-type rations struct {
-	asked  time.Time
-	keeper netip.AddrPort
-	leases []balancer.Ration
+// leaseUpdate holds the arguments of a call of Options.Rations.
+type leaseUpdate struct {
+	pollSentAt time.Time
+	keeper     netip.AddrPort
+	leases     []balancer.Ration
 }
 
-func newBed(t *testing.T) *bed {
-	b := &bed{t: t, clock: clockwork.NewFakeClock(), known: make(map[string]lister.Listing), keepers: map[netip.AddrPort]*keeper{
+func newFixture(t *testing.T) *fixture {
+	b := &fixture{t: t, clock: clockwork.NewFakeClock(), known: make(map[string]lister.Listing), keepers: map[netip.AddrPort]*keeper{
 		at(1): {}, at(2): {}, at(3): {},
 	}}
 	b.reader = New(Options{
@@ -65,8 +66,8 @@
 			}
 		},
 		Evacuated: func(zones []string) { b.zones = append(b.zones, zones) },
-		Rations: func(asked time.Time, keeper netip.AddrPort, leases []balancer.Ration) {
-			b.rations = append(b.rations, rations{asked, keeper, leases})
+		Rations: func(pollSentAt time.Time, keeper netip.AddrPort, leases []balancer.Ration) {
+			b.rations = append(b.rations, leaseUpdate{pollSentAt, keeper, leases})
 		},
 	})
 	return b
@@ -81,61 +82,60 @@
 	return &messenger.Plan{Version: numbers[version], Text: []byte(`{"version":` + version + `,"routes":[],"services":[]}`)}
 }
 
-func (b *bed) news(from byte, news *messenger.FollowResponse) {
-	b.reader.News(b.t.Context(), at(from), news)
+func (b *fixture) update(from byte, update *messenger.FollowResponse) {
+	b.reader.News(b.t.Context(), at(from), update)
 }
 
-// Symptom: a router goes back to an older configuration. Sequence: a keeper that
-// was cut off answers with what it knew. Cause: the last answer was taken for
-// the newest.
+// Guards against a router that returns to an older configuration because a keeper that was cut off
+// answers last, with the state that it had before.
 func TestVersionNeverFalls(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	require.Nil(t, b.reader.Table())
 	b.keepers[at(1)].plan, b.keepers[at(2)].plan = plan("2"), plan("1")
-	b.news(1, &messenger.FollowResponse{Plan: 2})
+	b.update(1, &messenger.FollowResponse{Plan: 2})
 	require.EqualValues(t, 2, b.reader.Table().Version())
-	b.news(2, &messenger.FollowResponse{Plan: 1})
+	b.update(2, &messenger.FollowResponse{Plan: 1})
 	require.Zero(t, b.keepers[at(2)].fetches)
-	b.news(2, &messenger.FollowResponse{Plan: 3}) // and then it has an older one after all
+	b.update(2, &messenger.FollowResponse{Plan: 3}) // its Fetch returns version 1
 	require.EqualValues(t, 2, b.reader.Table().Version())
 	b.keepers[at(3)].plan = &messenger.Plan{Version: 3, Text: []byte("not to be read")}
-	b.news(3, &messenger.FollowResponse{Plan: 3})
-	require.EqualValues(t, 2, b.reader.Table().Version(), "what cannot be used changes nothing")
+	b.update(3, &messenger.FollowResponse{Plan: 3})
+	require.EqualValues(t, 2, b.reader.Table().Version(), "an unusable configuration changes nothing")
 	require.EqualValues(t, 2, b.reader.Report(at(1), false).GetPlan())
 }
 
-// Symptom: each change of a configuration costs as many copies between zones as there are
-// routers. Cause: routers fetched it from whichever keeper named it first. If the primary
-// does not have it, because it is cut off, it still comes from another one in time.
+// Guards against as many copies between zones as there are routers at each change of the configuration,
+// because routers fetch it from the keeper that names it first. If the primary is cut off and does not
+// have it, it must still come from another keeper in time.
 func TestConfigurationComesFromThePrimary(t *testing.T) {
 	tests := map[string]struct {
-		primary uint64 // the version that it names meanwhile
+		primary uint64 // version that the primary names meanwhile
 		from    byte
 	}{
 		"the primary names it as well": {2, 1},
-		"it is cut off":                {1, 2},
+		"the primary is cut off":       {1, 2},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
+			b := newFixture(t)
 			b.keepers[at(1)].plan, b.keepers[at(2)].plan = plan("1"), plan("2")
 			b.keepers[at(3)].plan = plan("1")
-			b.news(3, &messenger.FollowResponse{Plan: 1, Brief: true})
-			require.Equal(t, 1, b.keepers[at(3)].fetches, "the first one comes from whoever has it")
+			b.update(3, &messenger.FollowResponse{Plan: 1, Brief: true})
+			require.Equal(t, 1, b.keepers[at(3)].fetches, "the first configuration comes from any keeper")
 			if test.primary == 2 {
 				b.keepers[at(1)].plan = plan("2")
 			}
-			told := make(chan struct{})
+			updated := make(chan struct{})
 			go func() {
-				b.news(2, &messenger.FollowResponse{Plan: 2, Brief: true})
-				close(told)
+				b.update(2, &messenger.FollowResponse{Plan: 2, Brief: true})
+				close(updated)
 			}()
 			require.NoError(t, b.clock.BlockUntilContext(t.Context(), 1))
-			b.news(1, &messenger.FollowResponse{Plan: test.primary})
+			b.update(1, &messenger.FollowResponse{Plan: test.primary})
 			if test.primary == 1 {
-				b.clock.Advance(otherPause)
+				b.clock.Advance(primaryWait)
 			}
-			<-told
+			<-updated
 			require.EqualValues(t, 2, b.reader.Table().Version())
 			for _, k := range []byte{1, 2} {
 				want := 0
@@ -154,95 +154,95 @@
 	}, time.Time{})
 }
 
-// Guards against a zone that gets work again because a keeper is behind the others.
+// Guards against an evacuated zone that gets work again because a keeper lags behind its peers.
 func TestEvacuatedZonesFollowTheNewestRevision(t *testing.T) {
-	b := newBed(t)
-	b.news(1, &messenger.FollowResponse{})
-	b.news(1, &messenger.FollowResponse{Evacuations: 2, Evacuated: []string{"hall", "barn"}})
-	b.news(2, &messenger.FollowResponse{Evacuations: 1, Evacuated: []string{"hall"}, Brief: true})
-	b.news(2, &messenger.FollowResponse{Evacuations: 2, Evacuated: []string{"hall", "barn"}})
+	b := newFixture(t)
+	b.update(1, &messenger.FollowResponse{})
+	b.update(1, &messenger.FollowResponse{Evacuations: 2, Evacuated: []string{"hall", "barn"}})
+	b.update(2, &messenger.FollowResponse{Evacuations: 1, Evacuated: []string{"hall"}, Brief: true})
+	b.update(2, &messenger.FollowResponse{Evacuations: 2, Evacuated: []string{"hall", "barn"}})
 	require.EqualValues(t, 2, b.reader.Report(at(3), true).GetEvacuations())
-	b.news(3, &messenger.FollowResponse{Evacuations: 3, Brief: true})
+	b.update(3, &messenger.FollowResponse{Evacuations: 3, Brief: true})
 	require.Equal(t, [][]string{{"hall", "barn"}, nil}, b.zones)
 	require.EqualValues(t, 3, b.reader.Report(at(3), false).GetEvacuations())
 }
 
-// Guards against leases that are taken to last for longer than their keeper does: they count
-// from when it was asked, however late its answer comes.
+// Guards against leases that the router holds for longer than their keeper does: they count from when
+// the poll was sent, however late its answer arrives.
 func TestLeasesCountFromWhenTheyWereAskedFor(t *testing.T) {
-	b := newBed(t)
-	asked := b.clock.Now()
+	b := newFixture(t)
+	pollSentAt := b.clock.Now()
 	b.reader.Report(at(1), false)
 	b.clock.Advance(400 * time.Millisecond)
 	b.reader.Report(at(2), true)
-	b.news(1, &messenger.FollowResponse{Rations: []*messenger.Ration{{Endpoint: 7, PauseMs: 350, LeaseMs: 1500}}})
-	b.news(2, &messenger.FollowResponse{Brief: true})
-	require.Equal(t, []rations{{asked, at(1), []balancer.Ration{{
+	b.update(1, &messenger.FollowResponse{Rations: []*messenger.Ration{{Endpoint: 7, PauseMs: 350, LeaseMs: 1500}}})
+	b.update(2, &messenger.FollowResponse{Brief: true})
+	require.Equal(t, []leaseUpdate{{pollSentAt, at(1), []balancer.Ration{{
 		Endpoint: 7, Pause: 350 * time.Millisecond, Term: 1500 * time.Millisecond,
 	}}}}, b.rations)
 }
 
-// Symptom: all work goes to a few endpoints while one keeper is cut off from the
-// others. Cause: its silence about the rest was believed.
-func TestSilenceTakesAllKeepersThatAnswer(t *testing.T) {
-	b := newBed(t)
+// Guards against all work going to a few endpoints while one keeper is cut off from its peers and
+// reports the other endpoints as silent.
+func TestSilenceRequiresAllAnsweringKeepers(t *testing.T) {
+	b := newFixture(t)
 	for _, k := range []byte{1, 2, 3} {
-		b.news(k, &messenger.FollowResponse{Listings: []*messenger.Listing{listing("a", 1, lister.Ready, false)}})
+		b.update(k, &messenger.FollowResponse{Listings: []*messenger.Listing{listing("a", 1, lister.Ready, false)}})
 	}
 	silent := &messenger.FollowResponse{Listings: []*messenger.Listing{listing("a", 1, lister.Ready, true)}}
-	b.news(1, silent)
-	b.news(2, silent)
+	b.update(1, silent)
+	b.update(2, silent)
 	require.False(t, b.known["a"].Silent)
 	b.reader.Lost(at(3), nil)
-	require.True(t, b.known["a"].Silent, "the keeper that heard it answers no more")
-	b.news(2, &messenger.FollowResponse{Listings: []*messenger.Listing{listing("a", 2, lister.Ready, false)}})
+	require.True(t, b.known["a"].Silent, "the only keeper that got its heartbeats does not answer")
+	b.update(2, &messenger.FollowResponse{Listings: []*messenger.Listing{listing("a", 2, lister.Ready, false)}})
 	require.False(t, b.known["a"].Silent)
 }
 
-// An instance that is not listed here, whatever was told of it, is no endpoint to tell of.
-func TestSilenceOfAnUnlistedInstanceTellsNothing(t *testing.T) {
-	b := newBed(t)
-	b.reader.told["nobody"] = true
-	require.Empty(t, b.reader.verdicts(map[string]bool{"nobody": true}))
+// An instance that is not in the list is no endpoint to publish, even if it was published before.
+func TestSilenceOfAnUnlistedInstanceIsNotPublished(t *testing.T) {
+	b := newFixture(t)
+	b.reader.reportedSilent["nobody"] = true
+	require.Empty(t, b.reader.silenceChanges(map[string]bool{"nobody": true}))
 }
 
-// Symptom: an endpoint that has just started again is the last choice. Sequence: all
-// keepers had missed its former life's heartbeats; one of them tells so late. Cause:
-// silence was remembered by the instance, whichever life it was of.
-func TestSilenceIsOfOneLife(t *testing.T) {
-	b := newBed(t)
-	said := func(started int64, silent bool) *messenger.FollowResponse {
+// Guards against an endpoint that has just restarted and is the last choice because silence was
+// recorded by instance only: all keepers had missed heartbeats of the earlier incarnation, and one of
+// them reports so late.
+func TestSilenceAppliesToOneIncarnation(t *testing.T) {
+	b := newFixture(t)
+	report := func(started int64, silent bool) *messenger.FollowResponse {
 		l := listing("a", 1, lister.Ready, silent)
 		l.StartedMs = uint64(started)
 		return &messenger.FollowResponse{Listings: []*messenger.Listing{l}}
 	}
 	for _, k := range []byte{1, 2, 3} {
-		b.news(k, said(1000, true))
+		b.update(k, report(1000, true))
 	}
 	require.True(t, b.known["a"].Silent)
-	b.news(1, said(9000, false))
+	b.update(1, report(9000, false))
 	require.False(t, b.known["a"].Silent)
-	b.news(2, said(1000, true))
-	b.news(3, said(1000, true))
+	b.update(2, report(1000, true))
+	b.update(3, report(1000, true))
 	b.reader.Lost(at(1), nil)
 	require.False(t, b.known["a"].Silent)
 	require.Equal(t, time.UnixMilli(9000), b.known["a"].Started)
-	b.news(2, said(9000, true))
-	b.news(3, said(9000, true))
+	b.update(2, report(9000, true))
+	b.update(3, report(9000, true))
 	require.True(t, b.known["a"].Silent)
 }
 
-func TestLeavingIsBelievedOfAnyKeeper(t *testing.T) {
-	b := newBed(t)
-	b.news(1, &messenger.FollowResponse{Listings: []*messenger.Listing{listing("a", 3, lister.Leaving, false)}})
-	b.news(2, &messenger.FollowResponse{Listings: []*messenger.Listing{listing("a", 2, lister.Ready, false)}})
+func TestLeavingIsAcceptedFromAnyKeeper(t *testing.T) {
+	b := newFixture(t)
+	b.update(1, &messenger.FollowResponse{Listings: []*messenger.Listing{listing("a", 3, lister.Leaving, false)}})
+	b.update(2, &messenger.FollowResponse{Listings: []*messenger.Listing{listing("a", 2, lister.Ready, false)}})
 	require.Equal(t, lister.Leaving, b.known["a"].State)
-	b.news(2, &messenger.FollowResponse{}) // a keeper that restarted lists nothing
+	b.update(2, &messenger.FollowResponse{}) // a restarted keeper lists no endpoints
 	require.Equal(t, lister.Leaving, b.known["a"].State)
 }
 
-func TestCrashesAreToldToEveryKeeperUntilTheyAreOld(t *testing.T) {
-	b := newBed(t)
+func TestCrashesAreReportedToEveryKeeperUntilTheyExpire(t *testing.T) {
+	b := newFixture(t)
 	b.reader.Crashed(7)
 	b.reader.Crashed(7)
 	for _, k := range []byte{1, 2, 1} {
@@ -251,58 +251,58 @@
 		require.EqualValues(t, 7, crashes[0].GetDigest())
 		require.EqualValues(t, 2, crashes[0].GetCount())
 	}
-	b.clock.Advance(crashMemory + time.Second)
+	b.clock.Advance(crashRetention + time.Second)
 	require.Empty(t, b.reader.Report(at(1), false).GetCrashes())
 }
 
 func TestQuarantineEnds(t *testing.T) {
-	b := newBed(t)
-	b.news(1, &messenger.FollowResponse{Quarantined: []*messenger.Fingerprint{{Digest: 7, LeftMs: 5000}}})
+	b := newFixture(t)
+	b.update(1, &messenger.FollowResponse{Quarantined: []*messenger.Fingerprint{{Digest: 7, LeftMs: 5000}}})
 	require.True(t, b.reader.Quarantined(7))
 	require.False(t, b.reader.Quarantined(8))
 	b.clock.Advance(6 * time.Second)
 	require.False(t, b.reader.Quarantined(7))
 }
 
-// Guards against a router that takes no new endpoints after some weeks of replacements, because
-// its list is full of those that are gone.
+// Guards against a router that accepts no new endpoints after some weeks of replacements, because its
+// list is full of endpoints that are gone.
 func TestEndpointsThatAreGoneAreForgotten(t *testing.T) {
-	b := newBed(t)
+	b := newFixture(t)
 	replace := func(i int) {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, byte(i >> 8), byte(i)}), 80)
 		for _, state := range []lister.State{lister.Ready, lister.Gone} {
 			listing := lister.Listing{ID: fmt.Sprint("i-", i), Service: "desk", Address: address, State: state, Sequence: uint64(state)}
-			b.news(1, &messenger.FollowResponse{Listings: []*messenger.Listing{lister.ToWire(listing, b.clock.Now())}})
+			b.update(1, &messenger.FollowResponse{Listings: []*messenger.Listing{lister.ToWire(listing, b.clock.Now())}})
 		}
 	}
 	replace(0)
-	b.clock.Advance(goneMemory / 2)
+	b.clock.Advance(goneRetention / 2)
 	replace(1)
 	_, found := b.reader.list.Find("i-0")
-	require.True(t, found, "late news of it must not bring it back")
+	require.True(t, found, "a late update must not bring it back")
 	for i := 2; i < 200; i++ {
-		b.clock.Advance(goneMemory / 10)
+		b.clock.Advance(goneRetention / 10)
 		replace(i)
 	}
 	require.LessOrEqual(t, len(b.reader.list.Since(0)), 15)
 }
 
-// Records of streams were forgotten though their report had not arrived: a brief poll's answer, which
-// follows where another keeper takes the reports, counted as the answer to it.
-func TestOnlyAnswersToReportsCountAsTold(t *testing.T) {
-	b := newBed(t)
-	var told, untold []netip.AddrPort
-	b.reader.options.Begun = func(netip.AddrPort) []*messenger.Begun {
+// Guards against records of streams that are dropped before their report has arrived, because the
+// answer to a brief poll, which follows once another keeper gets the reports, counts as its answer.
+func TestOnlyAnswersToReportsConfirmThem(t *testing.T) {
+	b := newFixture(t)
+	var answered, lost []netip.AddrPort
+	b.reader.options.UnreportedStreams = func(netip.AddrPort) []*messenger.Begun {
 		return []*messenger.Begun{{Service: "desk", Version: "v1", Streams: []uint64{7}}}
 	}
-	b.reader.options.Told = func(keeper netip.AddrPort) { told = append(told, keeper) }
-	b.reader.options.Untold = func(keeper netip.AddrPort) { untold = append(untold, keeper) }
+	b.reader.options.ReportAnswered = func(keeper netip.AddrPort) { answered = append(answered, keeper) }
+	b.reader.options.ReportLost = func(keeper netip.AddrPort) { lost = append(lost, keeper) }
 	require.Len(t, b.reader.Report(at(1), false).GetBegun(), 1)
 	require.Empty(t, b.reader.Report(at(1), true).GetBegun())
-	b.news(1, &messenger.FollowResponse{Brief: true})
-	require.Empty(t, told)
-	b.news(1, &messenger.FollowResponse{})
-	require.Equal(t, []netip.AddrPort{at(1)}, told)
+	b.update(1, &messenger.FollowResponse{Brief: true})
+	require.Empty(t, answered)
+	b.update(1, &messenger.FollowResponse{})
+	require.Equal(t, []netip.AddrPort{at(1)}, answered)
 	b.reader.Lost(at(1), nil)
-	require.Equal(t, []netip.AddrPort{at(1)}, untold)
+	require.Equal(t, []netip.AddrPort{at(1)}, lost)
 }
--- a/router/internal/newsreader/silence.go
+++ b/router/internal/newsreader/silence.go
@@ -6,66 +6,66 @@
 	"shallotkeel.example/lib/lister"
 )
 
-// Lost notes that a keeper does not answer. Nothing that it said is forgotten but
-// the silences, which it can no longer take back.
+// Lost records that a keeper does not answer. Its listings are kept, but not its reports of silent
+// endpoints, which it can no longer withdraw.
 func (r *Reader) Lost(keeper netip.AddrPort, _ error) {
-	if r.options.Untold != nil {
-		r.options.Untold(keeper)
+	if r.options.ReportLost != nil {
+		r.options.ReportLost(keeper)
 	}
 	r.mutex.Lock()
-	delete(r.contacts, keeper)
+	delete(r.answeringKeepers, keeper)
 	ids := make(map[string]bool)
 	for id, by := range r.silent {
 		delete(by, keeper)
 		ids[id] = true
 	}
-	changed := r.verdicts(ids)
+	changed := r.silenceChanges(ids)
 	r.mutex.Unlock()
-	r.tell(keeper, changed)
+	r.publish(keeper, changed)
 }
 
-// verdicts returns those of some instances on which this router's word on their silence
-// has changed.
-func (r *Reader) verdicts(ids map[string]bool) []lister.Listing {
+// silenceChanges returns the listings of those of the given instances whose silence, in this router's
+// view, differs from what was last published.
+func (r *Reader) silenceChanges(ids map[string]bool) []lister.Listing {
 	var changed []lister.Listing
 	for id := range ids {
 		listing, found := r.list.Find(id)
 		if !found {
 			continue
 		}
-		if silent := r.isSilent(id); silent != r.told[id] {
+		if silent := r.isSilent(id); silent != r.reportedSilent[id] {
 			listing.Silent = silent
-			r.note(id, silent)
+			r.recordReported(id, silent)
 			changed = append(changed, listing)
 		}
 	}
 	return changed
 }
 
-// note remembers what is told on of an instance's silence.
-func (r *Reader) note(id string, silent bool) {
+// recordReported records the silence of an instance as published.
+func (r *Reader) recordReported(id string, silent bool) {
 	if silent {
-		r.told[id] = true
+		r.reportedSilent[id] = true
 		return
 	}
-	delete(r.told, id)
+	delete(r.reportedSilent, id)
 }
 
-// isSilent tells whether all keepers that answer hear nothing of an instance. A
-// keeper that is cut off from the others misses the heartbeats that they get;
-// believing it alone would move all work to the few endpoints that it hears.
+// isSilent reports whether all keepers that answer get no heartbeats of an instance. A keeper that is
+// cut off from its peers misses heartbeats that they get; relying on it alone would move all work to
+// the few endpoints whose heartbeats it gets.
 func (r *Reader) isSilent(id string) bool {
-	for keeper := range r.contacts {
+	for keeper := range r.answeringKeepers {
 		if !r.silent[id][keeper] {
 			return false
 		}
 	}
-	return len(r.contacts) > 0
+	return len(r.answeringKeepers) > 0
 }
 
-// noteSilence remembers which keepers hear nothing of an instance. What a keeper
-// says of a life that is over says nothing of the one that followed.
-func (r *Reader) noteSilence(keeper netip.AddrPort, listing lister.Listing) {
+// recordSilence records which keepers get no heartbeats of an instance. A keeper's report on an
+// earlier incarnation of an instance is ignored once a later one is known.
+func (r *Reader) recordSilence(keeper netip.AddrPort, listing lister.Listing) {
 	known, found := r.list.Find(listing.ID)
 	if found && listing.Started.Before(known.Started) {
 		return
--- a/router/internal/passer/attempt.go
+++ b/router/internal/passer/attempt.go
@@ -68,7 +68,7 @@
 	outgoing := &forwarder.Outgoing{
 		ID: q.in.ID, Method: q.http.Method, Target: q.target, Host: q.http.Host, Body: q.body,
 		Header: p.options.Dialect.Outgoing(q.http.Header, forwarder.Mark{
-			Instance: slot.ID, Workspace: q.workspace, Left: q.deadline.Sub(p.options.Clock.Now()), Resume: q.stream.lastID,
+			Instance: slot.ID, Workspace: q.workspace, Remaining: q.deadline.Sub(p.options.Clock.Now()), Resume: q.stream.lastID,
 		}),
 	}
 	watch := p.watch(q, slot, cancel)
@@ -111,8 +111,8 @@
 	if answer.Leaving && slot.MarkLeaving() {
 		p.options.Log.Info().Str("endpoint", slot.ID).Msg("endpoint announced in an answer that it is leaving; it gets no new requests")
 	}
-	if answer.Unread != nil {
-		p.options.Log.Warn().Err(answer.Unread).Str("id", q.in.ID).Str("endpoint", slot.ID).Msg("header of the endpoint's answer is unreadable; it is ignored")
+	if answer.Unreadable != nil {
+		p.options.Log.Warn().Err(answer.Unreadable).Str("id", q.in.ID).Str("endpoint", slot.ID).Msg("header of the endpoint's answer is unreadable; it is ignored")
 	}
 }
 
--- a/router/internal/recaller/recaller.go
+++ b/router/internal/recaller/recaller.go
@@ -1,13 +1,13 @@
-// Package recaller knows at which software version streams began: those that this router began,
-// and by asking keepers those of others.
+// Package recaller finds the software version at which a stream began: from its own records for
+// streams that began at this router, and from the keepers for all others.
 //
-// Each stream's record goes to the keeper that this router reports to, with its next report, and
-// from there to the other keepers. So a client may take its stream up at any router, also when the
-// one that began it is gone. The first event of a stream waits for none of this: a record that is
-// lost costs its stream, which is refused, and never lets two versions meet.
+// The record of each stream goes to the keeper that gets this router's reports, with the next report,
+// and from there to the other keepers. So a client may resume its stream at any router, even if the
+// router at which it began is gone. The first event of a stream waits for none of this: the loss of a
+// record costs its stream, whose resumption is refused, and never lets one stream mix two versions.
 //
-// Invariants: what neither this router nor a keeper knows is not known; records that a keeper has
-// not acknowledged are told again.
+// Invariants: an origin is returned only if this router or a keeper has a record of it; records that
+// a keeper has not acknowledged are reported again.
 package recaller
 
 import (
@@ -25,144 +25,145 @@
 )
 
 const (
-	// patience is how long keepers are waited for: a few times what they take in another zone.
-	patience = 200 * time.Millisecond
-	// mostUntold bounds the records that wait for a keeper that takes reports.
-	mostUntold = 1 << 14
+	// askTimeout bounds the wait for keepers: a few times the response time of a keeper in another zone.
+	askTimeout = 200 * time.Millisecond
+	// maxUnreported bounds the records that wait to be reported to a keeper.
+	maxUnreported = 1 << 14
 )
 
-// Options are what a Recaller is made of.
+// Options configures a Recaller.
 type Options struct {
-	// Keepers returns those that answer. Without it none is asked.
+	// Keepers returns the keepers that answer. If it is nil, no keeper is asked.
 	Keepers func() []netip.AddrPort
 	Dial    func(address netip.AddrPort) messenger.Planning
-	// Name is the router's own. Learn is told of the endpoints that a keeper has named.
+	// Name is the name of this router. Learn receives endpoints that a keeper has named.
 	Name  string
 	Learn func(keeper netip.AddrPort, listings []*messenger.Listing)
 	Clock clockwork.Clock
 	Log   zerolog.Logger
 }
 
-// Recaller is safe for concurrent use.
+// Recaller records and finds the origins of streams. It is safe for concurrent use.
 type Recaller struct {
-	options Options
-	memory  versioner.Store
-	lines   damper.Damper
-
-	mutex  sync.Mutex
-	untold []versioner.Record
-	first  uint64                    // number of the first of them, counted over all
-	asked  map[netip.AddrPort]uint64 // number behind the last one that the keeper's poll under way tells
+	options   Options
+	store     versioner.Store
+	logDamper damper.Damper
+
+	mutex       sync.Mutex
+	unreported  []versioner.Record
+	firstNumber uint64                    // sequence number of unreported[0], counted since the start
+	reportEnd   map[netip.AddrPort]uint64 // sequence number after the last record in the current report to a keeper
 }
 
-// New returns a recaller that knows no stream.
+// New returns a recaller without records.
 func New(options Options) *Recaller {
-	return &Recaller{options: options, asked: make(map[netip.AddrPort]uint64)}
+	return &Recaller{options: options, reportEnd: make(map[netip.AddrPort]uint64)}
 }
 
-// Begun notes where a stream has begun or goes on.
+// Begun records the origin of a stream that begins or is resumed.
 func (r *Recaller) Begun(name versioner.StreamID, origin versioner.Origin) {
 	for _, stream := range name.Hashes() {
-		if r.memory.Add(r.options.Clock.Now(), stream, origin) {
+		if r.store.Add(r.options.Clock.Now(), stream, origin) {
 			r.queue(versioner.Record{Stream: stream, Origin: origin})
 		}
 	}
 }
 
-// queue keeps a record for the keeper that is reported to.
+// queue adds a record to those that are to be reported. If there are too many, the oldest is dropped.
 func (r *Recaller) queue(record versioner.Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(r.untold) >= mostUntold {
-		r.untold = r.untold[1:]
-		r.first++
+	if len(r.unreported) >= maxUnreported {
+		r.unreported = r.unreported[1:]
+		r.firstNumber++
 	}
-	r.untold = append(r.untold, record)
+	r.unreported = append(r.unreported, record)
 }
 
-// Report returns what the keeper that is reported to does not know yet.
+// Report returns the records for the report to a keeper: those that no keeper has acknowledged.
 func (r *Recaller) Report(keeper netip.AddrPort) []*messenger.Begun {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.asked[keeper] = r.first + uint64(len(r.untold))
-	return versioner.ToWire(r.untold)
+	r.reportEnd[keeper] = r.firstNumber + uint64(len(r.unreported))
+	return versioner.ToWire(r.unreported)
 }
 
-// Told notes that a keeper has answered a report.
-func (r *Recaller) Told(keeper netip.AddrPort) {
+// ReportAnswered records that a keeper has answered its report, and drops the records in it.
+func (r *Recaller) ReportAnswered(keeper netip.AddrPort) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if behind := r.asked[keeper]; behind > r.first {
-		r.untold = r.untold[behind-r.first:]
-		r.first = behind
+	if behind := r.reportEnd[keeper]; behind > r.firstNumber {
+		r.unreported = r.unreported[behind-r.firstNumber:]
+		r.firstNumber = behind
 	}
 }
 
-// Lost forgets a report that was not answered.
-func (r *Recaller) Lost(keeper netip.AddrPort) {
+// ReportLost records that a report was not answered; its records are reported again.
+func (r *Recaller) ReportLost(keeper netip.AddrPort) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	delete(r.asked, keeper)
+	delete(r.reportEnd, keeper)
 }
 
-// Find returns where a stream began, if this router or a keeper that answers knows it.
+// Find returns the origin of a stream, if this router or a keeper that answers has a record of it.
 func (r *Recaller) Find(ctx context.Context, name versioner.StreamID) (versioner.Origin, bool) {
 	stream := name.Hash()
-	if origin, found := r.memory.Find(r.options.Clock.Now(), stream); found {
+	if origin, found := r.store.Find(r.options.Clock.Now(), stream); found {
 		return origin, true
 	}
 	origin, found := r.ask(ctx, stream)
 	if found {
-		r.memory.Add(r.options.Clock.Now(), stream, origin)
+		r.store.Add(r.options.Clock.Now(), stream, origin)
 	}
 	return origin, found
 }
 
-// ask asks the keepers where a stream began.
+// ask queries the keepers for the origin of a stream.
 func (r *Recaller) ask(ctx context.Context, stream uint64) (versioner.Origin, bool) {
-	return first(ctx, r, func(ctx context.Context, keeper netip.AddrPort) (versioner.Origin, bool, error) {
+	return firstAnswer(ctx, r, func(ctx context.Context, keeper netip.AddrPort) (versioner.Origin, bool, error) {
 		answer, err := r.options.Dial(keeper).Recall(ctx, &messenger.RecallRequest{Stream: stream})
 		return versioner.Origin{Service: answer.GetService(), Version: answer.GetVersion()}, answer.GetVersion() != "", err
 	})
 }
 
-// Widen learns of endpoints where streams of an origin may go on. Of a service with many a router
-// is told of a part only, and of one version that may be none.
+// Widen asks the keepers for endpoints where streams of an origin can be resumed, and passes them to
+// Learn. Of a service with many endpoints a router knows only a part, which may have no endpoint of
+// the origin's version.
 func (r *Recaller) Widen(ctx context.Context, origin versioner.Origin) {
 	request := &messenger.LocateRequest{Service: origin.Service, Version: origin.Version, Node: r.options.Name}
-	named, found := first(ctx, r, func(ctx context.Context, keeper netip.AddrPort) (named, bool, error) {
+	located, found := firstAnswer(ctx, r, func(ctx context.Context, keeper netip.AddrPort) (keeperListings, bool, error) {
 		answer, err := r.options.Dial(keeper).Locate(ctx, request)
-		return named{by: keeper, listings: answer.GetListings()}, len(answer.GetListings()) > 0, err
+		return keeperListings{keeper: keeper, listings: answer.GetListings()}, len(answer.GetListings()) > 0, err
 	})
 	if found {
-		r.options.Learn(named.by, named.listings)
+		r.options.Learn(located.keeper, located.listings)
 	}
 }
 
-// named is endpoints that a keeper has named.
-type named struct {
-	by       netip.AddrPort
+// keeperListings holds endpoints that a keeper has named.
+type keeperListings struct {
+	keeper   netip.AddrPort
 	listings []*messenger.Listing
 }
 
-// first asks all keepers that answer at once, and returns what the first says that knows.
-func first[T any](
+// firstAnswer queries all keepers that answer concurrently, and returns the first positive answer.
+func firstAnswer[T any](
 	ctx context.Context, r *Recaller, ask func(ctx context.Context, keeper netip.AddrPort) (T, bool, error),
 ) (known T, found bool) {
 	if r.options.Keepers == nil {
 		return known, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	keepers := r.options.Keepers()
 	answers := make(chan *T, len(keepers))
 	for _, keeper := range keepers {
 		go func() {
-			answer, knows, err := ask(ctx, keeper)
-			if err != nil && ctx.Err() == nil && r.lines.Admit(r.options.Clock.Now(), r.options.Log) {
-				r.options.Log.Info().Err(err).Stringer("keeper", keeper).Msg("a keeper does not tell of a stream's version")
+			answer, positive, err := ask(ctx, keeper)
+			if err != nil && ctx.Err() == nil && r.logDamper.Admit(r.options.Clock.Now(), r.options.Log) {
+				r.options.Log.Info().Err(err).Stringer("keeper", keeper).Msg("query to a keeper for a stream failed; the other keepers' answers are used")
 			}
-			if err != nil || !knows {
+			if err != nil || !positive {
 				answers <- nil
 				return
 			}
--- a/router/internal/recaller/recaller_test.go
+++ b/router/internal/recaller/recaller_test.go
@@ -23,21 +23,21 @@
 	one = versioner.Origin{Service: "desk", Version: "v1"}
 	two = versioner.Origin{Service: "desk", Version: "v2"}
 
-	errCut = merry.Sentinel("there is no way there")
+	errUnreachable = merry.Sentinel("the keeper is unreachable")
 )
 
-// nameOf returns the name of a stream whose content no other one has.
+// nameOf returns the ID of a stream with a content hash of its own.
 func nameOf(request string) versioner.StreamID {
 	return versioner.StreamID{Request: request, Content: xxhash.Sum64String("content of " + request)}
 }
 
-// fleet is keepers and which routers reach them.
+// fleet is a set of keepers, and the routers that cannot reach them.
 type fleet struct {
 	clock *clockwork.FakeClock
 
 	mutex   sync.Mutex
 	keepers map[netip.AddrPort]*versioner.Store
-	cut     map[string]bool // "router address"
+	cut     map[string]bool // pairs of router name and keeper address without a connection
 	listed  []*messenger.Listing
 }
 
@@ -53,7 +53,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(keeper + 1)}), 7400)
 }
 
-// router returns a router that has just started.
+// router returns a recaller of a router that has just started.
 func (f *fleet) router(name string) *Recaller {
 	return New(Options{
 		Clock: f.clock, Log: zerolog.Nop(),
@@ -68,23 +68,25 @@
 			}
 			return answering
 		},
-		Dial: func(keeper netip.AddrPort) messenger.Planning { return &path{fleet: f, router: name, keeper: keeper} },
+		Dial: func(keeper netip.AddrPort) messenger.Planning {
+			return &stubKeeper{fleet: f, router: name, keeper: keeper}
+		},
 	})
 }
 
-// path is the way from a router to a keeper.
-type path struct {
+// stubKeeper is the client with which a router calls a keeper.
+type stubKeeper struct {
 	messenger.Planning
 	fleet  *fleet
 	router string
 	keeper netip.AddrPort
 }
 
-func (p *path) Recall(_ context.Context, request *messenger.RecallRequest) (*messenger.RecallResponse, error) {
+func (p *stubKeeper) Recall(_ context.Context, request *messenger.RecallRequest) (*messenger.RecallResponse, error) {
 	p.fleet.mutex.Lock()
 	defer p.fleet.mutex.Unlock()
 	if p.fleet.cut[p.router+p.keeper.String()] {
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	origin, found := p.fleet.keepers[p.keeper].Find(p.fleet.clock.Now(), request.GetStream())
 	if !found {
@@ -93,25 +95,25 @@
 	return &messenger.RecallResponse{Service: origin.Service, Version: origin.Version}, nil
 }
 
-// restart lets a keeper start again, without memory.
+// restart restarts a keeper with an empty store.
 func (f *fleet) restart(keeper int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.keepers[address(keeper)] = &versioner.Store{}
 }
 
-// set cuts a router from a keeper, or joins them.
-func (f *fleet) set(router string, keeper int, cut bool) {
+// setCut cuts or restores the connection of a router to a keeper.
+func (f *fleet) setCut(router string, keeper int, cut bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.cut[router+address(keeper).String()] = cut
 }
 
-func (p *path) Locate(_ context.Context, request *messenger.LocateRequest) (*messenger.LocateResponse, error) {
+func (p *stubKeeper) Locate(_ context.Context, request *messenger.LocateRequest) (*messenger.LocateResponse, error) {
 	p.fleet.mutex.Lock()
 	defer p.fleet.mutex.Unlock()
 	if p.fleet.cut[p.router+p.keeper.String()] {
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	response := &messenger.LocateResponse{}
 	for _, listing := range p.fleet.listed {
@@ -122,7 +124,8 @@
 	return response, nil
 }
 
-// report lets a router report to a keeper. The keeper may get the report and its answer be lost.
+// report sends the report of a router to a keeper. The report may be lost, or arrive while its answer
+// is lost.
 func (f *fleet) report(r *Recaller, keeper int, arrives, answered bool) {
 	begun := r.Report(address(keeper))
 	if arrives {
@@ -133,67 +136,67 @@
 		}
 	}
 	if answered {
-		r.Told(address(keeper))
+		r.ReportAnswered(address(keeper))
 		return
 	}
-	r.Lost(address(keeper))
+	r.ReportLost(address(keeper))
 }
 
-// Streams of a router that was killed, or that is cut off, went on at any version, or nowhere though
-// a keeper knew where they began.
+// Guards against streams of a router that was killed or cut off: they are resumed at any version, or
+// refused although a keeper knows their origin.
 func TestStreamsAreFoundAtAnotherRouter(t *testing.T) {
 	for name, test := range map[string]struct {
-		do    func(f *fleet, began *Recaller)
+		do    func(f *fleet, first *Recaller)
 		found bool
 	}{
-		"reported, its router is killed": {func(f *fleet, began *Recaller) { f.report(began, 0, true, true) }, true},
+		"reported, its router is killed": {func(f *fleet, first *Recaller) { f.report(first, 0, true, true) }, true},
 		"not reported":                   {func(*fleet, *Recaller) {}, false},
-		"the report is lost":             {func(f *fleet, began *Recaller) { f.report(began, 0, false, false) }, false},
-		"the report is lost, and sent again": {func(f *fleet, began *Recaller) {
-			f.report(began, 0, false, false)
-			f.report(began, 0, true, true)
+		"the report is lost":             {func(f *fleet, first *Recaller) { f.report(first, 0, false, false) }, false},
+		"the report is lost, and repeated": {func(f *fleet, first *Recaller) {
+			f.report(first, 0, false, false)
+			f.report(first, 0, true, true)
 		}, true},
-		"the report is lost, and another keeper gets it": {func(f *fleet, began *Recaller) {
-			f.report(began, 0, false, false)
-			f.report(began, 1, true, true)
+		"the report is lost, and another keeper gets it": {func(f *fleet, first *Recaller) {
+			f.report(first, 0, false, false)
+			f.report(first, 1, true, true)
 		}, true},
-		"the answer is lost": {func(f *fleet, began *Recaller) { f.report(began, 0, true, false) }, true},
-		"its keeper has forgotten": {func(f *fleet, began *Recaller) {
-			f.report(began, 0, true, true)
+		"the answer is lost": {func(f *fleet, first *Recaller) { f.report(first, 0, true, false) }, true},
+		"its keeper has restarted": {func(f *fleet, first *Recaller) {
+			f.report(first, 0, true, true)
 			f.restart(0)
 		}, false},
-		"the other side of a cut knows": {func(f *fleet, began *Recaller) {
-			f.report(began, 0, true, true)
-			f.set("other", 0, true)
+		"only a keeper that is cut off has it": {func(f *fleet, first *Recaller) {
+			f.report(first, 0, true, true)
+			f.setCut("other", 0, true)
 		}, false},
-		"a keeper on this side knows as well": {func(f *fleet, began *Recaller) {
-			f.report(began, 0, true, true)
+		"a reachable keeper has it as well": {func(f *fleet, first *Recaller) {
+			f.report(first, 0, true, true)
 			f.keepers[address(1)].Add(f.clock.Now(), nameOf("first").Hash(), one)
-			f.set("other", 0, true)
+			f.setCut("other", 0, true)
 		}, true},
-		"long ago": {func(f *fleet, began *Recaller) {
-			f.report(began, 0, true, true)
+		"its retention is over": {func(f *fleet, first *Recaller) {
+			f.report(first, 0, true, true)
 			f.clock.Advance(2 * versioner.Retention)
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(2)
-			began := f.router("began")
-			began.Begun(nameOf("first"), one)
-			test.do(f, began)
+			first := f.router("began")
+			first.Begun(nameOf("first"), one)
+			test.do(f, first)
 			origin, found := f.router("other").Find(t.Context(), nameOf("first"))
 			require.Equal(t, test.found, found)
 			if found {
 				require.Equal(t, one, origin)
 			}
 			_, found = f.router("other").Find(t.Context(), versioner.StreamID{Content: 2})
-			require.False(t, found, "a stream that nobody names")
+			require.False(t, found, "a stream without a record")
 		})
 	}
 }
 
-// A router that is cut off from all keepers still knows its own.
-func TestOwnStreamsNeedNobody(t *testing.T) {
+// A router that is cut off from all keepers still finds the origins of its own streams.
+func TestOwnStreamsAreFoundWithoutKeepers(t *testing.T) {
 	f := newFleet(0)
 	r := f.router("began")
 	r.Begun(nameOf("first"), one)
@@ -202,42 +205,43 @@
 	require.Equal(t, one, origin)
 }
 
-func TestRecordsAreToldOnce(t *testing.T) {
+func TestRecordsAreReportedOnce(t *testing.T) {
 	f := newFleet(1)
 	r := f.router("began")
 	r.Begun(nameOf("first"), one)
-	require.Len(t, versioner.FromWire(r.Report(address(0))), 2, "by its request and by what it asks")
-	r.Begun(nameOf("second"), two) // while the poll is under way
-	r.Told(address(0))
-	told := versioner.FromWire(r.Report(address(0)))
-	require.Equal(t, []versioner.Record{{Stream: nameOf("second").Hash(), Origin: two}, {Stream: nameOf("second").Content, Origin: two}}, told)
-	r.Told(address(0))
+	require.Len(t, versioner.FromWire(r.Report(address(0))), 2, "one record by request and one by content")
+	r.Begun(nameOf("second"), two) // before the answer to the report
+	r.ReportAnswered(address(0))
+	reported := versioner.FromWire(r.Report(address(0)))
+	require.Equal(t, []versioner.Record{{Stream: nameOf("second").Hash(), Origin: two}, {Stream: nameOf("second").Content, Origin: two}}, reported)
+	r.ReportAnswered(address(0))
 	require.Empty(t, r.Report(address(0)))
-	r.Begun(nameOf("first"), one) // it goes on
+	r.Begun(nameOf("first"), one) // the stream is resumed
 	require.Empty(t, r.Report(address(0)))
 }
 
-func TestUntoldRecordsAreBounded(t *testing.T) {
+func TestUnreportedRecordsAreBounded(t *testing.T) {
 	f := newFleet(1)
 	r := f.router("began")
-	for i := range mostUntold + 5 {
+	for i := range maxUnreported + 5 {
 		r.Begun(nameOf(fmt.Sprint(i)), one)
 	}
-	require.Len(t, versioner.FromWire(r.Report(address(0))), mostUntold)
-	r.Told(address(0))
+	require.Len(t, versioner.FromWire(r.Report(address(0))), maxUnreported)
+	r.ReportAnswered(address(0))
 	require.Empty(t, r.Report(address(0)))
 }
 
-// Whatever is killed, cut off and lost, in any order, no router believes in another version than
-// that which began a stream, and with everything in reach and reported all streams are known.
-func TestNoFaultMakesAStreamsVersionWrong(t *testing.T) {
+// Whatever processes are killed or cut off and whatever reports are lost, in any order, no router
+// finds another version than that at which a stream began. Once all keepers are reachable and all
+// records reported, all streams are found.
+func TestNoFaultYieldsAWrongStreamVersion(t *testing.T) {
 	const routers, keepers, steps = 5, 3, 400
 	for seed := range uint64(20) {
 		draw := rand.New(rand.NewPCG(57, seed))
 		f := newFleet(keepers)
-		living := make([]*Recaller, routers)
-		for i := range living {
-			living[i] = f.router(fmt.Sprint(i))
+		running := make([]*Recaller, routers)
+		for i := range running {
+			running[i] = f.router(fmt.Sprint(i))
 		}
 		began := make(map[string]versioner.Origin)
 		cuts := make(map[[2]int]bool)
@@ -246,37 +250,37 @@
 			cut := cuts[[2]int{i, keeper}]
 			switch draw.IntN(10) {
 			case 0:
-				living[i] = f.router(fmt.Sprint(i)) // killed, and back
+				running[i] = f.router(fmt.Sprint(i)) // killed and restarted
 			case 1:
 				f.restart(keeper)
 			case 2:
 				cuts[[2]int{i, keeper}] = !cut
-				f.set(fmt.Sprint(i), keeper, !cut)
+				f.setCut(fmt.Sprint(i), keeper, !cut)
 			case 3, 4, 5:
 				name := fmt.Sprint("stream-", step)
 				began[name] = []versioner.Origin{one, two}[draw.IntN(2)]
-				living[i].Begun(nameOf(name), began[name])
+				running[i].Begun(nameOf(name), began[name])
 			case 6, 7:
-				f.report(living[i], keeper, !cut, !cut && draw.IntN(3) > 0)
+				f.report(running[i], keeper, !cut, !cut && draw.IntN(3) > 0)
 			default:
 				for range len(began) / 4 {
 					name := fmt.Sprint("stream-", draw.IntN(step))
-					if got, found := living[i].Find(t.Context(), nameOf(name)); found {
+					if got, found := running[i].Find(t.Context(), nameOf(name)); found {
 						require.Equal(t, began[name], got, "seed %d, step %d", seed, step)
 					}
 				}
 			}
 			f.clock.Advance(time.Duration(draw.IntN(20)) * time.Millisecond)
 		}
-		for way := range cuts {
-			f.set(fmt.Sprint(way[0]), way[1], false)
+		for pair := range cuts {
+			f.setCut(fmt.Sprint(pair[0]), pair[1], false)
 		}
-		for i := range living {
+		for i := range running {
 			name := fmt.Sprint("last-", i)
-			living[i].Begun(nameOf(name), two)
-			f.report(living[i], draw.IntN(keepers), true, true)
+			running[i].Begun(nameOf(name), two)
+			f.report(running[i], draw.IntN(keepers), true, true)
 		}
-		for i := range living {
+		for i := range running {
 			origin, found := f.router("new").Find(t.Context(), nameOf(fmt.Sprint("last-", i)))
 			require.True(t, found)
 			require.Equal(t, two, origin)
@@ -284,9 +288,9 @@
 	}
 }
 
-// A client that does not name its stream was refused though nothing else asks the same, or was taken
-// to another one's version.
-func TestStreamsAreKnownByWhatTheyAskWhereThatTellsThemApart(t *testing.T) {
+// Guards against a client that does not name its stream and is refused although no other stream has
+// the same content, or is resumed at the version of another stream.
+func TestStreamsAreFoundByContentWhereItIsUnambiguous(t *testing.T) {
 	ask := versioner.StreamID{Content: 7}
 	for name, test := range map[string]struct {
 		begun map[string]versioner.Origin
@@ -318,7 +322,8 @@
 	}
 }
 
-// A router of a large fleet refused streams of a version of which it had been told no endpoint.
+// Guards against a router of a large fleet that refuses streams of a version of which it knows no
+// endpoint.
 func TestEndpointsOfAnOriginAreLearnt(t *testing.T) {
 	for name, test := range map[string]struct {
 		listed []*messenger.Listing
@@ -333,17 +338,17 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(2)
 			f.listed = test.listed
-			f.set("router", 0, test.cut)
-			f.set("router", 1, test.cut)
+			f.setCut("router", 0, test.cut)
+			f.setCut("router", 1, test.cut)
 			r := f.router("router")
-			var learnt []string
+			var learned []string
 			r.options.Learn = func(_ netip.AddrPort, listings []*messenger.Listing) {
 				for _, listing := range listings {
-					learnt = append(learnt, listing.GetId())
+					learned = append(learned, listing.GetId())
 				}
 			}
 			r.Widen(t.Context(), one)
-			require.Equal(t, test.want, learnt)
+			require.Equal(t, test.want, learned)
 		})
 	}
 }
--- a/router/internal/screener/buffer.go
+++ b/router/internal/screener/buffer.go
@@ -9,24 +9,26 @@
 	"syscall"
 )
 
-// bufferSize holds a request's head and a usual body.
+// bufferSize holds a request's head and a body of usual size.
 const bufferSize = 16 << 10
 
-// buffers are what requests are read into and parsed with.
+// buffers are reused for reading and parsing requests.
 var buffers = sync.Pool{New: func() any { return newBuffer() }}
 
 func newBuffer() *buffer {
 	return &buffer{bytes: make([]byte, bufferSize), reader: bufio.NewReaderSize(nil, bufferSize)}
 }
 
+// buffer holds what has been read of a request, and the readers to parse it.
 type buffer struct {
 	bytes  []byte
 	source bytes.Reader
 	reader *bufio.Reader
 }
 
-// parse returns the request that begins with what has been read, and what is still to come of its
-// body. It is nil if its head is not whole, or if its body has no known length.
+// parse parses the request in the first read bytes, and returns it with the number of body bytes that
+// are still missing. It returns nil if the head is incomplete or malformed, or if the body has no
+// known length.
 func (b *buffer) parse(read int) (h *http.Request, rest int64) {
 	b.source.Reset(b.bytes[:read])
 	b.reader.Reset(&b.source)
@@ -37,8 +39,9 @@
 	return h, h.ContentLength - int64(b.reader.Buffered())
 }
 
-// readNow reads what has come already, and does not wait.
-func readNow(conn net.Conn, into []byte) int {
+// readAvailable reads bytes that have already arrived, without waiting. It returns 0 if there are
+// none or the connection has failed.
+func readAvailable(conn net.Conn, into []byte) int {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -49,7 +52,7 @@
 	}
 	read := 0
 	err = raw.Read(func(descriptor uintptr) bool {
-		// Who waits for more finds the same error.
+		// The error is ignored: the next blocking read returns it as well.
 		read, _ = syscall.Read(int(descriptor), into)
 		return true
 	})
