--- a/router/internal/screener/screener.go
+++ b/router/internal/screener/screener.go
@@ -1,15 +1,15 @@
-// Package screener refuses requests on connections that have just been made, before an
-// HTTP server takes them.
+// Package screener refuses requests on new connections before an HTTP server accepts them.
 //
-// A flood's requests come on connections of their own. Taken by the server, each
-// refusal costs two goroutines, their buffers and a dozen allocations; on a small instance
-// 2,000 a second leave no processor time for the requests that are to be served. Closed
-// unread instead, each comes back at once, so that more come than before. Here a request
-// is read once into a shared buffer, judged, and answered.
+// In a flood, each request arrives on a connection of its own. If the server accepts the connection,
+// each refusal costs two goroutines, their buffers and a dozen allocations; on a small instance 2,000
+// refusals per second leave no processor time for the requests that are to be served. If connections
+// are closed unread instead, their clients retry at once, and the load rises. The screener reads a
+// request once into a shared buffer, judges it, and writes the refusal itself.
 //
-// Invariants: a connection is answered here or handed on with every byte that was read
-// of it, never both; what is answered here has not run and will not; a connection that
-// says nothing is closed within a bounded time, and as many wait as are allowed.
+// Invariants: a connection is either answered here or handed to the server with every byte that was
+// read from it, never both; a request that is refused here has not run and will not run; a
+// connection that sends nothing is closed within a bounded time, and the number of connections that
+// wait for a request is bounded.
 package screener
 
 import (
@@ -34,94 +34,94 @@
 )
 
 const (
-	// firstWait is how long a request may be on its way while connections are
-	// screened. Clients give a router a second to read a request.
-	firstWait = 500 * time.Millisecond
-	// restWait is how long the rest of a refused request's body is read. A connection
-	// that is closed with bytes unread is reset, and its client may lose the answer.
-	restWait = 200 * time.Millisecond
-	// acceptPause is the pause after an accept that failed for a cause that passes, such as
-	// a lack of descriptors.
+	// requestTimeout is how long the first bytes of a request are awaited while connections are screened.
+	// Clients give a router a second to read a request.
+	requestTimeout = 500 * time.Millisecond
+	// drainTimeout is how long the rest of a refused request's body is read. Closing a connection with
+	// unread bytes resets it, and the client may lose the answer.
+	drainTimeout = 200 * time.Millisecond
+	// acceptPause is the pause after a transient accept error, such as a lack of descriptors.
 	acceptPause = 10 * time.Millisecond
-	// turn is how many connections are taken before all other work has its turn. While
-	// connections come faster than they are closed, accepting them never waits, and
-	// nothing makes its goroutine yield: requests that have been read then stand
-	// still, and endpoints get them after their clients have left. Too few of them let the
-	// queue of new connections grow until all that are accepted have been left.
-	turn = 32
-	// handed is how many connections may wait for the server to take them.
-	handed = 64
-	// mostRoomLines bounds the lines a second on room that comes and goes.
-	mostRoomLines = 2
+	// acceptBatch is the number of connections that are accepted before the goroutine yields. While
+	// connections arrive faster than they are closed, accepting never blocks, so nothing else makes its
+	// goroutine yield: requests that have been read then make no progress, and reach endpoints after
+	// their clients have disconnected. With too small a batch the queue of new connections grows until
+	// the clients of all accepted connections have disconnected.
+	acceptBatch = 32
+	// acceptQueue is the number of connections that may wait for the server to accept them.
+	acceptQueue = 64
+	// maxCapacityLogsPerSecond bounds the log lines on changing capacity.
+	maxCapacityLogsPerSecond = 2
 )
 
-// Refusal is the answer to a request that has not run and will not.
+// Refusal is the answer to a request that has not run and will not run.
 type Refusal struct {
 	Status int
 	Reason string
-	Retry  time.Duration // when its client may come back
+	Retry  time.Duration // sent to the client as Retry-After
 }
 
-// Judge returns the refusal of a request of which the head has been read, nil if it is to
-// be served. It must not read the body.
+// Judge returns the refusal of a request whose head has been read, or nil if it is to be served. It
+// must not read the body.
 type Judge func(h *http.Request) *Refusal
 
-// Options are what a Listener is made of.
+// Options configures a Listener.
 type Options struct {
-	// Room tells whether one more connection may be taken at all. It is asked once for each.
-	Room func() bool
-	// Screens tells whether requests on new connections are judged now.
-	Screens func() bool
-	Judge   Judge
-	// Most is how many connections may be waited for at once.
-	Most  int
-	Clock clockwork.Clock
-	Log   zerolog.Logger
+	// Admit reports whether one more connection may be accepted at all. It is called once for each
+	// connection, so it may count them.
+	Admit func() bool
+	// ScreeningActive reports whether requests on new connections are judged now.
+	ScreeningActive func() bool
+	Judge           Judge
+	// MaxWaiting is the maximum number of connections that wait for their first request.
+	MaxWaiting int
+	Clock      clockwork.Clock
+	Log        zerolog.Logger
 }
 
-// Listener is a net.Listener whose connections have passed.
+// Listener is a net.Listener that returns only connections that are not refused.
 type Listener struct {
 	net.Listener
-	options Options
-	passed  chan net.Conn
-	failed  chan error
-	done    chan struct{}
-	close   sync.Once
-	waiting atomic.Int64
-	full    bool // used by accept only, as is lines
-	lines   damper.Damper
-	unread  atomic.Uint64
-	refused atomic.Uint64
-	left    atomic.Uint64
+	options      Options
+	accepted     chan net.Conn
+	acceptError  chan error
+	done         chan struct{}
+	closeOnce    sync.Once
+	waiting      atomic.Int64
+	full         bool // used by the accept goroutine only, as is logDamper
+	logDamper    damper.Damper
+	closedUnread atomic.Uint64
+	refused      atomic.Uint64
+	abandoned    atomic.Uint64
 }
 
-// New screens what a listener accepts.
+// New returns a listener that screens the connections of inner.
 func New(inner net.Listener, options Options) *Listener {
 	l := &Listener{
 		Listener: inner, options: options,
-		passed: make(chan net.Conn, handed), failed: make(chan error, 1), done: make(chan struct{}),
-		lines: damper.Damper{LinesPerSecond: mostRoomLines},
+		accepted: make(chan net.Conn, acceptQueue), acceptError: make(chan error, 1), done: make(chan struct{}),
+		logDamper: damper.Damper{LinesPerSecond: maxCapacityLogsPerSecond},
 	}
 	go l.accept()
 	return l
 }
 
-// Unread returns how many connections were closed unread, for want of room.
-func (l *Listener) Unread() uint64 {
-	return l.unread.Load()
+// ClosedUnread returns the number of connections closed unread for lack of capacity.
+func (l *Listener) ClosedUnread() uint64 {
+	return l.closedUnread.Load()
 }
 
-// Refused returns how many requests were refused here.
+// Refused returns the number of requests refused by this listener.
 func (l *Listener) Refused() uint64 {
 	return l.refused.Load()
 }
 
-// Left returns how many connections were closed because their clients had left.
-func (l *Listener) Left() uint64 {
-	return l.left.Load()
+// Abandoned returns the number of connections closed because their clients had closed them.
+func (l *Listener) Abandoned() uint64 {
+	return l.abandoned.Load()
 }
 
-// Waiting returns how many connections are waited for.
+// Waiting returns the number of connections that wait for their first request.
 func (l *Listener) Waiting() int {
 	return int(l.waiting.Load())
 }
@@ -129,23 +129,23 @@
 // Accept returns the next connection for the server.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-l.passed:
+	case conn := <-l.accepted:
 		return conn, nil
-	case err := <-l.failed:
+	case err := <-l.acceptError:
 		return nil, err
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close ends the listener. Connections that the server has not taken are closed: their
-// clients learn at once that nobody reads their requests.
+// Close stops the listener. Connections that the server has not accepted are closed, so that their
+// clients learn at once that their requests are not read.
 func (l *Listener) Close() error {
-	l.close.Do(func() { close(l.done) })
+	l.closeOnce.Do(func() { close(l.done) })
 	err := l.Listener.Close()
 	for {
 		select {
-		case conn := <-l.passed:
+		case conn := <-l.accepted:
 			conn.Close()
 		default:
 			return err
@@ -153,79 +153,79 @@
 	}
 }
 
-// accept takes connections until the listener ends.
+// accept accepts connections until the listener is closed or fails.
 func (l *Listener) accept() {
 	b := newBuffer()
-	for taken := 1; ; taken++ {
+	for accepted := 1; ; accepted++ {
 		conn, err := l.Listener.Accept()
 		switch {
 		case err == nil:
-			l.take(conn, b)
-		case passes(err):
-			l.options.Log.Warn().Err(err).Msg("a connection was not accepted; the next one is tried")
+			l.dispatch(conn, b)
+		case isTransient(err):
+			l.options.Log.Warn().Err(err).Msg("accepting a connection failed; retrying after a pause")
 			<-l.options.Clock.After(acceptPause)
 		default:
-			l.failed <- err
+			l.acceptError <- err
 			return
 		}
-		if taken%turn == 0 {
+		if accepted%acceptBatch == 0 {
 			runtime.Gosched()
 		}
 	}
 }
 
-// passing are the errors of an accept that say nothing of the next one. A router whose
-// listener ended with one of them would say that it is ready and take no connection more.
-var passing = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.ECONNRESET}
+// transientErrors are the accept errors after which the next accept may succeed. If one of them ended
+// the listener, the router would report ready and accept no further connection.
+var transientErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.ECONNRESET}
 
-func passes(err error) bool {
-	return slices.ContainsFunc(passing, func(known error) bool { return errors.Is(err, known) })
+func isTransient(err error) bool {
+	return slices.ContainsFunc(transientErrors, func(known error) bool { return errors.Is(err, known) })
 }
 
-// take decides what becomes of a connection.
-func (l *Listener) take(conn net.Conn, b *buffer) {
-	screens := l.options.Screens()
+// dispatch closes a connection unread, screens it, or hands it to the server.
+func (l *Listener) dispatch(conn net.Conn, b *buffer) {
+	screening := l.options.ScreeningActive()
 	switch {
-	case !l.room(screens):
-		l.unread.Add(1)
+	case !l.admit(screening):
+		l.closedUnread.Add(1)
 		conn.Close()
-	case screens:
+	case screening:
 		l.screen(conn, b)
 	default:
-		l.pass(conn)
+		l.handOver(conn)
 	}
 }
 
-// room tells whether there is room for one more connection.
-func (l *Listener) room(screens bool) bool {
-	room := l.options.Room() && (!screens || l.Waiting() < l.options.Most)
-	if room == l.full && l.lines.Admit(l.options.Clock.Now(), l.options.Log) {
-		l.full = !room
-		l.options.Log.Warn().Bool("full", l.full).Msg("room for clients' connections changed")
+// admit reports whether there is capacity for one more connection.
+func (l *Listener) admit(screening bool) bool {
+	admitted := l.options.Admit() && (!screening || l.Waiting() < l.options.MaxWaiting)
+	if admitted == l.full && l.logDamper.Admit(l.options.Clock.Now(), l.options.Log) {
+		l.full = !admitted
+		l.options.Log.Warn().Bool("full", l.full).Msg("capacity for client connections changed")
 	}
-	return room
+	return admitted
 }
 
-// screen refuses a request that has come whole at once, which takes no goroutine. All others are
-// waited for.
+// screen refuses a request at once, without a goroutine, if it has arrived completely. All other
+// connections are passed to screenWaiting.
 func (l *Listener) screen(conn net.Conn, b *buffer) {
-	read := readNow(conn, b.bytes)
+	read := readAvailable(conn, b.bytes)
 	if read > 0 && forwarder.Ended(conn) {
-		l.left.Add(1)
+		l.abandoned.Add(1)
 		conn.Close()
 		return
 	}
-	if refusal := l.judgeWhole(b, read); refusal != nil {
+	if refusal := l.judgeComplete(b, read); refusal != nil {
 		l.refused.Add(1)
 		l.refuse(conn, b, refusal, 0)
 		return
 	}
 	l.waiting.Add(1)
-	go l.meet(conn, bytes.Clone(b.bytes[:read]))
+	go l.screenWaiting(conn, bytes.Clone(b.bytes[:read]))
 }
 
-// judgeWhole returns the refusal of a request that has come whole, nil of any other.
-func (l *Listener) judgeWhole(b *buffer, read int) *Refusal {
+// judgeComplete returns the refusal of a request that has arrived completely, nil for any other.
+func (l *Listener) judgeComplete(b *buffer, read int) *Refusal {
 	h, rest := b.parse(read)
 	if h == nil || rest > 0 {
 		return nil
@@ -233,8 +233,8 @@
 	return l.options.Judge(h)
 }
 
-// pass hands a connection to the server, or closes it if the listener has ended.
-func (l *Listener) pass(conn net.Conn) {
+// handOver queues a connection for the server, or closes it if the listener is closed.
+func (l *Listener) handOver(conn net.Conn) {
 	select {
 	case <-l.done:
 		conn.Close()
@@ -242,59 +242,60 @@
 	default:
 	}
 	select {
-	case l.passed <- conn:
+	case l.accepted <- conn:
 	case <-l.done:
 		conn.Close()
 	}
 }
 
-// meet reads a connection's first request, of which some may have been read, and has it judged.
-func (l *Listener) meet(conn net.Conn, first []byte) {
+// screenWaiting reads the first request of a connection, of which first has been read already, and
+// refuses it or hands the connection to the server.
+func (l *Listener) screenWaiting(conn net.Conn, first []byte) {
 	defer l.waiting.Add(-1)
 	b := buffers.Get().(*buffer)
 	defer buffers.Put(b)
 	read, err := copy(b.bytes, first), error(nil)
 	if read == 0 {
-		read, err = l.first(conn, b)
+		read, err = l.readFirst(conn, b)
 	}
 	if read == 0 {
 		if err != nil {
-			l.options.Log.Debug().Err(err).Msg("a new connection said nothing; it is closed")
+			l.options.Log.Debug().Err(err).Msg("new connection sent no request in time; it is closed")
 		}
 		conn.Close()
 		return
 	}
 	if forwarder.Ended(conn) {
-		// It waited for longer than its client did. Behind the server it would cost as much
-		// as one that is served.
-		l.left.Add(1)
+		// The client disconnected while its connection waited. In the server, the request would
+		// cost as much as one that is served.
+		l.abandoned.Add(1)
 		conn.Close()
 		return
 	}
 	refusal, rest := l.judge(b, read)
 	if refusal == nil {
 		if err := conn.SetReadDeadline(time.Time{}); err != nil {
-			l.options.Log.Debug().Err(err).Msg("a new connection has ended; it is closed")
+			l.options.Log.Debug().Err(err).Msg("new connection failed before its request was handed to the server; it is closed")
 			conn.Close()
 			return
 		}
-		l.pass(&begun{Conn: conn, first: bytes.Clone(b.bytes[:read])})
+		l.handOver(&prefixedConn{Conn: conn, prefix: bytes.Clone(b.bytes[:read])})
 		return
 	}
 	l.refused.Add(1)
 	l.refuse(conn, b, refusal, rest)
 }
 
-// first reads what has come of a request.
-func (l *Listener) first(conn net.Conn, b *buffer) (int, error) {
-	if err := conn.SetReadDeadline(l.options.Clock.Now().Add(firstWait)); err != nil {
+// readFirst waits for the first bytes of a request.
+func (l *Listener) readFirst(conn net.Conn, b *buffer) (int, error) {
+	if err := conn.SetReadDeadline(l.options.Clock.Now().Add(requestTimeout)); err != nil {
 		return 0, err
 	}
 	return conn.Read(b.bytes)
 }
 
-// judge parses what has been read. A request whose head is not whole yet, or whose body
-// has no known length, is for the server.
+// judge parses what has been read and judges it. A request with an incomplete head, or with a body of
+// unknown length, is left to the server.
 func (l *Listener) judge(b *buffer, read int) (refusal *Refusal, rest int64) {
 	h, rest := b.parse(read)
 	if h == nil {
@@ -303,11 +304,11 @@
 	return l.options.Judge(h), rest
 }
 
-// refuse answers, and reads what is still to come of the body.
+// refuse writes the refusal and reads the rest of the body.
 func (l *Listener) refuse(conn net.Conn, b *buffer, refusal *Refusal, rest int64) {
 	defer conn.Close()
-	if _, err := conn.Write(refusal.text()); err != nil {
-		return // its client has left, and nobody hears of it
+	if _, err := conn.Write(refusal.response()); err != nil {
+		return // the client has disconnected; there is nothing to report
 	}
 	if rest <= 0 {
 		return
@@ -317,7 +318,7 @@
 			return
 		}
 	}
-	if err := conn.SetReadDeadline(l.options.Clock.Now().Add(restWait)); err != nil {
+	if err := conn.SetReadDeadline(l.options.Clock.Now().Add(drainTimeout)); err != nil {
 		return
 	}
 	for rest > 0 {
@@ -329,42 +330,42 @@
 	}
 }
 
-// text is the whole answer.
-func (r *Refusal) text() []byte {
-	text := make([]byte, 0, 256)
-	text = append(text, "HTTP/1.1 "...)
-	text = strconv.AppendInt(text, int64(r.Status), 10)
-	text = append(text, ' ')
-	text = append(text, http.StatusText(r.Status)...)
-	text = append(text, "\r\nConnection: close\r\nContent-Type: text/plain; charset=utf-8\r\nRetry-After: "...)
-	text = strconv.AppendFloat(text, r.Retry.Seconds(), 'f', 3, 64)
-	text = append(text, "\r\nContent-Length: "...)
-	text = strconv.AppendInt(text, int64(len(r.Reason)), 10)
-	text = append(text, "\r\n\r\n"...)
-	return append(text, r.Reason...)
+// response returns the complete HTTP response.
+func (r *Refusal) response() []byte {
+	response := make([]byte, 0, 256)
+	response = append(response, "HTTP/1.1 "...)
+	response = strconv.AppendInt(response, int64(r.Status), 10)
+	response = append(response, ' ')
+	response = append(response, http.StatusText(r.Status)...)
+	response = append(response, "\r\nConnection: close\r\nContent-Type: text/plain; charset=utf-8\r\nRetry-After: "...)
+	response = strconv.AppendFloat(response, r.Retry.Seconds(), 'f', 3, 64)
+	response = append(response, "\r\nContent-Length: "...)
+	response = strconv.AppendInt(response, int64(len(r.Reason)), 10)
+	response = append(response, "\r\n\r\n"...)
+	return append(response, r.Reason...)
 }
 
-// begun is a connection of which the begin has been read.
-type begun struct {
+// prefixedConn is a connection whose first bytes have been read already.
+type prefixedConn struct {
 	net.Conn
-	first []byte
+	prefix []byte
 }
 
-// Read returns what was read before, and then what comes.
-func (b *begun) Read(into []byte) (int, error) {
-	if len(b.first) == 0 {
+// Read returns the bytes that were read before, then those of the connection.
+func (b *prefixedConn) Read(into []byte) (int, error) {
+	if len(b.prefix) == 0 {
 		return b.Conn.Read(into)
 	}
-	n := copy(into, b.first)
-	b.first = b.first[n:]
+	n := copy(into, b.prefix)
+	b.prefix = b.prefix[n:]
 	return n, nil
 }
 
-// errNoSocket tells that a connection has no descriptor.
+// errNoSocket reports that a connection has no file descriptor.
 var errNoSocket = merry.Sentinel("the connection has no socket")
 
-// SyscallConn gives access to the socket, which tells whether the client has left.
-func (b *begun) SyscallConn() (syscall.RawConn, error) {
+// SyscallConn gives access to the socket, to find out whether the client has disconnected.
+func (b *prefixedConn) SyscallConn() (syscall.RawConn, error) {
 	if conn, ok := b.Conn.(syscall.Conn); ok {
 		return conn.SyscallConn()
 	}
