--- a/router/internal/assembler/assembler.go
+++ b/router/internal/assembler/assembler.go
@@ -120,7 +120,7 @@
 		Ruler:    r.follower, Claimer: r.claimant, Quarantine: r.follower,
 		Tracer: r.tracer, Clock: r.clock, Log: r.log, Registry: r.registry, Zone: s.Zone, Name: s.Name,
 		Limits: relayer.Limits{
-			BodyBytes: s.Limits.BodyBytes, Waiting: s.Limits.Waiting, RequestTimeout: s.Limits.RequestTimeout.Duration,
+			BodyBytes: s.Limits.BodyBytes, WaitingRequests: s.Limits.Waiting, RequestTimeout: s.Limits.RequestTimeout.Duration,
 		},
 	})
 	r.public = &http.Server{
--- a/router/internal/enroller/enroller.go
+++ b/router/internal/enroller/enroller.go
@@ -35,7 +35,7 @@
 }
 
 // Enrol waits for a slot until the context ends.
-func (e *Enroller) Enrol(ctx context.Context, waiting relayer.Waiting) (relayer.Slot, error) {
+func (e *Enroller) Enrol(ctx context.Context, waiting relayer.WaitingRequest) (relayer.Slot, error) {
 	waiter := e.Conductor.Enrol(ctx, waiting.Service, scheduler.Ticket{
 		Workspace: waiting.Workspace, Model: waiting.Model, Hint: waiting.Hint, Prompt: waiting.Prompt,
 		Prefix: waiting.Prefix, Waited: waiting.Waited, Avoid: waiting.Avoid, Alone: waiting.Alone,
--- a/router/internal/refuser/refuser.go
+++ b/router/internal/refuser/refuser.go
@@ -1,8 +1,10 @@
-// Package refuser writes the typed error answers that all of a router's paths
-// share, and guards the paths that need a token of their own.
+// Package refuser writes the typed error answers shared by all HTTP paths of a router, and restricts
+// paths to holders of a token.
 //
-// Invariants: every error answer is a reporter.Failure with a remedy; tokens
-// are compared in constant time; an answer names nothing of the system's inside.
+// Invariants:
+//   - every error answer is a reporter.Failure with a remedy;
+//   - tokens are compared in constant time;
+//   - an answer discloses no internals of the system.
 package refuser
 
 import (
@@ -15,14 +17,15 @@
 	"shallotkeel.example/lib/reporter"
 )
 
-// Types of a failure.
+// Types of a failure, by what is known of the request: it is invalid, it has not run, or it may have
+// run.
 const (
 	Invalid = "invalid"
 	NotRun  = "not_run"
 	Unknown = "unknown"
 )
 
-// Codes that the paths of endpoints and operators use.
+// Codes of failures on the paths for endpoints and operators.
 const (
 	CodeBadToken   = "bad_token"
 	CodeNotAllowed = "not_allowed"
@@ -32,19 +35,19 @@
 	CodeNoQuorum   = "no_quorum"
 )
 
-// Write sends a failure as the whole answer.
+// Write sends a failure as the complete answer.
 func Write(w http.ResponseWriter, status int, body reporter.FailureBody) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// Whoever has gone cannot be told.
+	// The error is ignored: a client that has disconnected gets no answer.
 	_ = json.NewEncoder(w).Encode(reporter.Failure{Error: body})
 }
 
-// Allowed tells whether a bearer token opens a path.
+// Allowed reports whether a bearer token gives access to a path.
 type Allowed func(token string) bool
 
-// Token allows one token, compared in constant time. An empty token lets nobody
-// through, because a forgotten setting must not open the paths.
+// Token returns an Allowed that accepts a single token, compared in constant time. With an empty token
+// it accepts none, because a missing setting must not open the paths.
 func Token(token string) Allowed {
 	want := sha256.Sum256([]byte(token))
 	return func(offered string) bool {
@@ -53,7 +56,7 @@
 	}
 }
 
-// Either allows what any of them allows; nil ones allow nothing.
+// Either returns an Allowed that accepts a token if any of the checks does. Nil checks accept none.
 func Either(checks ...Allowed) Allowed {
 	return func(offered string) bool {
 		for _, allows := range checks {
@@ -65,8 +68,8 @@
 	}
 }
 
-// Bearer returns the bearer token of a request, empty if there is none. What
-// stands there without the scheme is no token.
+// Bearer returns the bearer token of a request, empty if there is none. An Authorization header without
+// the scheme Bearer holds no token.
 func Bearer(r *http.Request) string {
 	token, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found {
@@ -75,7 +78,8 @@
 	return token
 }
 
-// Guard lets only requests through whose bearer token is allowed.
+// Guard returns a handler that passes requests with an allowed bearer token to next and refuses all
+// others with the remedy.
 func Guard(allowed Allowed, remedy string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if token := Bearer(r); token == "" || !allowed(token) {
--- a/router/internal/relayer/admission.go
+++ b/router/internal/relayer/admission.go
@@ -16,9 +16,11 @@
 	"shallotkeel.example/router/internal/refuser"
 )
 
-// maxKey bounds an idempotency key.
-const maxKey = 255
+// maxKeyBytes is the maximum length of an idempotency key.
+const maxKeyBytes = 255
 
+// authenticate finds the workspace of the request's bearer token under the rules in force. It
+// returns false and the refusal if the token is missing or unknown.
 func (r *Relayer) authenticate(q *request) (tracker.Action, bool) {
 	q.rules = r.options.Ruler.Rules()
 	token := refuser.Bearer(q.http)
@@ -33,16 +35,19 @@
 	return tracker.Action{}, true
 }
 
+// modelList is the answer of GET /v1/models in OpenAI's format.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
 }
 
+// modelItem is one model of a modelList.
 type modelItem struct {
 	ID     string `json:"id"`
 	Object string `json:"object"`
 }
 
+// serveModels answers with the models that the workspace may use.
 func (r *Relayer) serveModels(_ context.Context, q *request) tracker.Action {
 	list := modelList{Object: "list", Data: []modelItem{}}
 	for _, model := range q.rules.Models(q.workspace) {
@@ -50,18 +55,19 @@
 	}
 	body, err := json.Marshal(list)
 	if err != nil {
-		return refuse(tracker.CodeNoEndpoint, retrySoon)
+		return refuse(tracker.CodeNoEndpoint, minRetryAfter)
 	}
 	q.caller.writer.Header().Set("Content-Type", "application/json")
-	q.caller.begin(http.StatusOK)
+	q.caller.sendHead(http.StatusOK)
 	if q.caller.write(body) != nil {
 		return tracker.Action{Step: tracker.EndSilently, Outcome: tracker.OutcomeUnknown, Code: tracker.CodeTimedOut}
 	}
 	return tracker.Action{Step: tracker.Complete, Outcome: tracker.OutcomeAnswered}
 }
 
-// admit finds what is wrong with a service for this workspace.
-func admit(q *request, service *matcher.Service, found bool, kind string, missing tracker.Code) (tracker.Action, bool) {
+// checkService sets the request's service. It returns false and the refusal if the service does not
+// exist, has another type, or does not admit the workspace.
+func checkService(q *request, service *matcher.Service, found bool, kind string, missing tracker.Code) (tracker.Action, bool) {
 	if !found || service.Type != kind {
 		return refuse(missing, 0), false
 	}
@@ -72,65 +78,67 @@
 	return tracker.Action{}, true
 }
 
+// serveChat serves a chat completion.
 func (r *Relayer) serveChat(ctx context.Context, q *request) tracker.Action {
-	hold := r.bodies.hold()
-	defer hold.release()
-	text, problem := r.readWhole(ctx, q, hold)
+	reservation := r.bodyMemory.newReservation()
+	defer reservation.release()
+	text, problem := r.readFullBody(ctx, q, reservation)
 	if problem != nil {
-		return q.refused(problem)
+		return q.problemAction(problem)
 	}
 	q.chat, problem = decodeChat(text)
 	if problem != nil {
-		return q.refused(problem)
+		return q.problemAction(problem)
 	}
-	hold.shrink(len(q.chat.Body))
+	reservation.shrinkTo(len(q.chat.Body))
 	service, found := q.rules.ByModel(q.chat.Model)
-	if action, ok := admit(q, service, found, describer.TypeModel, tracker.CodeUnknownModel); !ok {
+	if action, ok := checkService(q, service, found, describer.TypeModel, tracker.CodeUnknownModel); !ok {
 		return action
 	}
-	q.order.id = q.id
+	q.sequence.id = q.id
 	q.sink = q.newSink(r.limits.AnswerBytes)
 	q.fingerprint = fingerprint(q.workspace.Name, q.service.Name, "", q.chat.Body, 0)
 	repeatable := q.http.Header.Get(headerNoRepeat) != describer.Yes
 	return r.serve(ctx, q, tracker.Traits{Repeatable: repeatable, Replayable: true, Resumable: repeatable})
 }
 
+// servePlain serves a call of a plain service.
 func (r *Relayer) servePlain(ctx context.Context, q *request) tracker.Action {
 	service, found := q.rules.Service(q.http.PathValue("service"))
-	if action, ok := admit(q, service, found, describer.TypePlain, tracker.CodeUnknownService); !ok {
+	if action, ok := checkService(q, service, found, describer.TypePlain, tracker.CodeUnknownService); !ok {
 		return action
 	}
-	hold := r.bodies.hold()
-	defer hold.release()
+	reservation := r.bodyMemory.newReservation()
+	defer reservation.release()
 	var problem *problem
-	q.upload, problem = r.readUpload(ctx, q, hold)
+	q.upload, problem = r.readUpload(ctx, q, reservation)
 	if problem != nil {
-		return q.refused(problem)
+		return q.problemAction(problem)
 	}
 	call := q.http.Method + " " + q.http.URL.RequestURI()
 	q.fingerprint = fingerprint(q.workspace.Name, q.service.Name, call, q.upload.head, q.http.ContentLength)
 	return r.serve(ctx, q, tracker.Traits{
-		Repeatable: repeatable(service, q.http), Replayable: q.upload.whole,
+		Repeatable: repeatable(service, q.http), Replayable: q.upload.complete,
 	})
 }
 
-// serve runs a request that is well-formed and allowed.
+// serve runs a well-formed, admitted request to its final action.
 func (r *Relayer) serve(ctx context.Context, q *request, nature tracker.Traits) tracker.Action {
 	if !nature.Repeatable {
-		if problem := q.takeKey(); problem != nil {
-			return q.refused(problem)
+		if problem := q.resolveKey(); problem != nil {
+			return q.problemAction(problem)
 		}
-		q.keep.limit = r.limits.RecordBytes
+		q.recorder.limit = r.limits.RecordBytes
 	}
-	q.rules = nil // a request that waits must not keep a revision in memory that is no longer in force
+	q.rules = nil // a waiting request must not keep a superseded revision in memory
 	nature.Attempts = r.limits.Attempts
-	q.tracker = tracker.New(nature, budget{queue: &r.queue, workspace: q.workspace.Name})
+	q.tracker = tracker.New(nature, retryBudget{queue: &r.queue, workspace: q.workspace.Name})
 	r.explainer.begin(q)
 	return r.run(ctx, q)
 }
 
-// repeatable tells whether a plain call may run twice. A caller can say that it
-// may not, and never that it may: that is the service's to say.
+// repeatable reports whether a call of a plain service may run twice. A caller can declare its call
+// non-repeatable, but not repeatable: only the service's configuration and the HTTP method do that.
 func repeatable(service *matcher.Service, h *http.Request) bool {
 	if h.Header.Get(headerNoRepeat) == describer.Yes {
 		return false
@@ -149,22 +157,23 @@
 	}
 }
 
-// takeKey reads the idempotency key, or mints one and says so in the answer.
-func (q *request) takeKey() *problem {
+// resolveKey reads the request's idempotency key, or generates one, and sets it as a header of the
+// answer.
+func (q *request) resolveKey() *problem {
 	q.key = q.http.Header.Get(headerKey)
 	if q.key == "" {
 		q.key = uuid.NewString()
 	}
-	if len(q.key) > maxKey || strings.ContainsFunc(q.key, func(r rune) bool { return r < ' ' || r > '~' }) {
+	if len(q.key) > maxKeyBytes || strings.ContainsFunc(q.key, func(r rune) bool { return r < ' ' || r > '~' }) {
 		return &problem{tracker.CodeBadBody, "the Idempotency-Key must be at most 255 printable ASCII characters"}
 	}
 	q.caller.writer.Header().Set(headerKey, q.key)
 	return nil
 }
 
-// fingerprint is the digest by which a request is known again, whoever sends it
-// and through whichever router. The digest resists collisions, because the
-// maker of one could have another workspace's request refused.
+// fingerprint returns the digest that identifies equal requests, independently of the router that
+// receives them. It is derived from a collision-resistant hash, because with a collision a caller
+// could cause the request of another workspace to be refused.
 func fingerprint(workspace, service, call string, body []byte, length int64) uint64 {
 	digest := sha256.New()
 	for _, part := range []string{workspace, service, call} {
--- a/router/internal/relayer/backoff_test.go
+++ b/router/internal/relayer/backoff_test.go
@@ -11,9 +11,9 @@
 	"shallotkeel.example/router/internal/relayer"
 )
 
-// Guards against requests to an endpoint within the backoff that it has asked for, whatever the
-// pool's scheduler grants.
-func TestEndpointThatAsksForBackoffIsNotAsked(t *testing.T) {
+// Guards against requests to an endpoint within the backoff that it has asked for, when the pool's
+// scheduler still grants its slots.
+func TestEndpointInBackoffGetsNoRequests(t *testing.T) {
 	const backoff, step = 3 * time.Second, 250 * time.Millisecond
 	var arrivals atomic.Int64
 	refusing := func(w http.ResponseWriter, r *http.Request, n int) {
@@ -30,15 +30,15 @@
 	}
 	tests := map[string]struct {
 		endpoints []endpoint
-		status    int // while it backs off
+		status    int // during the backoff
 	}{
-		"another one serves": {[]endpoint{refusing, serving}, http.StatusOK},
-		"there is no other":  {[]endpoint{refusing}, http.StatusServiceUnavailable},
+		"another endpoint serves": {[]endpoint{refusing, serving}, http.StatusOK},
+		"no other endpoint":       {[]endpoint{refusing}, http.StatusServiceUnavailable},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			arrivals.Store(0)
-			f := frozenFleet(t, relayer.Limits{}, test.endpoints...)
+			f := newFakeClockFleet(t, relayer.Limits{}, test.endpoints...)
 			require.Equal(t, test.status, f.call(http.MethodGet, "/v1/services/safe/x", "").status)
 			for passed := step; passed < backoff; passed += step {
 				f.clock.Advance(step)
@@ -47,15 +47,15 @@
 			}
 			f.clock.Advance(2 * step)
 			require.Equal(t, http.StatusOK, f.call(http.MethodGet, "/v1/services/safe/x", "").status)
-			require.EqualValues(t, 2, arrivals.Load(), "its backoff is over")
+			require.EqualValues(t, 2, arrivals.Load(), "the backoff is over")
 		})
 	}
 }
 
-// Guards against new work for an endpoint that says in its answers that it leaves.
-func TestEndpointThatSaysThatItLeavesIsNotAsked(t *testing.T) {
+// Guards against new requests to an endpoint whose answers announce that it is leaving.
+func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
 	var arrivals atomic.Int64
-	f := frozenFleet(t, relayer.Limits{},
+	f := newFakeClockFleet(t, relayer.Limits{},
 		func(w http.ResponseWriter, r *http.Request, _ int) {
 			arrivals.Add(1)
 			w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
--- a/router/internal/relayer/backoffs.go
+++ b/router/internal/relayer/backoffs.go
@@ -8,90 +8,93 @@
 	"shallotkeel.example/lib/retrier"
 )
 
-// leavingBackoff is how long it is remembered that an endpoint leaves: longer than it can
-// still be there.
+// leavingBackoff is the backoff of an endpoint that is leaving. It is longer than such an endpoint
+// can still be running.
 const leavingBackoff = 24 * time.Hour
 
-// maxBackoffs bounds the endpoints that are remembered, at some 100 bytes each. Of one beyond
-// it only its pool's scheduler knows.
+// maxBackoffs limits the recorded endpoints, at about 100 bytes each. The backoff of a further
+// endpoint is known only to its pool's scheduler.
 const maxBackoffs = 4096
 
-// backoffs remembers until when endpoints want no requests of this router. Their pools'
-// schedulers are told as well, but each of them may change, and grants are on their way
-// meanwhile. Its zero value remembers none.
+// backoffs records the endpoints that have asked this router for a backoff. The schedulers of their
+// pools are notified as well, but a pool may change its scheduler, and a grant may be in flight when
+// the scheduler is notified. The zero value is empty and usable.
 type backoffs struct {
-	mutex sync.Mutex
-	ends  map[life]backoff
+	mutex         sync.Mutex
+	byIncarnation map[endpointIncarnation]backoff
 }
 
-// backoff is until when an endpoint wants no requests.
+// backoff is the time until which an endpoint gets no requests.
 type backoff struct {
-	end     time.Time
-	leaving bool // it has said that it leaves
+	until   time.Time
+	leaving bool // the reason is that the endpoint is leaving
 }
 
-// life is one incarnation of an endpoint.
-type life struct {
+// endpointIncarnation is one incarnation of an endpoint.
+type endpointIncarnation struct {
 	id          string
 	incarnation uint64
 }
 
-func lifeOf(slot Slot) life {
-	return life{id: slot.Endpoint(), incarnation: slot.Incarnation()}
+// incarnationOf returns the incarnation of a slot's endpoint.
+func incarnationOf(slot Slot) endpointIncarnation {
+	return endpointIncarnation{id: slot.Endpoint(), incarnation: slot.Incarnation()}
 }
 
-// ask takes an endpoint's wish. A shorter one does not end a longer one.
-func (r *backoffs) ask(now time.Time, slot Slot, wish backoff) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.ends == nil {
-		r.ends = make(map[life]backoff)
+// record records the backoff that an endpoint has asked for. A shorter backoff does not replace a
+// longer one.
+func (b *backoffs) record(now time.Time, slot Slot, asked backoff) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if b.byIncarnation == nil {
+		b.byIncarnation = make(map[endpointIncarnation]backoff)
 	}
-	if len(r.ends) >= maxBackoffs {
-		r.forget(now)
+	if len(b.byIncarnation) >= maxBackoffs {
+		b.removeExpired(now)
 	}
-	of := lifeOf(slot)
-	if known, found := r.ends[of]; found && known.end.After(wish.end) || !found && len(r.ends) >= maxBackoffs {
+	key := incarnationOf(slot)
+	if known, found := b.byIncarnation[key]; found && known.until.After(asked.until) || !found && len(b.byIncarnation) >= maxBackoffs {
 		return
 	}
-	r.ends[of] = wish
+	b.byIncarnation[key] = asked
 }
 
-// left returns for how long the endpoint of a slot still wants no requests, 0 if it takes
-// some, and whether that is because it leaves.
-func (r *backoffs) left(now time.Time, slot Slot) (left time.Duration, leaving bool) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	known := r.ends[lifeOf(slot)]
-	return max(known.end.Sub(now), 0), known.leaving
+// remaining returns the remaining backoff of a slot's endpoint, 0 if it has none, and whether the
+// reason is that the endpoint is leaving.
+func (b *backoffs) remaining(now time.Time, slot Slot) (remaining time.Duration, leaving bool) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	known := b.byIncarnation[incarnationOf(slot)]
+	return max(known.until.Sub(now), 0), known.leaving
 }
 
-func (r *backoffs) forget(now time.Time) {
-	for of, known := range r.ends {
-		if !now.Before(known.end) {
-			delete(r.ends, of)
+// removeExpired removes the backoffs that have ended. The mutex must be held.
+func (b *backoffs) removeExpired(now time.Time) {
+	for key, known := range b.byIncarnation {
+		if !now.Before(known.until) {
+			delete(b.byIncarnation, key)
 		}
 	}
 }
 
-// noteSaid takes what an endpoint says of itself.
-func (r *Relayer) noteSaid(q *request, response *http.Response) {
+// noteBackoff records the backoff or the leaving that the headers of an endpoint's answer announce.
+func (r *Relayer) noteBackoff(q *request, response *http.Response) {
 	now := r.options.Clock.Now()
 	if response.Header.Get(headerLeaving) != "" {
-		q.spent.leaving = true
-		r.backoffs.ask(now, q.slot, backoff{end: now.Add(leavingBackoff), leaving: true})
+		q.attempt.leaving = true
+		r.backoffs.record(now, q.slot, backoff{until: now.Add(leavingBackoff), leaving: true})
 		r.note(q, "leaving", q.slot.Endpoint(), "the endpoint says that it leaves")
 	}
 	after := response.Header.Get(headerRetryAfter)
 	if after == "" || response.StatusCode != http.StatusServiceUnavailable {
 		return
 	}
-	wish, err := retrier.After(after)
+	asked, err := retrier.After(after)
 	if err != nil {
-		r.options.Log.Warn().Err(err).Str("id", q.id).Str("endpoint", q.slot.Endpoint()).Msg("a header of the endpoint's answer counts as not said")
+		r.options.Log.Warn().Err(err).Str("id", q.id).Str("endpoint", q.slot.Endpoint()).Msg("header of the endpoint's answer is unreadable; it is ignored")
 		return
 	}
-	q.spent.backoff = wish
-	r.backoffs.ask(now, q.slot, backoff{end: now.Add(wish)})
-	r.note(q, "backoff", wish.String(), "the endpoint wants no requests of this router for so long")
+	q.attempt.backoff = asked
+	r.backoffs.record(now, q.slot, backoff{until: now.Add(asked)})
+	r.note(q, "backoff", asked.String(), "the endpoint wants no requests of this router for so long")
 }
--- a/router/internal/relayer/caller.go
+++ b/router/internal/relayer/caller.go
@@ -12,7 +12,7 @@
 	"shallotkeel.example/lib/tracker"
 )
 
-// Headers between callers, routers and endpoints.
+// Names of headers that callers, routers and endpoints exchange.
 const (
 	headerOutcome     = "X-Outcome"
 	headerRequestID   = "X-Request-Id"
@@ -26,82 +26,86 @@
 	headerTraceparent = "Traceparent"
 )
 
-// errCaller is the kind of every error about writing to a caller.
+// errCaller is the kind of every error of writing to a caller.
 var errCaller = merry.Sentinel("caller takes no more of its answer")
 
-// caller writes one answer. Every write has a deadline: a caller that reads
-// nothing would otherwise hold an endpoint's slot, and the slots of all callers
-// that do so add up to an outage. Nothing is buffered beyond the connection, so
-// that a slow caller slows its own answer down and costs no memory. Deadlines
-// are the operating system's, so they are in real time whatever clock the
-// decisions use; errors of setting them are ignored, because writers without
-// deadlines (in tests) have no connection that could stall.
+// caller writes one answer to a caller. Every write has a deadline, because a caller that reads
+// nothing would otherwise hold an endpoint's slot, and enough such callers would hold all slots.
+// Nothing is buffered beyond the connection, so that a slow caller slows down only its own answer
+// and costs no memory. The deadlines are those of the operating system, and so in real time even
+// if the router's decisions use another clock. Errors of setting them are ignored, because writers
+// without deadlines, as in tests, have no connection that could stall.
 type caller struct {
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	stall   time.Duration
-	ended   context.Context // the request's, after which nothing is written but its ending
+	writer       http.ResponseWriter
+	control      *http.ResponseController
+	stallTimeout time.Duration
+	ctx          context.Context // of the request; after its end only the final answer is written
 
 	lock    sync.Mutex
-	waiting bool // for a read or write, which expire may cut short
+	waiting bool // a read or write is in progress, which interruptIO may end early
 
-	end     *framer.End // of an answer that ends with the caller's connection
-	begun   bool        // a byte of the answer has been handed to the connection
-	discard bool        // the caller has gone; what follows is thrown away
+	unframedEnd *framer.End // end of an answer that ends with the caller's connection, otherwise nil
+	started     bool        // the head of the answer has been written to the connection
+	discard     bool        // the caller has disconnected; the rest of the answer is discarded
 }
 
-func newCaller(w http.ResponseWriter, stall time.Duration) *caller {
-	return &caller{writer: w, control: http.NewResponseController(w), stall: stall}
+// newCaller returns the caller of a request whose answer goes to w.
+func newCaller(w http.ResponseWriter, stallTimeout time.Duration) *caller {
+	return &caller{writer: w, control: http.NewResponseController(w), stallTimeout: stallTimeout}
 }
 
-// begin sends the headers of an answer that will be whole.
-func (c *caller) begin(status int) {
-	c.beginAs(tracker.OutcomeAnswered, status)
+// sendHead sends the status and the headers of an answer with the outcome answered.
+func (c *caller) sendHead(status int) {
+	c.sendHeadAs(tracker.OutcomeAnswered, status)
 }
 
-func (c *caller) beginAs(outcome tracker.Outcome, status int) {
-	if c.begun || c.discard {
+// sendHeadAs sends the status and the headers of an answer with an outcome, unless they have been
+// sent already.
+func (c *caller) sendHeadAs(outcome tracker.Outcome, status int) {
+	if c.started || c.discard {
 		return
 	}
-	c.begun = true
+	c.started = true
 	c.writer.Header().Set(headerOutcome, string(outcome))
 	c.writer.WriteHeader(status)
 }
 
-// unframe makes an answer end with the caller's connection. The error is an errCaller.
+// unframe switches to an answer without framing, which ends with the caller's connection. The error
+// is an errCaller.
 func (c *caller) unframe(h *http.Request) error {
-	if c.begun || c.discard {
+	if c.started || c.discard {
 		return nil
 	}
 	end, err := framer.Unframe(c.writer, h)
 	if err != nil {
 		return merry.Errorf("%w: %w", errCaller, err)
 	}
-	c.end = end
+	c.unframedEnd = end
 	return nil
 }
 
-// finish ends an answer that ends with the caller's connection.
+// finish completes an answer. If it ends with the caller's connection, finish ends that
+// connection cleanly. The error is an errCaller.
 func (c *caller) finish() error {
 	if c.discard {
 		return nil
 	}
-	if err := c.end.Whole(c.control); err != nil {
+	if err := c.unframedEnd.Whole(c.control); err != nil {
 		return merry.Errorf("%w: %w", errCaller, err)
 	}
 	return nil
 }
 
-// write sends a part of the answer and flushes it.
+// write sends a part of the answer and flushes it. The error is an errCaller.
 func (c *caller) write(part []byte) error {
 	if c.discard {
 		return nil
 	}
-	c.extend()
-	c.wait(true)
-	defer c.wait(false)
-	// If the request ends after this check, expire moves the deadline.
-	if err := c.ended.Err(); err != nil {
+	c.extendWriteDeadline()
+	c.setWaiting(true)
+	defer c.setWaiting(false)
+	// If the request ends after this check, interruptIO moves the deadline.
+	if err := c.ctx.Err(); err != nil {
 		return merry.Errorf("%w: %w", errCaller, err)
 	}
 	if _, err := c.writer.Write(part); err != nil {
@@ -113,15 +117,15 @@
 	return nil
 }
 
-// extend allows for one more write.
-func (c *caller) extend() {
-	_ = c.control.SetWriteDeadline(time.Now().Add(c.stall))
+// extendWriteDeadline sets the deadline of the next write.
+func (c *caller) extendWriteDeadline() {
+	_ = c.control.SetWriteDeadline(time.Now().Add(c.stallTimeout))
 }
 
-// expire cuts a read or write short that waits for the caller, because the
-// request has ended. Any goroutine may call it. While nothing waits it does
-// nothing: it would spoil the writing of the final answer.
-func (c *caller) expire() {
+// interruptIO ends a read or write that waits for the caller, because the request has ended. Any
+// goroutine may call it. If no read or write is in progress it does nothing, because an expired
+// deadline would make the write of the final answer fail.
+func (c *caller) interruptIO() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if !c.waiting {
@@ -131,13 +135,14 @@
 	_ = c.control.SetWriteDeadline(time.Now())
 }
 
-func (c *caller) wait(waiting bool) {
+// setWaiting sets whether a read or write is in progress.
+func (c *caller) setWaiting(waiting bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.waiting = waiting
 }
 
-// release leaves the connection to the next request without a deadline.
-func (c *caller) release() {
+// clearWriteDeadline removes the deadline, so that it does not apply to the connection's next request.
+func (c *caller) clearWriteDeadline() {
 	_ = c.control.SetWriteDeadline(time.Time{})
 }
--- a/router/internal/relayer/chat.go
+++ b/router/internal/relayer/chat.go
@@ -8,21 +8,22 @@
 	"shallotkeel.example/lib/tracker"
 )
 
-// bytesPerToken turns a prompt's size into units before a model has counted it.
+// bytesPerToken is the estimated size of a token, by which a prompt's tokens are counted before a
+// model has counted them.
 const bytesPerToken = 4
 
-// chat is what a router needs to know of a chat completion's body. The body
-// itself goes on to the engine with every field that it came with.
+// chat is the part of a chat completion's body that the router uses. The body itself is forwarded to
+// the engine with all its fields.
 type chat struct {
 	Model  string
-	Stream bool
-	Hint   uint32
-	Prompt uint32
-	Prefix uint64
+	Stream bool   // the caller wants a stream
+	Hint   uint32 // maximum tokens of the answer, 0 if the caller sets none
+	Prompt uint32 // estimated tokens of the prompt
+	Prefix uint64 // hash of the prompt's prefix, for prefix affinity
 	Body   []byte // for the engine: always streamed, with usage
 }
 
-// chatBody is the part of the body that the router reads.
+// chatBody is the part of the body that the router decodes.
 type chatBody struct {
 	Model               string        `json:"model"`
 	Messages            []chatMessage `json:"messages"`
@@ -32,18 +33,20 @@
 	N                   *int64        `json:"n"`
 }
 
-// chatMessage keeps the content raw, because it is a text or a list of parts.
+// chatMessage is one message of the prompt. Its content is kept raw, because it is either a text or
+// a list of parts.
 type chatMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
+// contentPart is one part of a message's content; parts without text are ignored.
 type contentPart struct {
 	Text string `json:"text"`
 }
 
-// decodeChat reads a body and prepares the one for the engine. The failure
-// says what is wrong with the body.
+// decodeChat decodes a body and prepares the body for the engine. It returns a problem if the body is
+// invalid.
 func decodeChat(text []byte) (*chat, *problem) {
 	var body chatBody
 	if err := json.Unmarshal(text, &body); err != nil {
@@ -52,7 +55,7 @@
 	if problem := body.check(); problem != "" {
 		return nil, badBody(problem)
 	}
-	messages, ok := joinable(body.Messages)
+	messages, ok := flattenMessages(body.Messages)
 	if !ok {
 		return nil, badBody("content must be a text or a list of parts with a text")
 	}
@@ -71,11 +74,12 @@
 	}, nil
 }
 
+// badBody returns the problem of an invalid body.
 func badBody(reason string) *problem {
 	return &problem{tracker.CodeBadBody, reason}
 }
 
-// check returns what is wrong, or nothing.
+// check returns the reason why the body is invalid, empty if it is valid.
 func (b *chatBody) check() string {
 	switch {
 	case b.Model == "":
@@ -91,6 +95,7 @@
 	}
 }
 
+// hint returns the maximum tokens of the answer that the caller asks for, 0 if it sets none.
 func (b *chatBody) hint() uint32 {
 	for _, bound := range []*int64{b.MaxTokens, b.MaxCompletionTokens} {
 		if bound != nil {
@@ -100,8 +105,9 @@
 	return 0
 }
 
-// joinable flattens contents to texts.
-func joinable(raw []chatMessage) ([]answerer.Message, bool) {
+// flattenMessages converts the content of each message to a text. It returns false if a content is
+// neither a text nor a list of parts.
+func flattenMessages(raw []chatMessage) ([]answerer.Message, bool) {
 	messages := make([]answerer.Message, 0, len(raw))
 	for _, message := range raw {
 		content, ok := flatten(message.Content)
@@ -113,6 +119,7 @@
 	return messages, true
 }
 
+// flatten returns the text of one content.
 func flatten(raw json.RawMessage) (string, bool) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return "", true
@@ -131,9 +138,9 @@
 	return text, true
 }
 
-// forwardedBody is the caller's body with streaming and usage switched on. The
-// engine streams also when the caller wants a whole answer, because only a
-// stream can be resumed at the token where it broke.
+// forwardedBody returns the caller's body with streaming and usage enabled. The engine streams even
+// if the caller does not want a stream, because only a stream can be resumed at the token where it
+// broke.
 func forwardedBody(text []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(text, &fields); err != nil {
--- a/router/internal/relayer/claim.go
+++ b/router/internal/relayer/claim.go
@@ -12,16 +12,15 @@
 	"shallotkeel.example/lib/tracker"
 )
 
-// headerReplayed marks an answer that was recorded earlier.
+// headerReplayed marks an answer that is replayed from the record of an earlier request.
 const headerReplayed = "Idempotency-Replayed"
 
-// spentRetry is when to ask again for the outcome of a request that may still run.
-const spentRetry = 2 * time.Second
+// keySpentRetryAfter is the Retry-After for a key whose earlier request may still run.
+const keySpentRetryAfter = 2 * time.Second
 
-// claimKey claims the idempotency key in the replicated log. The claim comes
-// after the grant, directly before the first byte: claimed earlier, the keys of
-// all requests that wait at a router would be spent when it dies, though none
-// of them ran.
+// claimKey claims the idempotency key in the replicated log. The claim follows the grant of a slot
+// and directly precedes the first byte: with earlier claims, a crash of the router would spend the
+// keys of all requests that wait at it, although none of them ran.
 func (r *Relayer) claimKey(ctx context.Context, q *request) tracker.Event {
 	ctx, span := r.options.Tracer.Start(ctx, "claim")
 	q.claim = &messenger.ClaimEntry{Workspace: q.workspace.Name, Key: q.key, Digest: q.fingerprint}
@@ -32,32 +31,33 @@
 		if ctx.Err() != nil {
 			return interruption(ctx)
 		}
-		return tracker.Event{Kind: tracker.ClaimUnanswered, Retry: retrySoon}
+		return tracker.Event{Kind: tracker.ClaimUnanswered, Retry: minRetryAfter}
 	}
 	span.End("")
 	r.note(q, "claim", result.Outcome.String(), "")
-	return q.claimed(result)
+	return q.claimEvent(result)
 }
 
-func (q *request) claimed(result *messenger.ClaimResult) tracker.Event {
+// claimEvent returns the event for the result of a claim.
+func (q *request) claimEvent(result *messenger.ClaimResult) tracker.Event {
 	switch result.Outcome {
 	case messenger.ClaimOutcome_CLAIM_GRANTED:
-		// From here on the answer is awaited also when the caller goes away.
-		q.detachable(true)
+		// From here on the answer is awaited even if the caller disconnects.
+		q.setOutlivesCaller(true)
 		return tracker.Event{Kind: tracker.ClaimGranted}
 	case messenger.ClaimOutcome_CLAIM_RECORDED:
-		q.keep.recorded = result.Recorded
+		q.recorder.recorded = result.Recorded
 		return tracker.Event{Kind: tracker.ClaimRecorded}
 	case messenger.ClaimOutcome_CLAIM_MISMATCH:
 		return tracker.Event{Kind: tracker.ClaimMismatch}
 	case messenger.ClaimOutcome_CLAIM_FULL:
-		return tracker.Event{Kind: tracker.ClaimFull, Retry: retrySoon}
+		return tracker.Event{Kind: tracker.ClaimFull, Retry: minRetryAfter}
 	default:
-		return tracker.Event{Kind: tracker.ClaimSpent, Retry: spentRetry}
+		return tracker.Event{Kind: tracker.ClaimSpent, Retry: keySpentRetryAfter}
 	}
 }
 
-// record stores the outcome of a claimed request, in the background.
+// record stores the outcome of a claimed request in the background.
 func (r *Relayer) record(q *request, answer *messenger.Answer) {
 	r.note(q, "record", "", "")
 	r.options.Claimer.Record(&messenger.RecordEntry{
@@ -65,52 +65,53 @@
 	})
 }
 
-// keeper keeps the answer of a claimed request for its record. The zero value
-// keeps nothing.
-type keeper struct {
-	limit    int
-	status   int
-	kind     string
-	body     []byte
-	chat     assembly
-	omitted  bool   // the answer is larger than the limit
-	recorded []byte // an earlier request's answer, encoded
+// answerRecorder collects the answer of a claimed request for the record of its key. The zero value
+// collects nothing.
+type answerRecorder struct {
+	limit       int // of the answer's size in bytes
+	status      int
+	contentType string
+	body        []byte
+	chat        answerBuilder
+	omitted     bool   // the answer is larger than the limit
+	recorded    []byte // encoded answer of an earlier request with the key
 }
 
-// add keeps a part of a plain answer.
-func (k *keeper) add(part []byte) {
-	if k.limit == 0 || k.omitted {
+// add appends a part of a plain service's answer.
+func (a *answerRecorder) add(part []byte) {
+	if a.limit == 0 || a.omitted {
 		return
 	}
-	if len(k.body)+len(part) > k.limit {
-		k.body, k.omitted = nil, true
+	if len(a.body)+len(part) > a.limit {
+		a.body, a.omitted = nil, true
 		return
 	}
-	k.body = append(k.body, part...)
+	a.body = append(a.body, part...)
 }
 
-// event keeps a part of a chat answer.
-func (k *keeper) event(event chunk) {
-	if k.limit == 0 || k.omitted {
+// addEvent appends an event of a chat answer.
+func (a *answerRecorder) addEvent(event chunk) {
+	if a.limit == 0 || a.omitted {
 		return
 	}
-	k.chat.limit = k.limit
-	k.omitted = !k.chat.add(event)
+	a.chat.limit = a.limit
+	a.omitted = !a.chat.add(event)
 }
 
-func (k *keeper) notRun() *messenger.Answer {
+// notRun returns the record of a request that did not run, which frees its key.
+func (a *answerRecorder) notRun() *messenger.Answer {
 	return &messenger.Answer{NotRun: true}
 }
 
-// answer returns the record. One that is too large says that it is left out.
-func (k *keeper) answer(order *sequence) *messenger.Answer {
-	answer := &messenger.Answer{Status: uint32(k.status), ContentType: k.kind, Body: k.body, Omitted: k.omitted}
-	if !order.finished {
+// answer returns the record of the answer. An answer above the limit is marked as omitted.
+func (a *answerRecorder) answer(sequence *sequence) *messenger.Answer {
+	answer := &messenger.Answer{Status: uint32(a.status), ContentType: a.contentType, Body: a.body, Omitted: a.omitted}
+	if !sequence.finished {
 		return answer
 	}
 	answer.Status, answer.ContentType = http.StatusOK, contentJSON
-	body, err := k.chat.whole(order)
-	if err != nil || k.omitted || len(body) > 2*k.limit {
+	body, err := a.chat.encode(sequence)
+	if err != nil || a.omitted || len(body) > 2*a.limit {
 		answer.Omitted = true
 		return answer
 	}
@@ -118,10 +119,10 @@
 	return answer
 }
 
-// replay answers with what was recorded of an earlier request with this key.
+// replay sends the recorded answer of an earlier request with the same key.
 func (r *Relayer) replay(q *request, action tracker.Action) tracker.Action {
 	var answer messenger.Answer
-	if err := proto.Unmarshal(q.keep.recorded, &answer); err != nil || answer.Omitted {
+	if err := proto.Unmarshal(q.recorder.recorded, &answer); err != nil || answer.Omitted {
 		q.reason = "an earlier request with this Idempotency-Key ran and was answered, but its answer was too large to keep, or ended with its connection, so that it may not be whole"
 		return tracker.Action{Step: tracker.RespondError, Outcome: tracker.OutcomeUnknown, Code: tracker.CodeKeySpent}
 	}
@@ -130,17 +131,17 @@
 	body := answer.Body
 	headers.Set("Content-Type", answer.ContentType)
 	if q.chat != nil && q.chat.Stream && answer.Status == http.StatusOK {
-		body = streamed(answer.Body)
+		body = asStream(answer.Body)
 		headers.Set("Content-Type", "text/event-stream")
 	}
-	q.caller.begin(int(answer.Status))
+	q.caller.sendHead(int(answer.Status))
 	if q.caller.write(body) != nil {
 		return tracker.Action{Step: tracker.EndSilently, Outcome: tracker.OutcomeAnswered, Code: tracker.CodeCallerGone}
 	}
 	return action
 }
 
-// replayedChunk is a whole answer as one event of a stream.
+// replayedChunk is a complete answer as a single event of a stream.
 type replayedChunk struct {
 	ID      string           `json:"id"`
 	Object  string           `json:"object"`
@@ -150,21 +151,22 @@
 	Usage   *usage           `json:"usage,omitempty"`
 }
 
+// replayedChoice is the single choice of a replayedChunk.
 type replayedChoice struct {
 	Index        int               `json:"index"`
 	Delta        completionMessage `json:"delta"`
 	FinishReason string            `json:"finish_reason"`
 }
 
-// streamed turns a recorded whole answer into a stream of one event.
-func streamed(body []byte) []byte {
-	var whole completion
-	if json.Unmarshal(body, &whole) != nil || len(whole.Choices) == 0 {
+// asStream converts a recorded chat answer into a stream of one event. It returns other bodies unchanged.
+func asStream(body []byte) []byte {
+	var full completion
+	if json.Unmarshal(body, &full) != nil || len(full.Choices) == 0 {
 		return body
 	}
-	first := whole.Choices[0]
+	first := full.Choices[0]
 	event, err := json.Marshal(replayedChunk{
-		ID: whole.ID, Object: "chat.completion.chunk", Created: whole.Created, Model: whole.Model, Usage: whole.Usage,
+		ID: full.ID, Object: "chat.completion.chunk", Created: full.Created, Model: full.Model, Usage: full.Usage,
 		Choices: []replayedChoice{{Delta: first.Message, FinishReason: first.FinishReason}},
 	})
 	if err != nil {
--- a/router/internal/relayer/client_test.go
+++ b/router/internal/relayer/client_test.go
@@ -61,6 +61,8 @@
 
 // end of the example in docs/CALLERS.md
 
+// Guards against an example client that runs a non-repeatable request twice, reports an outcome that is
+// not certain, or retries what is refused permanently.
 func TestExampleClient(t *testing.T) {
 	for name, test := range map[string]struct {
 		first  endpoint
@@ -69,8 +71,8 @@
 		starts int32
 	}{
 		"well":        {first: nil, want: "POST /bids 12", starts: 1},
-		"not started": {first: refuses, want: "POST /bids 12", starts: 1},
-		"died":        {first: (&desk{}).dies, fails: "no certain outcome", starts: 0},
+		"not started": {first: refuseUnstarted, want: "POST /bids 12", starts: 1},
+		"died":        {first: (&desk{}).crash, fails: "no certain outcome", starts: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := &desk{}
@@ -90,16 +92,16 @@
 				require.NoError(t, err)
 			}
 			require.Equal(t, test.want, got)
-			require.Equal(t, test.starts, d.started.Load(), "it never runs again after it may have run")
+			require.Equal(t, test.starts, d.started.Load(), "a request that may have run must not run again")
 			require.Equal(t, test.first != nil, waited > 0)
 		})
 	}
-	f := newFleet(t, relayer.Limits{}, well)
+	f := newFleet(t, relayer.Limits{}, healthy)
 	_, err := send(http.DefaultClient, f.url+bids, "wrong", "lot-7", "12", 4, func(time.Duration) { t.Fail() })
 	require.ErrorContains(t, err, "refused for good")
 }
 
-// The page shows the code that is tested here.
+// Guards against a page for callers whose example differs from the code tested here.
 func TestExampleIsOnCallersPage(t *testing.T) {
 	source, err := os.ReadFile("client_test.go")
 	require.NoError(t, err)
--- a/router/internal/relayer/explain_test.go
+++ b/router/internal/relayer/explain_test.go
@@ -10,8 +10,10 @@
 	"shallotkeel.example/router/internal/relayer"
 )
 
+// Guards against incomplete histories of retried requests, and against histories that are kept without
+// a limit.
 func TestExplain(t *testing.T) {
-	f := newFleet(t, relayer.Limits{Explained: 2}, crashes(2), well)
+	f := newFleet(t, relayer.Limits{ExplainableRequests: 2}, crashAfter(2), healthy)
 	const traceparent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	got := f.chat(true, "Traceparent", traceparent)
 	require.Contains(t, got.headers.Get("Traceparent"), "0af7651916cd43dd8448eb211c80319c")
@@ -31,13 +33,14 @@
 		f.call(http.MethodGet, "/v1/services/app/", "")
 	}
 	_, found = f.relayer.Explain(id)
-	require.False(t, found, "the oldest is forgotten")
+	require.False(t, found, "the oldest ended request is removed")
 }
 
+// Guards against waiting requests without an explanation, when the limit of ended requests is reached.
 func TestExplainOfWaitingRequest(t *testing.T) {
-	f := newFleet(t, relayer.Limits{Explained: 1}, well)
+	f := newFleet(t, relayer.Limits{ExplainableRequests: 1}, healthy)
 	f.call(http.MethodGet, "/v1/services/app/", "")
-	f.enroller.closed = true
+	f.enroller.paused = true
 	go f.chat(true)
 	f.enroller.await(t, "waiting", func() bool { return len(f.enroller.waiting) == 2 })
 	explanation, found := f.relayer.Explain(f.enroller.waiting[1].ID)
@@ -46,10 +49,9 @@
 	require.Contains(t, explanation.Why, "waits for a slot")
 }
 
-// Symptom: a service is told a workspace's token, or believes a caller that it
-// is another. Sequence: a caller sends its token and headers that routers set.
-// Cause: headers that are passed on as they came.
-func TestHeadersTowardsServices(t *testing.T) {
+// Guards against the disclosure of a workspace's token to a service, and against callers that pose as
+// another workspace, by headers that are forwarded although they are private or set by routers.
+func TestHeadersSentToServices(t *testing.T) {
 	seen := make(chan http.Header, 1)
 	f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, _ int) {
 		seen <- r.Header
@@ -66,17 +68,16 @@
 	require.Equal(t, "kept", got.headers.Get("X-Custom"))
 }
 
-// Symptom: the metrics grow with the deployment until nobody can keep them.
-// Sequence: requests of many workspaces, models and endpoints. Cause: labels
-// with names that callers or operators choose.
+// Guards against labels with names that callers or operators choose, such as those of workspaces,
+// models and endpoints: the number of series would grow with the deployment.
 func TestMetricsHaveBoundedLabels(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, well)
+	f := newFleet(t, relayer.Limits{}, healthy)
 	f.chat(true)
 	f.chat(false)
 	f.call(http.MethodGet, "/v1/services/none/", "")
 	require.EqualValues(t, 2, f.metric("shallotkeel_requests_total{code=,kind=chat,outcome=answered}"))
 	require.EqualValues(t, 1, f.metric("shallotkeel_requests_total{code=unknown_service,kind=plain,outcome=not-run}"))
-	require.EqualValues(t, 2*length, f.metric("shallotkeel_tokens_total{}"))
+	require.EqualValues(t, 2*answerTokens, f.metric("shallotkeel_tokens_total{}"))
 	require.EqualValues(t, 2, f.metric("shallotkeel_first_token_seconds{}"))
 	families, err := f.registry.Gather()
 	require.NoError(t, err)
--- a/router/internal/relayer/explainer.go
+++ b/router/internal/relayer/explainer.go
@@ -8,23 +8,22 @@
 	"shallotkeel.example/lib/tracker"
 )
 
-// maxSteps bounds what is remembered of one request; a request that is retried
-// four times takes some twenty steps.
+// maxSteps is the maximum number of steps recorded for one request; a request that is retried four
+// times takes about twenty steps.
 const maxSteps = 32
 
-// explainer remembers what happened to requests: to all in progress, whose
-// number is bounded by the waiting room and the slots, and to the most recent
-// of those that have ended. At about 60 bytes a step and ten steps a request,
-// the default of 1024 takes 700 KiB.
+// explainer records the histories of all requests in progress, whose number is limited by the waiting
+// queue and the slots, and of the most recently ended ones. At about 60 bytes a step and ten steps a
+// request, the default of 1024 ended requests takes 700 KiB.
 type explainer struct {
-	limit  int
+	limit  int // of ended requests
 	lock   sync.Mutex
-	known  map[string]*history
-	recent []string // ids of ended requests, a ring
-	next   int
+	known  map[string]*history // by request ID
+	recent []string            // ring of the IDs of ended requests
+	next   int                 // index in recent of the oldest ID
 }
 
-// history is what happened to one request. It is guarded by the explainer's lock.
+// history is the sequence of steps of one request. It is guarded by the explainer's lock.
 type history struct {
 	id        string
 	received  time.Time
@@ -34,11 +33,11 @@
 	trace     string
 	outcome   tracker.Outcome
 	code      tracker.Code
-	why       string
+	why       string // reason of the request's present state
 	steps     []reporter.Step
 }
 
-// begin makes a request known.
+// begin starts to record a request that has been admitted.
 func (e *explainer) begin(q *request) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -53,7 +52,8 @@
 	e.known[h.id] = h
 }
 
-// note adds a step, and why the request is where it is now.
+// note adds a step to the request's history. A non-empty why replaces the reason of the request's
+// present state.
 func (r *Relayer) note(q *request, step, detail, why string) {
 	now := r.options.Clock.Now()
 	e := &r.explainer
@@ -68,13 +68,13 @@
 	}
 }
 
-// end remembers how a request ended and forgets the oldest that has.
+// end records how a request ended and removes the oldest ended request beyond the limit.
 func (e *explainer) end(q *request, action tracker.Action) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	h := q.history
 	if e.known[h.id] == nil {
-		return // it was refused before it meant anything
+		return // it was refused before begin
 	}
 	h.outcome, h.code = action.Outcome, action.Code
 	if len(e.recent) < e.limit {
@@ -86,7 +86,7 @@
 	e.next = (e.next + 1) % e.limit
 }
 
-// Explain tells what happened to a request that is in progress or recent.
+// Explain returns the history of a request that is in progress or has ended recently.
 func (r *Relayer) Explain(id string) (reporter.Explanation, bool) {
 	e := &r.explainer
 	e.lock.Lock()
--- a/router/internal/relayer/failure.go
+++ b/router/internal/relayer/failure.go
@@ -10,18 +10,20 @@
 	"shallotkeel.example/router/internal/refuser"
 )
 
-// retrySoon is when to come back after a fault that is likely to pass at once.
-const retrySoon = time.Second
+// minRetryAfter is the Retry-After for a fault that is likely to pass at once, such as the loss of
+// an endpoint, and the minimum for a scheduler's refusal.
+const minRetryAfter = time.Second
 
-// meaning is what a code stands for, whatever the request.
-type meaning struct {
+// failureText is the answer for a code: its HTTP status, message and remedy.
+type failureText struct {
 	status  int
 	invalid bool // the request itself is at fault
 	message string
 	remedy  string
 }
 
-var meanings = map[tracker.Code]meaning{
+// failureTexts holds the answer for each code that a caller can get.
+var failureTexts = map[tracker.Code]failureText{
 	tracker.CodeNoToken: {
 		http.StatusUnauthorized, true, "the request carries no token",
 		"send the header Authorization: Bearer TOKEN with your workspace's token",
@@ -81,27 +83,27 @@
 	},
 }
 
-// kind returns the error's type for the body.
-func kind(action tracker.Action) string {
+// failureType returns the type of the error in the answer's body.
+func failureType(action tracker.Action) string {
 	switch {
 	case action.Outcome == tracker.OutcomeUnknown:
 		return refuser.Unknown
-	case meanings[action.Code].invalid:
+	case failureTexts[action.Code].invalid:
 		return refuser.Invalid
 	default:
 		return refuser.NotRun
 	}
 }
 
-// tell sends a failure as the whole answer. Reason, if there is one, says more
-// than the code's own message.
-func (c *caller) tell(action tracker.Action, reason, id string) {
-	means, known := meanings[action.Code]
+// sendFailure sends a failure as the complete answer. A non-empty reason replaces the message of the
+// code.
+func (c *caller) sendFailure(action tracker.Action, reason, id string) {
+	text, known := failureTexts[action.Code]
 	if !known {
-		means = meanings[tracker.CodeNoEndpoint]
+		text = failureTexts[tracker.CodeNoEndpoint]
 	}
 	body := reporter.FailureBody{
-		Type: kind(action), Code: string(action.Code), Message: means.message, Remedy: means.remedy,
+		Type: failureType(action), Code: string(action.Code), Message: text.message, Remedy: text.remedy,
 		RequestID: id, RetryMS: action.Retry.Milliseconds(),
 	}
 	if reason != "" {
@@ -110,16 +112,17 @@
 	headers := c.writer.Header()
 	headers.Set(headerOutcome, string(action.Outcome))
 	if action.Retry > 0 {
-		headers.Set(headerRetryAfter, wholeSeconds(action.Retry))
+		headers.Set(headerRetryAfter, ceilSeconds(action.Retry))
 	}
-	c.extend()
-	// The server reads the rest of a body first, from a caller that may stall.
-	_ = c.control.SetReadDeadline(time.Now().Add(c.stall))
-	refuser.Write(c.writer, means.status, body)
+	c.extendWriteDeadline()
+	// The server first reads the rest of the request's body, from a caller that may stall.
+	_ = c.control.SetReadDeadline(time.Now().Add(c.stallTimeout))
+	refuser.Write(c.writer, text.status, body)
 }
 
-// wholeSeconds rounds up, so that nobody comes back too early.
-func wholeSeconds(d time.Duration) string {
+// ceilSeconds returns a duration in seconds, rounded up so that no caller retries too early, and at
+// least 1.
+func ceilSeconds(d time.Duration) string {
 	seconds := int64((d + time.Second - 1) / time.Second)
 	return strconv.FormatInt(max(seconds, 1), 10)
 }
--- a/router/internal/relayer/fuzz_test.go
+++ b/router/internal/relayer/fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzDecodeChat: whatever a caller sends is refused with a reason, or becomes a
-// body that is streamed and otherwise says the same.
+// FuzzDecodeChat checks that any body is either refused with a reason, or converted to a body with
+// streaming enabled, the same fields and the same meaning.
 func FuzzDecodeChat(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","messages":[{"role":"user","content":"hi"}],"max_tokens":5,"seed":1}`,
@@ -45,8 +45,8 @@
 	})
 }
 
-// FuzzEvents: whatever an endpoint sends, reading ends, takes bounded memory,
-// and yields each token once, in order, and of this request only.
+// FuzzEvents checks that reading any stream ends, uses bounded memory, and yields each token of the
+// request once and in order, and no token of another request.
 func FuzzEvents(f *testing.F) {
 	token := "data: {\"id\":\"a\",\"index_of_token\":%d,\"choices\":[{\"delta\":{\"content\":\"x\"}}]}\n\n"
 	for _, seed := range []string{
@@ -58,48 +58,49 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		from := newEvents(bytes.NewReader(text))
-		order := sequence{id: "a"}
+		events := newEventReader(bytes.NewReader(text))
+		sequence := sequence{id: "a"}
 		tokens := 0
 		for {
-			data, err := from.next()
+			data, err := events.next()
 			if err != nil {
 				require.True(t, errors.Is(err, io.EOF) || errors.Is(err, errStream))
 				break
 			}
 			require.LessOrEqual(t, len(data), maxEventBytes)
-			event, verdict := order.judge(data)
+			event, verdict := sequence.judge(data)
 			if verdict.token {
 				require.Equal(t, "a", event.ID)
 				require.Equal(t, tokens, *event.IndexOfToken)
 				tokens++
 			}
-			require.Equal(t, tokens, order.next)
+			require.Equal(t, tokens, sequence.next)
 			require.False(t, verdict.relay && (verdict.dropped != "" || verdict.broken != ""))
-			require.False(t, order.finished && verdict.token && !verdict.finished, "a token after the end")
+			require.False(t, sequence.finished && verdict.token && !verdict.finished, "a token follows the end")
 		}
 	})
 }
 
+// Guards against wrongly split events, and against truncated events that are taken for complete ones.
 func TestEvents(t *testing.T) {
 	for name, test := range map[string]struct {
 		text string
 		want []string
 		err  error
 	}{
-		"one":           {"data: a\n\n", []string{"a"}, io.EOF},
-		"two lines":     {"data: a\ndata: b\n\n", []string{"a\nb"}, io.EOF},
-		"carriage":      {"data: a\r\n\r\n", []string{"a"}, io.EOF},
-		"comment":       {": c\n\nid: 1\ndata:a\n\n", []string{"a"}, io.EOF},
-		"cut in line":   {"data: a\n\ndata: b", []string{"a"}, io.ErrUnexpectedEOF},
-		"cut in event":  {"data: a\n\ndata: b\n", []string{"a"}, errStream},
-		"without bound": {"data: " + strings.Repeat("x", maxEventBytes), nil, errStream},
+		"one":             {"data: a\n\n", []string{"a"}, io.EOF},
+		"two lines":       {"data: a\ndata: b\n\n", []string{"a\nb"}, io.EOF},
+		"carriage":        {"data: a\r\n\r\n", []string{"a"}, io.EOF},
+		"comment":         {": c\n\nid: 1\ndata:a\n\n", []string{"a"}, io.EOF},
+		"truncated line":  {"data: a\n\ndata: b", []string{"a"}, io.ErrUnexpectedEOF},
+		"truncated event": {"data: a\n\ndata: b\n", []string{"a"}, errStream},
+		"endless line":    {"data: " + strings.Repeat("x", maxEventBytes), nil, errStream},
 	} {
 		t.Run(name, func(t *testing.T) {
-			from := newEvents(strings.NewReader(test.text))
+			events := newEventReader(strings.NewReader(test.text))
 			var got []string
 			for {
-				data, err := from.next()
+				data, err := events.next()
 				if err != nil {
 					require.ErrorIs(t, err, test.err)
 					break
--- a/router/internal/relayer/harness_test.go
+++ b/router/internal/relayer/harness_test.go
@@ -32,39 +32,42 @@
 	"shallotkeel.example/router/internal/relayer"
 )
 
-// patience bounds what a test waits for; it is never waited out by a pass.
-const patience = 10 * time.Second
+// waitTimeout is the maximum time for which a test waits for an event. A passing test never waits so
+// long.
+const waitTimeout = 10 * time.Second
 
-// fleet is a relayer between callers and scripted endpoints.
+// fleet is a Relayer between a test's caller and scripted endpoints, with stubs of its dependencies. It
+// is also the stub of the quarantine.
 type fleet struct {
 	*testing.T
 	relayer  *relayer.Relayer
 	url      string
 	enroller *enroller
 	claimer  *claimer
-	clock    *clockwork.FakeClock // nil for the real one
+	clock    *clockwork.FakeClock // nil if the fleet uses the real clock
 	registry *prometheus.Registry
 
 	lock       sync.Mutex
 	quarantine map[uint64]bool
 }
 
-// endpoint is a script: what an endpoint does with the n-th request to it.
+// endpoint is the script of an endpoint: it serves the n-th request to the endpoint.
 type endpoint func(w http.ResponseWriter, r *http.Request, n int)
 
-// newFleet starts the endpoints, in the order in which slots are given out.
+// newFleet starts a fleet with the real clock. The enroller prefers the endpoints in their order.
 func newFleet(t *testing.T, limits relayer.Limits, endpoints ...endpoint) *fleet {
 	return startFleet(t, clockwork.NewRealClock(), limits, endpoints...)
 }
 
-// frozenFleet is one whose clock is advanced by the test.
-func frozenFleet(t *testing.T, limits relayer.Limits, endpoints ...endpoint) *fleet {
+// newFakeClockFleet starts a fleet whose clock the test advances.
+func newFakeClockFleet(t *testing.T, limits relayer.Limits, endpoints ...endpoint) *fleet {
 	clock := clockwork.NewFakeClock()
 	f := startFleet(t, clock, limits, endpoints...)
 	f.clock = clock
 	return f
 }
 
+// startFleet starts a fleet with a clock.
 func startFleet(t *testing.T, clock clockwork.Clock, limits relayer.Limits, endpoints ...endpoint) *fleet {
 	f := &fleet{
 		T: t, quarantine: make(map[uint64]bool), registry: prometheus.NewRegistry(),
@@ -87,6 +90,7 @@
 	return f
 }
 
+// serve starts the server of an endpoint and returns its address.
 func (f *fleet) serve(script endpoint) netip.AddrPort {
 	var lock sync.Mutex
 	calls := 0
@@ -115,6 +119,8 @@
 	f.quarantine[digest] = true
 }
 
+// rules is a stub of relayer.Ruler. The workspace club may have two requests waiting; only the
+// workspace house may use the service desk.
 type rules struct{}
 
 func (rules) Rules() *matcher.Rules {
@@ -133,24 +139,24 @@
 	return matcher.Compile(describer.Snapshot{Revision: 1, Objects: objects})
 }
 
-// enroller gives out one slot after the other, avoided endpoints left out, and
-// waits for ever when it is closed.
+// enroller is a stub of relayer.Enroller. It grants slots without a limit, at the first endpoint that
+// the request does not avoid. While it is paused, requests wait until their context ends.
 type enroller struct {
 	lock      sync.Mutex
 	addresses []netip.AddrPort
-	closed    bool
-	waiting   []relayer.Waiting
-	finished  []string // "endpoint ending units"
-	suspects  map[string]bool
-	changed   chan struct{}
+	paused    bool
+	waiting   []relayer.WaitingRequest
+	finished  []string        // "ENDPOINT ENDING UNITS" of each finished attempt
+	suspects  map[string]bool // endpoints that run a suspect request
+	changed   chan struct{}   // closed and replaced at each change of the state
 }
 
-func (e *enroller) Enrol(ctx context.Context, waiting relayer.Waiting) (relayer.Slot, error) {
+func (e *enroller) Enrol(ctx context.Context, waiting relayer.WaitingRequest) (relayer.Slot, error) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.waiting = append(e.waiting, waiting)
 	e.signal()
-	if len(waiting.Avoid) >= len(e.addresses) && !e.closed {
+	if len(waiting.Avoid) >= len(e.addresses) && !e.paused {
 		return nil, &relayer.Refused{Code: "no_endpoint", Retry: 3 * time.Second}
 	}
 	for {
@@ -170,12 +176,12 @@
 	}
 }
 
-// choose returns the first endpoint that is not avoided and, for a suspect, runs
-// no other suspect.
-func (e *enroller) choose(waiting relayer.Waiting) relayer.Slot {
+// choose returns a slot at the first endpoint that is not avoided and, for a suspect request, runs no
+// other suspect request. It returns nil if there is none.
+func (e *enroller) choose(waiting relayer.WaitingRequest) relayer.Slot {
 	for n, address := range e.addresses {
 		id := strconv.Itoa(n + 1)
-		if e.closed || slices.Contains(waiting.Avoid, id) || waiting.Alone && e.suspects[id] {
+		if e.paused || slices.Contains(waiting.Avoid, id) || waiting.Alone && e.suspects[id] {
 			continue
 		}
 		if waiting.Alone {
@@ -186,14 +192,15 @@
 	return nil
 }
 
+// signal announces a change of the state. The lock must be held.
 func (e *enroller) signal() {
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-// await waits until the enroller's state is as wanted.
+// await waits until a condition on the enroller's state holds.
 func (e *enroller) await(t *testing.T, what string, wanted func() bool) {
-	timeout := time.After(patience)
+	timeout := time.After(waitTimeout)
 	for {
 		e.lock.Lock()
 		done, changed := wanted(), e.changed
@@ -204,12 +211,12 @@
 		select {
 		case <-changed:
 		case <-timeout:
-			require.Fail(t, "waited in vain", what)
+			require.Fail(t, "timed out waiting", what)
 		}
 	}
 }
 
-// endings waits for so many attempts to be over and returns how they ended.
+// endings waits for n attempts to finish and returns the endings of all finished attempts.
 func (f *fleet) endings(n int) []string {
 	f.enroller.await(f.T, "endings", func() bool { return len(f.enroller.finished) >= n })
 	f.enroller.lock.Lock()
@@ -217,6 +224,7 @@
 	return slices.Clone(f.enroller.finished)
 }
 
+// slot is a stub of relayer.Slot.
 type slot struct {
 	enroller *enroller
 	id       string
@@ -234,23 +242,25 @@
 	if s.alone {
 		delete(s.enroller.suspects, s.id)
 	}
-	s.enroller.finished = append(s.enroller.finished, fmt.Sprintf("%s %s %d", s.id, words[finish.Ending], finish.Charged))
+	s.enroller.finished = append(s.enroller.finished, fmt.Sprintf("%s %s %d", s.id, endingNames[finish.Ending], finish.Charged))
 	s.enroller.signal()
 }
 
-var words = map[scheduler.Ending]string{
+// endingNames are the names of endings in enroller.finished.
+var endingNames = map[scheduler.Ending]string{
 	scheduler.Done: "done", scheduler.Cancelled: "cancelled", scheduler.Refused: "refused",
 	scheduler.Failed: "failed", scheduler.Unreachable: "unreachable", scheduler.Declined: "declined",
 }
 
-// claimer keeps claims as the keepers do.
+// claimer is a stub of relayer.Claimer with the results that the keepers' replicated log would give.
 type claimer struct {
-	lock   sync.Mutex
-	lost   bool // no quorum
-	number int
-	claims map[string]*claim
+	lock       sync.Mutex
+	noQuorum   bool // claims fail, as without a quorum of keepers
+	claimCount int  // of claims so far; it is the owner of the latest one
+	claims     map[string]*claim
 }
 
+// claim is the state of one idempotency key.
 type claim struct {
 	digest uint64
 	owner  string
@@ -260,9 +270,9 @@
 func (c *claimer) Claim(_ context.Context, entry *messenger.ClaimEntry) (*messenger.ClaimResult, error) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.number++
-	entry.Owner = strconv.Itoa(c.number)
-	if c.lost {
+	c.claimCount++
+	entry.Owner = strconv.Itoa(c.claimCount)
+	if c.noQuorum {
 		return nil, io.ErrNoProgress
 	}
 	known, found := c.claims[entry.Key]
@@ -292,14 +302,14 @@
 	known.answer, _ = proto.Marshal(entry.Answer)
 }
 
-// answer is what a caller got.
+// answer is the answer as its caller received it.
 type answer struct {
-	status  int
-	headers http.Header
-	body    string
-	cut     bool // the connection was aborted
-	framed  bool // its end can be told from that of its connection
-	failure reporter.FailureBody
+	status    int
+	headers   http.Header
+	body      string
+	truncated bool // the connection was aborted
+	framed    bool // it has a Content-Length or a Transfer-Encoding, so that a truncation can be detected
+	failure   reporter.FailureBody
 }
 
 // call sends a request as the workspace house.
@@ -307,8 +317,9 @@
 	return f.callAs(f.Context(), "house-token", method, path, body, headers...)
 }
 
+// callAs sends a request with a token and with headers as pairs of name and value.
 func (f *fleet) callAs(ctx context.Context, token, method, path, body string, headers ...string) answer {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, f.url+path, strings.NewReader(body))
 	require.NoError(f, err)
@@ -318,11 +329,11 @@
 	}
 	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
-		return answer{cut: true}
+		return answer{truncated: true}
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
-	got := answer{status: response.StatusCode, headers: response.Header, body: string(text), cut: err != nil}
+	got := answer{status: response.StatusCode, headers: response.Header, body: string(text), truncated: err != nil}
 	got.framed = response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	var failure reporter.Failure
 	if json.Unmarshal(text, &failure) == nil {
@@ -333,30 +344,32 @@
 
 const chatPath = "/v1/chat/completions"
 
+// chatBody returns the body of a chat completion.
 func chatBody(stream bool) string {
 	return fmt.Sprintf(`{"model":"draft-7b","messages":[{"role":"user","content":"hello"}],"max_tokens":6,"stream":%t}`, stream)
 }
 
+// chat sends a chat completion as the workspace house.
 func (f *fleet) chat(stream bool, headers ...string) answer {
 	return f.call(http.MethodPost, chatPath, chatBody(stream), headers...)
 }
 
-// text joins the tokens of a streamed answer that ended cleanly.
+// text returns the text of a complete chat answer, streamed or not, and requires that it is complete.
 func (a answer) text(t *testing.T) string {
-	require.False(t, a.cut, "the answer was cut")
+	require.False(t, a.truncated, "the answer was truncated")
 	require.Equal(t, "answered", a.headers.Get("X-Outcome"), a.body)
 	if !strings.HasPrefix(a.headers.Get("Content-Type"), "text/event-stream") {
-		var whole struct {
+		var completion struct {
 			Choices []struct{ Message struct{ Content string } }
 		}
-		require.NoError(t, json.Unmarshal([]byte(a.body), &whole))
-		return whole.Choices[0].Message.Content
+		require.NoError(t, json.Unmarshal([]byte(a.body), &completion))
+		return completion.Choices[0].Message.Content
 	}
 	require.Equal(t, 1, strings.Count(a.body, "[DONE]"))
 	return tokens(a.body)
 }
 
-// tokens joins the tokens of a stream, wherever it ends.
+// tokens returns the text of a stream, even of a truncated one.
 func tokens(body string) string {
 	var text strings.Builder
 	for line := range strings.Lines(body) {
@@ -372,25 +385,25 @@
 	return text.String()
 }
 
-// length and whole are the scripted engines' answer.
+// answerTokens and fullAnswer are the number of tokens and the text of the scripted engines' answer.
 const (
-	length = 6
-	whole  = "t0 t1 t2 t3 t4 t5 "
+	answerTokens = 6
+	fullAnswer   = "t0 t1 t2 t3 t4 t5 "
 )
 
-// event writes one token of a request's answer.
+// event writes the event with the i-th token of a request's answer.
 func event(w http.ResponseWriter, id string, i int) {
 	fmt.Fprintf(w, "data: {\"id\":%q,\"index_of_token\":%d,\"choices\":[{\"delta\":{\"content\":\"t%d \"}}]}\n\n", id, i, i)
 	_ = http.NewResponseController(w).Flush()
 }
 
-// finish writes the end of an answer.
+// finish writes the events at the end of an answer.
 func finish(w http.ResponseWriter, id string) {
-	fmt.Fprintf(w, "data: {\"id\":%q,\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}],\"usage\":{\"completion_tokens\":%d}}\n\n", id, length)
+	fmt.Fprintf(w, "data: {\"id\":%q,\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}],\"usage\":{\"completion_tokens\":%d}}\n\n", id, answerTokens)
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// stream writes an answer from where the request asks for up to a token.
+// stream writes the tokens of an answer, from the index at which the request asks to resume up to upTo.
 func stream(w http.ResponseWriter, r *http.Request, upTo int) {
 	from, _ := strconv.Atoi(r.Header.Get("X-Resume-From"))
 	_, _ = io.Copy(io.Discard, r.Body)
@@ -399,8 +412,8 @@
 	}
 }
 
-// well answers chats and plain calls.
-func well(w http.ResponseWriter, r *http.Request, _ int) {
+// healthy is the script of an endpoint that answers chats and calls of plain services.
+func healthy(w http.ResponseWriter, r *http.Request, _ int) {
 	if r.URL.Path != chatPath {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("Content-Type", "text/plain")
@@ -408,26 +421,28 @@
 		fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.RequestURI(), body)
 		return
 	}
-	stream(w, r, length)
+	stream(w, r, answerTokens)
 	finish(w, r.Header.Get("X-Request-Id"))
 }
 
-// crashes breaks the connection after so many tokens, as a process that dies.
-func crashes(after int) endpoint {
+// crashAfter returns the script of an endpoint whose connection breaks after a number of tokens, as if
+// its process died.
+func crashAfter(after int) endpoint {
 	return func(w http.ResponseWriter, r *http.Request, _ int) {
 		stream(w, r, after)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// refuses says that it did not start the request.
-func refuses(w http.ResponseWriter, _ *http.Request, _ int) {
+// refuseUnstarted is the script of an endpoint that answers that it did not start the request.
+func refuseUnstarted(w http.ResponseWriter, _ *http.Request, _ int) {
 	w.Header().Set("X-Started", "no")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// hangs sends some tokens and then nothing until the router goes away.
-func hangs(after int, cancelled chan<- struct{}) endpoint {
+// hangAfter returns the script of an endpoint that stalls after a number of tokens, until the router
+// disconnects.
+func hangAfter(after int, cancelled chan<- struct{}) endpoint {
 	return func(w http.ResponseWriter, r *http.Request, _ int) {
 		stream(w, r, after)
 		<-r.Context().Done()
@@ -437,9 +452,9 @@
 	}
 }
 
-// unreachable replaces the n-th endpoint's address by one where nobody listens. It stays taken,
-// so that no other test gets it meanwhile.
-func (f *fleet) unreachable(n int) {
+// makeUnreachable replaces the address of the n-th endpoint with one at which no process listens. The
+// socket stays bound, so that no other test can listen at the address.
+func (f *fleet) makeUnreachable(n int) {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(f, err)
 	f.Cleanup(func() { syscall.Close(socket) }) //nolint:errcheck // nothing was written
@@ -451,7 +466,8 @@
 	f.enroller.addresses[n-1] = netip.AddrPortFrom(netip.AddrFrom4(address.Addr), uint16(address.Port))
 }
 
-// metric returns a counter's value, by name and labels as in the text format.
+// metric returns the value of a counter or gauge, or the count of a histogram. A series is written as
+// NAME{LABEL=VALUE,...}. It returns 0 for an unknown series.
 func (f *fleet) metric(series string) float64 {
 	families, err := f.registry.Gather()
 	require.NoError(f, err)
@@ -473,29 +489,30 @@
 	return 0
 }
 
-// receive waits for a signal of a script.
+// receive waits for a value from a channel.
 func receive[T any](t *testing.T, from <-chan T) T {
 	select {
 	case value := <-from:
 		return value
-	case <-time.After(patience):
-		require.Fail(t, "no signal came")
+	case <-time.After(waitTimeout):
+		require.Fail(t, "timed out waiting for a value")
 		panic("unreachable")
 	}
 }
 
-// lines is a caller that reads a stream line by line.
-type lines struct {
+// streamReader reads a streamed answer line by line.
+type streamReader struct {
 	*bufio.Reader
 	response *http.Response
 }
 
-func (f *fleet) open(ctx context.Context, body string) lines {
+// openStream sends a chat completion as the workspace house and returns its answer unread.
+func (f *fleet) openStream(ctx context.Context, body string) streamReader {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.url+chatPath, strings.NewReader(body))
 	require.NoError(f, err)
 	request.Header.Set("Authorization", "Bearer house-token")
 	response, err := http.DefaultTransport.RoundTrip(request)
 	require.NoError(f, err)
 	f.Cleanup(func() { response.Body.Close() })
-	return lines{bufio.NewReader(response.Body), response}
+	return streamReader{bufio.NewReader(response.Body), response}
 }
--- a/router/internal/relayer/metrics.go
+++ b/router/internal/relayer/metrics.go
@@ -8,10 +8,9 @@
 	"shallotkeel.example/lib/tracker"
 )
 
-// metrics are the relayer's counters. No label is a workspace, service, model
-// or endpoint, whose numbers grow with the deployment: the series are bounded
-// by 3 kinds x 3 outcomes x 17 codes, of which some thirty occur, and by the
-// reasons named in this package.
+// metrics are the Relayer's metrics. No label holds a workspace, service, model or endpoint, whose
+// numbers grow with the deployment: the series are limited to 3 kinds x 3 outcomes x 17 codes, of
+// which about thirty occur, and to the reasons declared in this package.
 type metrics struct {
 	requests   *prometheus.CounterVec
 	firstToken prometheus.Histogram
@@ -23,17 +22,19 @@
 	quarantine prometheus.Counter
 }
 
-// Reasons of a retry.
+// Reasons of a retry: values of the metrics' label reason.
 const (
 	retryUnreachable = "unreachable"
 	retryNotStarted  = "not_started"
 	retryBroken      = "broken"
 )
 
-// latencyBuckets reach from a hop within a zone to the request timeout, and
-// have the targets of the first token, 0.98 s, and of a token, 48 ms, as bounds.
+// latencyBuckets are in seconds. They range from a network hop within a zone to the request timeout,
+// and include the latency targets of the first token, 0.98 s, and of each further token, 48 ms, as
+// bounds.
 var latencyBuckets = []float64{.005, .01, .02, .048, .1, .2, .4, .7, .98, 1.5, 2.5, 5, 10, 30, 60, 120}
 
+// newMetrics returns the metrics of a Relayer and registers them, unless the registry is nil.
 func newMetrics(registry *prometheus.Registry, r *Relayer) *metrics {
 	m := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -69,18 +70,19 @@
 	registry.MustRegister(m.requests, m.firstToken, m.duration, m.tokens, m.retries, m.resumes, m.dropped, m.quarantine,
 		gauge("shallotkeel_waiting_requests", "Requests that wait for their first slot.", r.queue.waiting),
 		gauge("shallotkeel_requests_in_progress", "Requests of callers in progress.", r.drain.count),
-		gauge("shallotkeel_suspects", "Fingerprints suspected of crashing endpoints.", r.guard.suspects),
-		gauge("shallotkeel_held_bytes", "Memory that the bodies of requests take.", r.bodies.bytesHeld),
+		gauge("shallotkeel_suspects", "Fingerprints suspected of crashing endpoints.", r.crashGuard.suspects),
+		gauge("shallotkeel_held_bytes", "Memory that the bodies of requests take.", r.bodyMemory.reservedBytes),
 	)
 	return m
 }
 
+// gauge returns a gauge that reads its value when it is collected.
 func gauge[T int | int64](name, help string, value func() T) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return float64(value()) })
 }
 
-// ended counts a request's ending.
-func (m *metrics) ended(q *request, action tracker.Action, took time.Duration) {
+// observe counts a request that has ended and records its duration.
+func (m *metrics) observe(q *request, action tracker.Action, duration time.Duration) {
 	m.requests.WithLabelValues(q.kind, string(action.Outcome), string(action.Code)).Inc()
-	m.duration.WithLabelValues(q.kind).Observe(took.Seconds())
+	m.duration.WithLabelValues(q.kind).Observe(duration.Seconds())
 }
--- a/router/internal/relayer/options.go
+++ b/router/internal/relayer/options.go
@@ -10,7 +10,7 @@
 	"shallotkeel.example/lib/tracer"
 )
 
-// Options are what a Relayer is made of.
+// Options configures a Relayer.
 type Options struct {
 	Enroller   Enroller
 	Ruler      Ruler
@@ -20,84 +20,85 @@
 	Clock      clockwork.Clock
 	Log        zerolog.Logger
 	Registry   *prometheus.Registry // nil keeps the metrics unregistered
-	Zone       string
-	Name       string
+	Zone       string               // the router's availability zone
+	Name       string               // the router's name
 	Limits     Limits
 }
 
-// Limits bound what callers can make a router hold. Zero fields mean the
-// default named with each.
+// Limits bounds the resources that callers' requests can use, and their durations. A zero field means
+// the default.
 type Limits struct {
-	// BodyBytes is the largest chat body, and the largest plain body that is
-	// streamed on; 4 MiB.
+	// BodyBytes is the maximum size of the body of a chat, or of a call of a plain service. The default is 4 MiB.
 	BodyBytes int64
-	// HeldBytes is the memory that the bodies of all requests may take
-	// together; 64 MiB. Beyond it requests are refused, because thousands of
-	// waiting requests with large bodies would otherwise exhaust a small instance.
-	HeldBytes int64
-	// ReplayBytes is the largest plain body that is kept so that it can be sent
-	// again; 64 KiB. A larger one streams through and is never sent twice.
+	// TotalBodyBytes is the maximum memory for the bodies of all requests together. Requests
+	// beyond it are refused, because thousands of waiting requests with large bodies would
+	// otherwise exhaust the memory of a small instance. The default is 64 MiB.
+	TotalBodyBytes int64
+	// ReplayBytes is the maximum size of the body of a call of a plain service that is kept for
+	// retries. A larger body is streamed and never sent twice. The default is 64 KiB.
 	ReplayBytes int64
-	// RecordBytes is the largest answer that is recorded for resends; 64 KiB.
+	// RecordBytes is the maximum size of an answer that is recorded for resends. The default is 64 KiB.
 	RecordBytes int
-	// AnswerBytes is the largest answer that is assembled for a caller that did
-	// not ask for a stream; 1 MiB.
+	// AnswerBytes is the maximum size of an answer assembled for a caller that did not ask for a
+	// stream. The default is 1 MiB.
 	AnswerBytes int
-	// Waiting is the most requests that wait for a slot; 4096.
-	Waiting int
-	// RequestTimeout ends a request that has no final answer; 2 minutes.
+	// WaitingRequests is the maximum number of requests that wait for their first slot. The default is 4096.
+	WaitingRequests int
+	// RequestTimeout is the maximum time from a request's arrival to its final answer. The default is 2 minutes.
 	RequestTimeout time.Duration
-	// StallTimeout is how long one read of a caller's body or one write of its
-	// answer may take before the caller counts as gone; 20 seconds. It is the
-	// longest that a caller that stands still holds an endpoint's slot.
+	// StallTimeout is the maximum time of one read of a caller's body or one write of its answer,
+	// after which the caller is taken to have disconnected. It is also the maximum time for which
+	// a stalled caller holds an endpoint's slot. The default is 20 seconds.
 	StallTimeout time.Duration
-	// DialTimeout bounds the connection to an endpoint; 1 second.
+	// DialTimeout is the maximum time to connect to an endpoint. The default is 1 second.
 	DialTimeout time.Duration
-	// EndpointStall is how long a model engine may send nothing, before its
-	// first event or between two, before its answer is resumed elsewhere; 10
-	// seconds. Plain services may take the whole RequestTimeout.
-	EndpointStall time.Duration
-	// Attempts is how many endpoints a request is sent to at most; 4.
+	// EndpointStallTimeout is how long a model engine may send nothing, before its first event or
+	// between two events, until the answer is resumed at another endpoint. Plain services may
+	// take the full RequestTimeout. The default is 10 seconds.
+	EndpointStallTimeout time.Duration
+	// Attempts is the maximum number of endpoints to which a request is sent. The default is 4.
 	Attempts int
-	// Explained is how many recent requests can be explained; 1024.
-	Explained int
+	// ExplainableRequests is the number of recently ended requests that can be explained. The default is 1024.
+	ExplainableRequests int
 }
 
 const (
-	defaultBodyBytes      = 4 << 20
-	defaultHeldBytes      = 64 << 20
-	defaultReplayBytes    = 64 << 10
-	defaultRecordBytes    = 64 << 10
-	defaultAnswerBytes    = 1 << 20
-	defaultWaiting        = 4096
-	defaultRequestTimeout = 2 * time.Minute
-	defaultStallTimeout   = 20 * time.Second
-	defaultDialTimeout    = time.Second
-	defaultEndpointStall  = 10 * time.Second
-	defaultAttempts       = 4
-	defaultExplained      = 1024
+	defaultBodyBytes            = 4 << 20
+	defaultTotalBodyBytes       = 64 << 20
+	defaultReplayBytes          = 64 << 10
+	defaultRecordBytes          = 64 << 10
+	defaultAnswerBytes          = 1 << 20
+	defaultWaitingRequests      = 4096
+	defaultRequestTimeout       = 2 * time.Minute
+	defaultStallTimeout         = 20 * time.Second
+	defaultDialTimeout          = time.Second
+	defaultEndpointStallTimeout = 10 * time.Second
+	defaultAttempts             = 4
+	defaultExplainableRequests  = 1024
 )
 
-func orDefault[T int | int64 | time.Duration](value, otherwise T) T {
+// orDefault returns the value, or the default if the value is not positive.
+func orDefault[T int | int64 | time.Duration](value, fallback T) T {
 	if value <= 0 {
-		return otherwise
+		return fallback
 	}
 	return value
 }
 
+// withDefaults returns the limits with each zero field replaced by its default.
 func (l Limits) withDefaults() Limits {
 	return Limits{
-		BodyBytes:      orDefault(l.BodyBytes, defaultBodyBytes),
-		HeldBytes:      orDefault(l.HeldBytes, defaultHeldBytes),
-		ReplayBytes:    orDefault(l.ReplayBytes, defaultReplayBytes),
-		RecordBytes:    orDefault(l.RecordBytes, defaultRecordBytes),
-		AnswerBytes:    orDefault(l.AnswerBytes, defaultAnswerBytes),
-		Waiting:        orDefault(l.Waiting, defaultWaiting),
-		RequestTimeout: orDefault(l.RequestTimeout, defaultRequestTimeout),
-		StallTimeout:   orDefault(l.StallTimeout, defaultStallTimeout),
-		DialTimeout:    orDefault(l.DialTimeout, defaultDialTimeout),
-		EndpointStall:  orDefault(l.EndpointStall, defaultEndpointStall),
-		Attempts:       orDefault(l.Attempts, defaultAttempts),
-		Explained:      orDefault(l.Explained, defaultExplained),
+		BodyBytes:            orDefault(l.BodyBytes, defaultBodyBytes),
+		TotalBodyBytes:       orDefault(l.TotalBodyBytes, defaultTotalBodyBytes),
+		ReplayBytes:          orDefault(l.ReplayBytes, defaultReplayBytes),
+		RecordBytes:          orDefault(l.RecordBytes, defaultRecordBytes),
+		AnswerBytes:          orDefault(l.AnswerBytes, defaultAnswerBytes),
+		WaitingRequests:      orDefault(l.WaitingRequests, defaultWaitingRequests),
+		RequestTimeout:       orDefault(l.RequestTimeout, defaultRequestTimeout),
+		StallTimeout:         orDefault(l.StallTimeout, defaultStallTimeout),
+		DialTimeout:          orDefault(l.DialTimeout, defaultDialTimeout),
+		EndpointStallTimeout: orDefault(l.EndpointStallTimeout, defaultEndpointStallTimeout),
+		Attempts:             orDefault(l.Attempts, defaultAttempts),
+		ExplainableRequests:  orDefault(l.ExplainableRequests, defaultExplainableRequests),
 	}
 }
--- a/router/internal/relayer/relayer.go
+++ b/router/internal/relayer/relayer.go
@@ -11,63 +11,63 @@
 	"shallotkeel.example/lib/tracker"
 )
 
-// Relayer serves callers.
+// Relayer serves the project's own HTTP interface for callers: chat completions, the list of models and plain services.
 type Relayer struct {
-	options    Options
-	limits     Limits
-	repeatable *http.Transport
-	once       *http.Transport
-	nameHash   uint32
-	queue      queue
-	guard      guard
-	bodies     bodies
-	drain      drain
-	backoffs   backoffs
-	explainer  explainer
-	metrics    *metrics
+	options       Options
+	limits        Limits
+	repeatable    *http.Transport // for repeatable requests
+	nonRepeatable *http.Transport // for non-repeatable requests; it reuses no connection
+	nameHash      uint32          // hash of the router's name, the first part of its request IDs
+	queue         queue
+	crashGuard    crashGuard
+	bodyMemory    bodyMemory
+	drain         drain
+	backoffs      backoffs
+	explainer     explainer
+	metrics       *metrics
 }
 
-// New returns a relayer; Register puts it on a mux.
+// New returns a Relayer. Register adds its handlers to a mux.
 func New(options Options) *Relayer {
 	limits := options.Limits.withDefaults()
 	r := &Relayer{
-		options:    options,
-		limits:     limits,
-		repeatable: newTransport(limits.DialTimeout, false),
-		once:       newTransport(limits.DialTimeout, true),
-		nameHash:   uint32(xxhash.Sum64String(options.Name)),
-		bodies:     bodies{limit: limits.HeldBytes},
-		explainer:  explainer{limit: limits.Explained},
+		options:       options,
+		limits:        limits,
+		repeatable:    newTransport(limits.DialTimeout, false),
+		nonRepeatable: newTransport(limits.DialTimeout, true),
+		nameHash:      uint32(xxhash.Sum64String(options.Name)),
+		bodyMemory:    bodyMemory{limit: limits.TotalBodyBytes},
+		explainer:     explainer{limit: limits.ExplainableRequests},
 	}
-	r.queue.limiter.Total = limits.Waiting
+	r.queue.limiter.Total = limits.WaitingRequests
 	r.drain.init()
 	r.metrics = newMetrics(options.Registry, r)
 	return r
 }
 
-// Register serves the callers' paths.
+// Register adds the handlers of the callers' paths to a mux.
 func (r *Relayer) Register(mux *http.ServeMux) {
-	mux.HandleFunc("POST /v1/chat/completions", r.entry(kindChat, r.serveChat))
-	mux.HandleFunc("GET /v1/models", r.entry(kindModels, r.serveModels))
-	mux.HandleFunc("/v1/services/{service}/{path...}", r.entry(kindPlain, r.servePlain))
+	mux.HandleFunc("POST /v1/chat/completions", r.handle(kindChat, r.serveChat))
+	mux.HandleFunc("GET /v1/models", r.handle(kindModels, r.serveModels))
+	mux.HandleFunc("/v1/services/{service}/{path...}", r.handle(kindPlain, r.servePlain))
 }
 
-// handler serves an authenticated request. It returns how the request ended.
+// handler serves an authenticated request and returns the action that ends it.
 type handler func(ctx context.Context, q *request) tracker.Action
 
-// entry does what all callers' paths have in common: identity, time limit,
-// trace, and the final answer of a request that no endpoint answered.
-func (r *Relayer) entry(kind string, next handler) http.HandlerFunc {
+// handle does what all callers' paths have in common: it authenticates the request, applies the
+// request timeout, starts the trace, and answers a request that no endpoint has answered.
+func (r *Relayer) handle(kind string, next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, h *http.Request) {
 		q := r.newRequest(kind, w, h)
 		if !r.drain.enter() {
 			q.caller.writer.Header().Set("Connection", "close")
-			r.conclude(q, refuse(tracker.CodeStopping, retrySoon))
+			r.finish(q, refuse(tracker.CodeStopping, minRetryAfter))
 			return
 		}
 		defer r.drain.leave()
-		defer q.caller.release()
-		ctx, cancel := r.lifetime(q)
+		defer q.caller.clearWriteDeadline()
+		ctx, cancel := r.requestContext(q)
 		defer cancel(nil)
 		ctx, q.span = r.options.Tracer.Start(tracer.Extract(ctx, h.Header), "request", "kind", kind, "id", q.id)
 		q.trace = q.span.TraceID()
@@ -76,14 +76,14 @@
 		if ok {
 			action = next(ctx, q)
 		}
-		r.conclude(q, action)
+		r.finish(q, action)
 	}
 }
 
-// conclude tells the caller its request's ending, where it has not heard the
-// answer itself, and counts it.
-func (r *Relayer) conclude(q *request, action tracker.Action) {
-	r.metrics.ended(q, action, r.options.Clock.Since(q.received))
+// finish records how a request ended. If the caller has not received an answer, finish sends the
+// failure or aborts the connection, as the action says.
+func (r *Relayer) finish(q *request, action tracker.Action) {
+	r.metrics.observe(q, action, r.options.Clock.Since(q.received))
 	r.explainer.end(q, action)
 	if action.Outcome != tracker.OutcomeAnswered {
 		q.span.End(string(action.Code))
@@ -92,14 +92,14 @@
 	}
 	switch action.Step {
 	case tracker.RespondError:
-		q.caller.tell(action, q.reason, q.id)
+		q.caller.sendFailure(action, q.reason, q.id)
 	case tracker.Abort, tracker.EndSilently:
-		// The connection is cut, so that nobody takes a part for the whole.
+		// The connection is aborted, so that the caller cannot mistake a truncated answer for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// refuse is the ending of a request that no endpoint saw.
+// refuse returns the action that ends a request of which no endpoint has received a byte.
 func refuse(code tracker.Code, retry time.Duration) tracker.Action {
 	return tracker.Action{Step: tracker.RespondError, Outcome: tracker.OutcomeNotRun, Code: code, Retry: retry}
 }
--- a/router/internal/relayer/relayer_test.go
+++ b/router/internal/relayer/relayer_test.go
@@ -9,8 +9,9 @@
 	"shallotkeel.example/router/internal/relayer"
 )
 
-func TestWholeAnswers(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, well)
+// Guards against answers, paths, queries or bodies that are changed or truncated on the way.
+func TestCompleteAnswers(t *testing.T) {
+	f := newFleet(t, relayer.Limits{}, healthy)
 	for name, test := range map[string]struct {
 		method, path, body string
 		status             int
@@ -30,12 +31,14 @@
 			require.Equal(t, "answered", got.headers.Get("X-Outcome"))
 		})
 	}
-	require.Equal(t, whole, f.chat(true).text(t))
-	require.Equal(t, whole, f.chat(false).text(t))
+	require.Equal(t, fullAnswer, f.chat(true).text(t))
+	require.Equal(t, fullAnswer, f.chat(false).text(t))
 }
 
+// Guards against invalid requests that are served or wait, and against refusals without the right code
+// or a remedy.
 func TestRefusals(t *testing.T) {
-	f := newFleet(t, relayer.Limits{BodyBytes: 400}, well)
+	f := newFleet(t, relayer.Limits{BodyBytes: 400}, healthy)
 	long := strings.Repeat("x", 500)
 	for name, test := range map[string]struct {
 		token, method, path, body string
@@ -64,5 +67,5 @@
 			require.Equal(t, got.headers.Get("X-Request-Id"), got.failure.RequestID)
 		})
 	}
-	require.Empty(t, f.enroller.waiting, "none of them waited")
+	require.Empty(t, f.enroller.waiting, "a refused request must not wait")
 }
--- a/router/internal/relayer/repeat_test.go
+++ b/router/internal/relayer/repeat_test.go
@@ -15,34 +15,35 @@
 	"shallotkeel.example/router/internal/relayer"
 )
 
+// bids is the path of calls that must not run twice.
 const bids = "/v1/services/desk/bids"
 
-// desk counts the bids that it starts.
+// desk is an endpoint that counts the bids it starts.
 type desk struct {
 	started atomic.Int32
 }
 
-// serve runs a bid and answers it.
+// serve starts a bid and answers it.
 func (d *desk) serve(w http.ResponseWriter, r *http.Request, n int) {
 	d.started.Add(1)
-	well(w, r, n)
+	healthy(w, r, n)
 }
 
-// dies runs a bid and breaks before the answer.
-func (d *desk) dies(_ http.ResponseWriter, r *http.Request, _ int) {
+// crash starts a bid and breaks its connection before the answer, as if its process died.
+func (d *desk) crash(_ http.ResponseWriter, r *http.Request, _ int) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	d.started.Add(1)
 	panic(http.ErrAbortHandler)
 }
 
+// bid sends a bid with an idempotency key.
 func (f *fleet) bid(key, body string) answer {
 	return f.call(http.MethodPost, bids, body, "Idempotency-Key", key)
 }
 
-// Symptom: a bid is doubled, or its caller never learns what became of it.
-// Sequence: a bid is sent, and sent again with its key, after each way in which
-// the first may have ended. Cause: keys that are not claimed before the first
-// byte leaves, or outcomes that are not recorded.
+// Guards against resends that run twice, because the key is not claimed before the first byte is sent,
+// and against resends that do not get the outcome, because it is not recorded. A bid is resent with its
+// key after each possible ending of the first attempt.
 func TestResendsOfBids(t *testing.T) {
 	for name, test := range map[string]struct {
 		endpoint func(d *desk) endpoint
@@ -55,14 +56,14 @@
 			first:    "answered ", second: "answered ", started: 1,
 		},
 		"died": {
-			endpoint: func(d *desk) endpoint { return d.dies },
+			endpoint: func(d *desk) endpoint { return d.crash },
 			first:    "unknown endpoint_failed", second: "unknown key_spent", started: 1,
 		},
 		"not started, then well": {
 			endpoint: func(d *desk) endpoint {
 				return func(w http.ResponseWriter, r *http.Request, n int) {
-					if n <= 2 { // the relayer tries the only endpoint a second time
-						refuses(w, r, n)
+					if n <= 2 { // the relayer retries the only endpoint once
+						refuseUnstarted(w, r, n)
 						return
 					}
 					d.serve(w, r, n)
@@ -88,6 +89,7 @@
 	}
 }
 
+// Guards against a key that is accepted for a second, different request.
 func TestKeyBelongsToOneRequest(t *testing.T) {
 	d := &desk{}
 	f := newFleet(t, relayer.Limits{}, d.serve)
@@ -99,13 +101,13 @@
 	require.EqualValues(t, 1, d.started.Load())
 }
 
-// Symptom: bids are taken that no quorum knows of, or a zone without quorum
-// serves nothing. Sequence: the keepers are out of reach; a bid, a read and a
-// chat come. Cause: a claim that is optional, or one for everything.
+// Guards against non-repeatable requests that are sent without a claim, and against claims of repeatable
+// requests, with which a zone without a quorum would serve nothing. The keepers are unreachable; a bid,
+// a read and a chat arrive.
 func TestNoQuorum(t *testing.T) {
 	d := &desk{}
 	f := newFleet(t, relayer.Limits{}, d.serve)
-	f.claimer.lost = true
+	f.claimer.noQuorum = true
 	got := f.bid("lot-7", "12")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.Equal(t, "no_quorum", got.failure.Code)
@@ -114,31 +116,29 @@
 	require.Zero(t, d.started.Load())
 	require.Equal(t, []string{"1 declined 0"}, f.endings(1))
 	require.Equal(t, "GET /bids ", f.call(http.MethodGet, bids, "").body)
-	require.Equal(t, whole, f.chat(true).text(t))
+	require.Equal(t, fullAnswer, f.chat(true).text(t))
 }
 
-// Symptom: a bid is lost because one endpoint is away. Sequence: the first
-// endpoint cannot be reached, or says that it did not start; another is well.
-// Cause: a claim that is spent though nothing ran.
+// Guards against a claim that is spent although nothing has run, so that the bid fails with a single
+// endpoint. The first endpoint is unreachable, or answers that it did not start; another is healthy.
 func TestClaimGoesToAnotherEndpoint(t *testing.T) {
-	for name, gone := range map[string]bool{"unreachable": true, "not started": false} {
+	for name, unreachable := range map[string]bool{"unreachable": true, "not started": false} {
 		t.Run(name, func(t *testing.T) {
 			d := &desk{}
-			f := newFleet(t, relayer.Limits{}, refuses, d.serve)
-			if gone {
-				f.unreachable(1)
+			f := newFleet(t, relayer.Limits{}, refuseUnstarted, d.serve)
+			if unreachable {
+				f.makeUnreachable(1)
 			}
 			require.Equal(t, http.StatusCreated, f.bid("lot-7", "12").status)
 			require.EqualValues(t, 1, d.started.Load())
-			require.Equal(t, 1, f.claimer.number, "claimed once")
+			require.Equal(t, 1, f.claimer.claimCount, "the key must be claimed once")
 		})
 	}
 }
 
-// Symptom: a bid runs twice although it is sent once. Sequence: the endpoint's
-// connection breaks after the bid was read; the bid has an Idempotency-Key and
-// no body, or a short one. Cause: net/http, which sends such requests again by
-// itself over a connection that it has used before.
+// Guards against a bid that runs twice because net/http resends it: net/http itself resends a request
+// with an Idempotency-Key and with no body or a short one, if a reused connection breaks. The
+// connection breaks after the endpoint has read the bid.
 func TestTransportDoesNotRepeat(t *testing.T) {
 	for name, body := range map[string]string{"no body": "", "short body": "12"} {
 		t.Run(name, func(t *testing.T) {
@@ -148,19 +148,18 @@
 					d.serve(w, r, n)
 					return
 				}
-				d.dies(w, r, n)
+				d.crash(w, r, n)
 			})
-			require.Equal(t, http.StatusCreated, f.bid("lot-1", body).status) // opens a connection that could be kept
+			require.Equal(t, http.StatusCreated, f.bid("lot-1", body).status) // opens a connection that could be reused
 			require.Equal(t, "endpoint_failed", f.bid("lot-2", body).failure.Code)
 			require.EqualValues(t, 2, d.started.Load())
 		})
 	}
 }
 
-// Symptom: a caller whose connection broke never learns whether its bid was
-// taken. Sequence: the bid runs; the caller goes away; the bid is answered; the
-// caller sends it again. Cause: work that is cancelled, or an answer that is
-// thrown away, because nobody waits for it.
+// Guards against non-repeatable work that is cancelled, or whose answer is discarded, when its caller
+// disconnects: the caller could never find out whether its bid was accepted. The caller disconnects
+// while the bid runs, and resends it after the answer.
 func TestAnswerIsRecordedWithoutCaller(t *testing.T) {
 	d := &desk{}
 	started, proceed := make(chan struct{}), make(chan struct{})
@@ -175,7 +174,7 @@
 		done <- f.callAs(ctx, "house-token", http.MethodPost, bids, "12", "Idempotency-Key", "lot-7")
 	}()
 	receive(t, started)
-	require.Equal(t, "key_spent", f.bid("lot-7", "12").failure.Code, "while it runs")
+	require.Equal(t, "key_spent", f.bid("lot-7", "12").failure.Code, "a resend while the bid runs must not run")
 	cancel()
 	receive(t, done)
 	close(proceed)
@@ -186,10 +185,9 @@
 	require.EqualValues(t, 1, d.started.Load())
 }
 
-// Symptom: of many resends at once, more than one runs. Sequence: the same bid
-// comes many times at the same moment. Cause: looking up a key and taking it as
-// two steps.
-func TestManyResendsAtOnce(t *testing.T) {
+// Guards against a lookup of a key that is not atomic with its claim: of many resends at the same moment,
+// more than one would run.
+func TestConcurrentResendsRunOnce(t *testing.T) {
 	d := &desk{}
 	f := newFleet(t, relayer.Limits{}, d.serve)
 	var group sync.WaitGroup
@@ -201,6 +199,8 @@
 	require.Equal(t, "POST /bids 12", f.bid("lot-7", "12").body)
 }
 
+// Guards against records without a size limit, and against a second run of a request whose answer was
+// too large to record.
 func TestLargeAnswerIsRecordedWithoutBody(t *testing.T) {
 	d := &desk{}
 	f := newFleet(t, relayer.Limits{RecordBytes: 10}, d.serve)
@@ -213,30 +213,31 @@
 	require.EqualValues(t, 1, d.started.Load())
 }
 
-// Symptom: a chat that may not repeat runs again, or is resumed in the middle.
-// Sequence: it is answered and sent again, streamed and whole; or its stream
-// breaks. Cause: chats taken for repeatable whatever their callers say.
+// Guards against chats that are taken for repeatable although their callers declare them non-repeatable,
+// and so run again or are resumed. A chat is answered and resent, with and without streaming, or its
+// stream breaks.
 func TestChatsThatMayNotRepeat(t *testing.T) {
 	once := []string{"X-Not-Repeatable", "yes", "Idempotency-Key", "draft-1"}
 	t.Run("replayed", func(t *testing.T) {
 		var started atomic.Int32
 		f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
 			started.Add(1)
-			well(w, r, n)
+			healthy(w, r, n)
 		})
 		for _, streamed := range []bool{true, false, true} {
-			require.Equal(t, whole, f.chat(streamed, once...).text(t))
+			require.Equal(t, fullAnswer, f.chat(streamed, once...).text(t))
 		}
 		require.EqualValues(t, 1, started.Load())
 	})
 	t.Run("broken", func(t *testing.T) {
-		f := newFleet(t, relayer.Limits{}, crashes(2), well)
-		require.True(t, f.chat(true, once...).cut)
+		f := newFleet(t, relayer.Limits{}, crashAfter(2), healthy)
+		require.True(t, f.chat(true, once...).truncated)
 		require.Equal(t, "key_spent", f.chat(true, once...).failure.Code)
 	})
 }
 
-func TestWhichCallsMayRepeat(t *testing.T) {
+// Guards against a claim for a call that may repeat, and against the lack of one for a call that may not.
+func TestRepeatableCalls(t *testing.T) {
 	for name, test := range map[string]struct {
 		method, path string
 		headers      []string
@@ -252,21 +253,22 @@
 		"get of a strict service": {method: "GET", path: "/v1/services/strict/", claims: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, relayer.Limits{}, well)
+			f := newFleet(t, relayer.Limits{}, healthy)
 			got := f.call(test.method, test.path, "", test.headers...)
 			require.Equal(t, http.StatusCreated, got.status)
-			require.Equal(t, test.claims, f.claimer.number)
-			require.Equal(t, test.claims == 1, got.headers.Get("Idempotency-Key") != "", "a minted key is told")
+			require.Equal(t, test.claims, f.claimer.claimCount)
+			require.Equal(t, test.claims == 1, got.headers.Get("Idempotency-Key") != "", "a generated key must be sent to the caller")
 		})
 	}
 }
 
+// Guards against keys that are too long or unprintable.
 func TestMalformedKeyIsRefused(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, well)
+	f := newFleet(t, relayer.Limits{}, healthy)
 	for name, key := range map[string]string{"long": strings.Repeat("k", 256), "not ASCII": "lösung"} {
 		t.Run(name, func(t *testing.T) {
 			require.Equal(t, "bad_body", f.bid(key, "12").failure.Code, fmt.Sprint(key))
 		})
 	}
-	require.Zero(t, f.claimer.number)
+	require.Zero(t, f.claimer.claimCount)
 }
--- a/router/internal/relayer/retry_test.go
+++ b/router/internal/relayer/retry_test.go
@@ -13,23 +13,22 @@
 	"shallotkeel.example/router/internal/relayer"
 )
 
-// Symptom: a caller sees the loss of an endpoint, or a join in its answer.
-// Sequence: the first endpoint cannot be reached, refuses, or breaks at some
-// token, and the next is well. Cause: requests that are not sent again, or
-// answers that start again or leave a token out.
+// Guards against the loss of an endpoint that its callers notice: requests that are not retried, and
+// resumed answers that start again or skip a token. The first endpoint is unreachable, refuses, or
+// breaks at some token; the next one is healthy.
 func TestEndpointFailsAndAnotherAnswers(t *testing.T) {
 	for name, test := range map[string]struct {
-		first   endpoint
-		gone    bool
-		endings []string
-		resumes float64
+		first       endpoint
+		unreachable bool
+		endings     []string
+		resumes     float64
 	}{
-		"unreachable":      {first: well, gone: true, endings: []string{"1 unreachable 0", "2 done 6"}},
-		"not started":      {first: refuses, endings: []string{"1 refused 0", "2 done 6"}},
-		"before the first": {first: crashes(0), endings: []string{"1 failed 0", "2 done 6"}},
-		"after the first":  {first: crashes(1), endings: []string{"1 failed 1", "2 done 5"}, resumes: 1},
-		"after the last":   {first: crashes(length), endings: []string{"1 failed 6", "2 done 0"}, resumes: 1},
-		"token left out": {
+		"unreachable":      {first: healthy, unreachable: true, endings: []string{"1 unreachable 0", "2 done 6"}},
+		"not started":      {first: refuseUnstarted, endings: []string{"1 refused 0", "2 done 6"}},
+		"before the first": {first: crashAfter(0), endings: []string{"1 failed 0", "2 done 6"}},
+		"after the first":  {first: crashAfter(1), endings: []string{"1 failed 1", "2 done 5"}, resumes: 1},
+		"after the last":   {first: crashAfter(answerTokens), endings: []string{"1 failed 6", "2 done 0"}, resumes: 1},
+		"skipped token": {
 			first: func(w http.ResponseWriter, r *http.Request, _ int) {
 				stream(w, r, 2)
 				event(w, r.Header.Get("X-Request-Id"), 3)
@@ -51,37 +50,36 @@
 	} {
 		for _, streamed := range []bool{true, false} {
 			t.Run(fmt.Sprint(name, ", stream ", streamed), func(t *testing.T) {
-				f := newFleet(t, relayer.Limits{}, test.first, well)
-				if test.gone {
-					f.unreachable(1)
+				f := newFleet(t, relayer.Limits{}, test.first, healthy)
+				if test.unreachable {
+					f.makeUnreachable(1)
 				}
-				require.Equal(t, whole, f.chat(streamed).text(t))
+				require.Equal(t, fullAnswer, f.chat(streamed).text(t))
 				require.Equal(t, test.endings, f.endings(2))
 				require.Equal(t, test.resumes, f.metric("shallotkeel_resumes_total{}"))
-				require.Zero(t, f.metric("shallotkeel_events_dropped_total{reason=repeated}"), "resumed, not started again")
+				require.Zero(t, f.metric("shallotkeel_events_dropped_total{reason=repeated}"), "the answer must be resumed, not restarted")
 				require.Equal(t, []string{"1"}, f.enroller.waiting[1].Avoid)
 			})
 		}
 	}
 }
 
-// Symptom: a stream stops for as long as the request may take. Sequence: the
-// endpoint is frozen, or the network to it is cut, before the first token or in
-// the stream; no connection breaks. Cause: waiting for a break.
-func TestFrozenEndpointIsLeft(t *testing.T) {
+// Guards against streams that stall until the request timeout, because a frozen endpoint or a network
+// partition breaks no connection. The endpoint stalls before the first token or in the stream.
+func TestStalledEndpointIsReplaced(t *testing.T) {
 	for name, after := range map[string]int{"before the first token": 0, "in the stream": 3} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, relayer.Limits{EndpointStall: 200 * time.Millisecond}, hangs(after, nil), well)
-			require.Equal(t, whole, f.chat(true).text(t))
+			f := newFleet(t, relayer.Limits{EndpointStallTimeout: 200 * time.Millisecond}, hangAfter(after, nil), healthy)
+			require.Equal(t, fullAnswer, f.chat(true).text(t))
 			require.Equal(t, fmt.Sprintf("1 failed %d", after), f.endings(2)[0])
-			require.Zero(t, f.metric("shallotkeel_suspects{}"), "a freeze is no crash")
+			require.Zero(t, f.metric("shallotkeel_suspects{}"), "a stall must not count as a crash")
 		})
 	}
 }
 
-// Symptom: a caller gets a part of another's answer, or a token twice.
-// Sequence: among an answer's events come those of another request, repeated
-// ones, and ones after the end. Cause: events taken by their order alone.
+// Guards against parts of another request's answer, and against repeated tokens, because events are
+// accepted by their order alone. An answer contains events of another request, repeated events, events
+// without a request ID, and malformed ones.
 func TestForeignAndRepeatedEventsAreDropped(t *testing.T) {
 	f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, _ int) {
 		id := r.Header.Get("X-Request-Id")
@@ -89,59 +87,59 @@
 		event(w, "another", 2)
 		event(w, id, 1)
 		fmt.Fprint(w, "data: {\"choices\":[{\"delta\":{\"content\":\"lost\"}}]}\n\ndata: rubbish\n\n")
-		for i := 2; i < length; i++ {
+		for i := 2; i < answerTokens; i++ {
 			event(w, id, i)
 		}
 		finish(w, id)
 	})
-	require.Equal(t, whole, f.chat(true).text(t))
+	require.Equal(t, fullAnswer, f.chat(true).text(t))
 	for _, reason := range []string{"foreign", "repeated", "nameless", "malformed"} {
 		require.EqualValues(t, 1, f.metric("shallotkeel_events_dropped_total{reason="+reason+"}"), reason)
 	}
 }
 
+// Guards against the relay of an answer whose headers name another request.
 func TestAnswerOfAnotherRequestIsDropped(t *testing.T) {
 	f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
 		w.Header().Set("X-Request-Id", "another")
-		well(w, r, n)
-	}, well)
+		healthy(w, r, n)
+	}, healthy)
 	require.Equal(t, "GET / ", f.call(http.MethodGet, "/v1/services/app/", "").body)
 	require.Equal(t, []string{"1 failed", "2 done"}, []string{f.endings(2)[0][:8], f.endings(2)[1][:6]})
 }
 
-// Symptom: callers take a part of an answer for the whole. Sequence: the answer
-// breaks and no endpoint can go on with it. Cause: a connection that is closed
-// as if the answer had ended.
-func TestCutAnswerIsVisiblyCut(t *testing.T) {
+// Guards against connections that are closed as if a truncated answer were complete. The answer breaks,
+// and no endpoint can resume it.
+func TestTruncatedAnswerIsVisiblyTruncated(t *testing.T) {
 	partial := func(w http.ResponseWriter, _ *http.Request, _ int) {
 		fmt.Fprint(w, "half")
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
 	t.Run("stream", func(t *testing.T) {
-		f := newFleet(t, relayer.Limits{Attempts: 2}, crashes(2), crashes(4), well)
+		f := newFleet(t, relayer.Limits{Attempts: 2}, crashAfter(2), crashAfter(4), healthy)
 		got := f.chat(true)
-		require.True(t, got.cut)
+		require.True(t, got.truncated)
 		require.NotContains(t, got.body, "[DONE]")
 		if got.headers != nil {
 			require.Equal(t, "t0 t1 t2 t3 ", tokens(got.body))
 		}
 	})
-	t.Run("whole answer", func(t *testing.T) {
-		f := newFleet(t, relayer.Limits{Attempts: 2}, crashes(2), crashes(4), well)
+	t.Run("without streaming", func(t *testing.T) {
+		f := newFleet(t, relayer.Limits{Attempts: 2}, crashAfter(2), crashAfter(4), healthy)
 		got := f.chat(false)
-		require.False(t, got.cut)
+		require.False(t, got.truncated)
 		require.Equal(t, http.StatusBadGateway, got.status)
 		require.Equal(t, "unknown", got.headers.Get("X-Outcome"))
 		require.Equal(t, "endpoint_failed", got.failure.Code)
 	})
 	t.Run("plain", func(t *testing.T) {
-		f := newFleet(t, relayer.Limits{}, partial, well)
-		require.True(t, f.call(http.MethodGet, "/v1/services/app/", "").cut)
-		require.Len(t, f.endings(1), 1, "an answer of which the caller has a part starts again nowhere")
+		f := newFleet(t, relayer.Limits{}, partial, healthy)
+		require.True(t, f.call(http.MethodGet, "/v1/services/app/", "").truncated)
+		require.Len(t, f.endings(1), 1, "an answer of which the caller has a part must not be restarted")
 	})
 	t.Run("not started anywhere", func(t *testing.T) {
-		f := newFleet(t, relayer.Limits{}, refuses, refuses)
+		f := newFleet(t, relayer.Limits{}, refuseUnstarted, refuseUnstarted)
 		got := f.chat(true)
 		require.Equal(t, "no_endpoint", got.failure.Code)
 		require.Equal(t, "not-run", got.headers.Get("X-Outcome"))
@@ -149,12 +147,12 @@
 	})
 }
 
-// Symptom: retries multiply an outage. Sequence: all endpoints fail, and many
-// requests are sent again and again. Cause: retries without a budget.
+// Guards against retries without a budget, which multiply the load in an outage. All endpoints fail, and
+// many requests are retried.
 func TestRetryBudgetOfWorkspace(t *testing.T) {
 	const requests = 30
-	f := newFleet(t, relayer.Limits{}, well)
-	f.unreachable(1)
+	f := newFleet(t, relayer.Limits{}, healthy)
+	f.makeUnreachable(1)
 	var group sync.WaitGroup
 	for range requests {
 		group.Go(func() {
@@ -162,20 +160,19 @@
 		})
 	}
 	group.Wait()
-	// Without a budget it would be four times the requests.
+	// Without a budget there would be four attempts per request.
 	require.LessOrEqual(t, len(f.endings(requests)), 2*requests+retrier.DefaultBurst/2)
 }
 
-// Symptom: a pool of one endpoint refuses requests after that endpoint failed
-// them once. Sequence: the only endpoint refuses and is well a moment later.
-// Cause: avoiding an endpoint though there is no other.
-func TestOnlyEndpointIsTriedAgain(t *testing.T) {
+// Guards against a pool with a single endpoint that refuses requests because the failed endpoint is
+// avoided although there is no other. The endpoint refuses a request and is healthy a moment later.
+func TestOnlyEndpointIsRetried(t *testing.T) {
 	f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
-			refuses(w, r, n)
+			refuseUnstarted(w, r, n)
 			return
 		}
-		well(w, r, n)
+		healthy(w, r, n)
 	})
-	require.Equal(t, whole, f.chat(true).text(t))
+	require.Equal(t, fullAnswer, f.chat(true).text(t))
 }
--- a/router/internal/relayer/run.go
+++ b/router/internal/relayer/run.go
@@ -12,7 +12,7 @@
 	"shallotkeel.example/lib/tracker"
 )
 
-// run carries out what the tracker decides until the request has its ending.
+// run executes the tracker's actions until one ends the request, and returns that action.
 func (r *Relayer) run(ctx context.Context, q *request) tracker.Action {
 	action := r.apply(q, tracker.Event{Kind: tracker.Admitted})
 	for {
@@ -32,38 +32,38 @@
 		case tracker.RespondError, tracker.Abort, tracker.EndSilently:
 			return action
 		default:
-			// An event that does not fit the state is a fault of this package. The
-			// request still gets an ending, and a true one.
-			r.options.Log.Error().Str("id", q.id).Uint8("state", uint8(q.tracker.State())).Msg("request is stuck; ending it")
-			event = tracker.Event{Kind: tracker.RouterStopping, Retry: retrySoon}
+			// An event that is invalid in the tracker's state is a bug of this package. The
+			// request still ends, with an outcome that is true.
+			r.options.Log.Error().Str("id", q.id).Uint8("state", uint8(q.tracker.State())).Msg("request has no next step in its state; it is ended with the code stopping")
+			event = tracker.Event{Kind: tracker.RouterStopping, Retry: minRetryAfter}
 		}
 		action = r.apply(q, event)
 	}
 }
 
-// apply tells the tracker what happened.
+// apply passes an event to the tracker and returns the next action.
 func (r *Relayer) apply(q *request, event tracker.Event) tracker.Action {
 	return q.tracker.Apply(r.options.Clock.Now(), event)
 }
 
-// enrol waits for a slot.
+// enrol waits for a slot. A retry first waits for its backoff.
 func (r *Relayer) enrol(ctx context.Context, q *request) tracker.Event {
-	q.detachable(false)
+	q.setOutlivesCaller(false)
 	if q.tracker.Attempts() == 0 {
-		return r.enrolFirst(ctx, q)
+		return r.enrolFirstAttempt(ctx, q)
 	}
 	pause := retrier.Pause(q.tracker.Attempts())
 	r.note(q, "retry", "after "+pause.String(), "it is sent to another endpoint, because the last one failed it")
 	if !r.pause(ctx, pause) {
 		return interruption(ctx)
 	}
-	return r.takeSlot(ctx, q)
+	return r.acquireSlot(ctx, q)
 }
 
-// enrolFirst waits in the waiting room. Later attempts wait outside of it: they
-// are bounded by the slots that they came from, and a retry that is refused for
-// a full queue would turn a lost endpoint into a failed request.
-func (r *Relayer) enrolFirst(ctx context.Context, q *request) tracker.Event {
+// enrolFirstAttempt waits for the request's first slot and counts against the limits of the waiting
+// queue. Later attempts do not count: the number of slots bounds them, and a retry refused because
+// of a full queue would turn the loss of an endpoint into a failed request.
+func (r *Relayer) enrolFirstAttempt(ctx context.Context, q *request) tracker.Event {
 	now := r.options.Clock.Now
 	retry, entered := r.queue.enter(now(), q.workspace.Name, q.workspace.Queue)
 	if !entered {
@@ -73,12 +73,13 @@
 	r.note(q, "queued", "", "it waits for a slot: other workspaces or its own earlier requests are ahead, or no endpoint that its workspace may use is free")
 	waiting, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	defer context.AfterFunc(r.drain.closing, func() { cancel(errStopping) })()
-	event := r.takeSlot(waiting, q)
+	defer context.AfterFunc(r.drain.waitingRefused, func() { cancel(errStopping) })()
+	event := r.acquireSlot(waiting, q)
 	r.queue.leave(now(), q.workspace.Name, event.Kind == tracker.SlotGranted)
 	return event
 }
 
+// pause waits for a duration. It returns false if the context ends before it has passed.
 func (r *Relayer) pause(ctx context.Context, pause time.Duration) bool {
 	if pause <= 0 {
 		return ctx.Err() == nil
@@ -91,81 +92,86 @@
 	}
 }
 
-// takeSlot asks the pool's scheduler, unless the request is quarantined.
-func (r *Relayer) takeSlot(ctx context.Context, q *request) tracker.Event {
+// acquireSlot waits for a slot of the pool's scheduler, unless the request is quarantined.
+func (r *Relayer) acquireSlot(ctx context.Context, q *request) tracker.Event {
 	if event, admitted := r.isolate(ctx, q); !admitted {
 		return event
 	}
 	ctx, span := r.options.Tracer.Start(ctx, "wait")
-	slot, err := r.askScheduler(ctx, q)
+	slot, err := r.enrolAvoiding(ctx, q)
 	if err == nil {
 		span.End("")
 		q.slot = slot
-		q.spent = attempt{began: r.options.Clock.Now()}
-		q.run = r.guard.start(q.spent.began, q, slot)
+		q.attempt = attempt{started: r.options.Clock.Now()}
+		q.run = r.crashGuard.start(q.attempt.started, q, slot)
 		r.note(q, "granted", slot.Endpoint(), "its pool's scheduler chose endpoint "+slot.Endpoint())
 		return tracker.Event{Kind: tracker.SlotGranted}
 	}
 	span.End(err.Error())
 	if q.trial {
 		q.trial = false
-		r.guard.release(q.fingerprint)
+		r.crashGuard.release(q.fingerprint)
 	}
 	return r.refusal(ctx, q, err)
 }
 
+// refusal returns the event for an error of the Enroller, or for the end of the context. A refusal
+// with an unknown code becomes CodeNoEndpoint, an error that is no Refused becomes CodeStopping.
 func (r *Relayer) refusal(ctx context.Context, q *request, err error) tracker.Event {
 	if ctx.Err() != nil {
 		r.note(q, "withdrawn", context.Cause(ctx).Error(), "")
 		return interruption(ctx)
 	}
-	refused := &Refused{Code: string(tracker.CodeStopping), Retry: retrySoon}
+	refused := &Refused{Code: string(tracker.CodeStopping), Retry: minRetryAfter}
 	errors.As(err, &refused)
 	code := tracker.Code(refused.Code)
-	if _, known := meanings[code]; !known {
+	if _, known := failureTexts[code]; !known {
 		code = tracker.CodeNoEndpoint
 	}
 	r.note(q, "refused", string(code), "its pool's scheduler refused it: "+refused.Code)
-	return tracker.Event{Kind: tracker.Refused, Code: code, Retry: max(refused.Retry, retrySoon)}
+	return tracker.Event{Kind: tracker.Refused, Code: code, Retry: max(refused.Retry, minRetryAfter)}
 }
 
-// askScheduler enrols the request. Endpoints that failed it are avoided, unless
-// there is no other: the same one may have come back.
-func (r *Relayer) askScheduler(ctx context.Context, q *request) (Slot, error) {
-	slot, err := r.takeOpen(ctx, q)
+// enrolAvoiding enrols the request and avoids the endpoints at which earlier attempts failed. If
+// there is no other endpoint, it enrols again without avoiding any, because a failed endpoint may
+// have recovered.
+func (r *Relayer) enrolAvoiding(ctx context.Context, q *request) (Slot, error) {
+	slot, err := r.enrolEligible(ctx, q)
 	var refused *Refused
 	if len(q.avoid) > 0 && errors.As(err, &refused) && refused.Code == string(tracker.CodeNoEndpoint) {
 		q.avoid = nil
-		return r.takeOpen(ctx, q)
+		return r.enrolEligible(ctx, q)
 	}
 	return slot, err
 }
 
-// takeOpen returns a slot at an endpoint that wants requests of this router. A scheduler
-// that has only just begun, or that of a zone that lends the slot, may not know better: it
-// is told once, and the endpoint is avoided if it is granted again.
-func (r *Relayer) takeOpen(ctx context.Context, q *request) (Slot, error) {
-	told := make(map[string]bool)
+// enrolEligible returns a slot at an endpoint that is not in backoff for this router. A scheduler
+// that has just started, or the scheduler of another zone that lends the slot, may not know of the
+// backoff: the first slot at the endpoint is declined with the backoff, and after a second one the
+// endpoint is avoided.
+func (r *Relayer) enrolEligible(ctx context.Context, q *request) (Slot, error) {
+	declined := make(map[string]bool)
 	for {
-		slot, err := r.options.Enroller.Enrol(ctx, r.waiting(q))
+		slot, err := r.options.Enroller.Enrol(ctx, r.waitingRequest(q))
 		if err != nil {
 			return nil, err
 		}
-		backoff, leaving := r.backoffs.left(r.options.Clock.Now(), slot)
+		backoff, leaving := r.backoffs.remaining(r.options.Clock.Now(), slot)
 		if backoff == 0 {
 			return slot, nil
 		}
 		slot.Finish(scheduler.Finish{Ending: scheduler.Declined, Backoff: backoff, Leaving: leaving})
 		r.note(q, "declined", slot.Endpoint(), "the endpoint wants no requests of this router for "+backoff.String())
-		if told[slot.Endpoint()] {
+		if declined[slot.Endpoint()] {
 			q.avoid = append(q.avoid, slot.Endpoint())
 		}
-		told[slot.Endpoint()] = true
+		declined[slot.Endpoint()] = true
 	}
 }
 
-func (r *Relayer) waiting(q *request) Waiting {
-	waiting := Waiting{
+// waitingRequest returns the description of the request for the pool's scheduler.
+func (r *Relayer) waitingRequest(q *request) WaitingRequest {
+	waiting := WaitingRequest{
 		ID: q.id, Service: q.service.Name, Workspace: q.workspace.Name,
 		Waited: r.options.Clock.Since(q.received), Avoid: q.avoid, Alone: q.trial,
 	}
@@ -176,14 +182,15 @@
 	return waiting
 }
 
-// isolate keeps quarantined requests away from endpoints and begins the trial
-// of suspects.
+// isolate returns false and a refusal for a quarantined request, which must not reach an endpoint,
+// and marks the request as the trial run if its fingerprint is suspected of crashing endpoints. It
+// waits while another request with the fingerprint is on trial.
 func (r *Relayer) isolate(ctx context.Context, q *request) (tracker.Event, bool) {
-	left, quarantined := r.options.Quarantine.Quarantined(q.fingerprint)
+	remaining, quarantined := r.options.Quarantine.Quarantined(q.fingerprint)
 	verdict := isolator.Quarantined
 	if !quarantined {
 		var err error
-		verdict, left, err = r.guard.admit(ctx, r.options.Clock.Now, q.fingerprint)
+		verdict, remaining, err = r.crashGuard.admit(ctx, r.options.Clock.Now, q.fingerprint)
 		if err != nil {
 			return interruption(ctx), false
 		}
@@ -191,7 +198,7 @@
 	switch verdict {
 	case isolator.Quarantined:
 		r.note(q, "refused", "quarantined", "requests like it crashed the endpoints that ran them")
-		return tracker.Event{Kind: tracker.Refused, Code: tracker.CodeQuarantined, Retry: left}, false
+		return tracker.Event{Kind: tracker.Refused, Code: tracker.CodeQuarantined, Retry: remaining}, false
 	case isolator.Alone:
 		q.trial = true
 		r.note(q, "suspect", "", "an endpoint crashed while it ran there; it is tried where no other suspect runs")
@@ -199,31 +206,33 @@
 	return tracker.Event{}, true
 }
 
-// settle settles the claim and gives the slot back, as the action says.
+// settle records the outcome of the claim, releases the slot and counts a retry, as the action says.
 func (r *Relayer) settle(q *request, action tracker.Action) {
 	switch action.Claim {
 	case tracker.FreeClaim:
-		r.record(q, q.keep.notRun())
+		r.record(q, q.recorder.notRun())
 	case tracker.RecordAnswer:
-		r.record(q, q.keep.answer(&q.order))
+		r.record(q, q.recorder.answer(&q.sequence))
 	}
 	if action.Slot != 0 && q.slot != nil {
-		r.giveBack(q, action.Slot)
+		r.releaseSlot(q, action.Slot)
 	}
 	if action.Step == tracker.Enrol && action.Slot != 0 {
 		r.countRetry(q, action.Slot)
 	}
 }
 
-func (r *Relayer) giveBack(q *request, ending scheduler.Ending) {
+// releaseSlot ends the attempt: it finishes the slot with the units used and reports the ending to
+// the crash guard, which may find fingerprints to quarantine.
+func (r *Relayer) releaseSlot(q *request, ending scheduler.Ending) {
 	now := r.options.Clock.Now()
-	took := now.Sub(q.spent.began)
-	units := q.spent.units
-	if q.chat == nil && q.spent.connected {
+	took := now.Sub(q.attempt.started)
+	units := q.attempt.units
+	if q.chat == nil && q.attempt.connected {
 		units = uint32(max(took.Milliseconds(), 1))
 	}
-	q.slot.Finish(scheduler.Finish{Charged: units, Ending: ending, First: q.spent.first, Took: took, Backoff: q.spent.backoff, Leaving: q.spent.leaving})
-	for _, digest := range r.guard.end(now, q, q.spent.verdict(ending)) {
+	q.slot.Finish(scheduler.Finish{Charged: units, Ending: ending, First: q.attempt.timeToFirst, Took: took, Backoff: q.attempt.backoff, Leaving: q.attempt.leaving})
+	for _, digest := range r.crashGuard.end(now, q, q.attempt.isolatorEnding(ending)) {
 		r.metrics.quarantine.Inc()
 		r.options.Log.Warn().Uint64("fingerprint", digest).Msg("quarantined a request that crashes endpoints")
 		r.options.Quarantine.Publish(digest)
@@ -232,18 +241,18 @@
 	case scheduler.Failed, scheduler.Unreachable, scheduler.Refused:
 		q.avoid = append(q.avoid, q.slot.Endpoint())
 	}
-	r.note(q, "given back", endings[ending]+" after "+strconv.Itoa(int(units))+" units", "")
+	r.note(q, "given back", endingTexts[ending]+" after "+strconv.Itoa(int(units))+" units", "")
 	q.slot, q.run, q.trial = nil, nil, false
 }
 
-// endings are the words for how an attempt ended.
-var endings = map[scheduler.Ending]string{
+// endingTexts are the texts for the ending of an attempt, in explanations.
+var endingTexts = map[scheduler.Ending]string{
 	scheduler.Done: "whole", scheduler.Cancelled: "cancelled", scheduler.Refused: "not started",
 	scheduler.Failed: "failed", scheduler.Unreachable: "unreachable", scheduler.Declined: "not used",
 }
 
-// verdict is what an attempt's ending says about the request's guilt.
-func (a *attempt) verdict(ending scheduler.Ending) isolator.Ending {
+// isolatorEnding returns the attempt's ending as evidence of whether the request crashes endpoints.
+func (a *attempt) isolatorEnding(ending scheduler.Ending) isolator.Ending {
 	switch {
 	case ending == scheduler.Done:
 		return isolator.Whole
@@ -256,6 +265,7 @@
 	}
 }
 
+// countRetry counts a retry by the ending of the failed attempt, and a resume if tokens were relayed.
 func (r *Relayer) countRetry(q *request, ending scheduler.Ending) {
 	reason := retryBroken
 	switch ending {
@@ -265,18 +275,18 @@
 		reason = retryNotStarted
 	}
 	r.metrics.retries.WithLabelValues(reason).Inc()
-	if q.order.next > 0 {
+	if q.sequence.next > 0 {
 		r.metrics.resumes.Inc()
 	}
 }
 
-// complete sends the end of an answer whose slot has been given back already,
-// so that a caller that is slow to take it holds nothing.
+// complete sends the end of an answer. The slot has been released before, so that a caller that reads
+// slowly does not hold it.
 func (r *Relayer) complete(q *request, action tracker.Action) tracker.Action {
-	if q.chat == nil || q.spent.passed {
+	if q.chat == nil || q.attempt.passedThrough {
 		return action
 	}
-	if err := q.sink.end(&q.order); err != nil {
+	if err := q.sink.end(&q.sequence); err != nil {
 		return tracker.Action{Step: tracker.EndSilently, Outcome: tracker.OutcomeUnknown, Code: tracker.CodeCallerGone}
 	}
 	return action
--- a/router/internal/relayer/send.go
+++ b/router/internal/relayer/send.go
@@ -20,11 +20,11 @@
 	"shallotkeel.example/lib/tracker"
 )
 
-// errStalled says that an endpoint sent nothing for too long.
+// errStalled is the cause of an attempt's end when its endpoint has sent nothing for too long.
 var errStalled = merry.Sentinel("the endpoint stalls")
 
-// send sends the request to the endpoint of its slot, relays the answer, and
-// returns how the attempt ended.
+// send sends the request to the endpoint of its slot, relays the answer, and returns the event for
+// the attempt's ending.
 func (r *Relayer) send(ctx context.Context, q *request) tracker.Event {
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -37,11 +37,14 @@
 	return event
 }
 
+// exchange sends the request and relays the answer. Besides the event it returns a description of
+// the failure, empty for a success. The attempt's context ends before that of the request if the
+// endpoint stalls.
 func (r *Relayer) exchange(ctx, attemptCtx context.Context, cancel context.CancelCauseFunc, q *request) (tracker.Event, string) {
 	connected := httptrace.WithClientTrace(attemptCtx, &httptrace.ClientTrace{
-		// It is called before the first byte is written, by this goroutine.
+		// The transport calls it before it writes the first byte, from this goroutine.
 		GotConn: func(httptrace.GotConnInfo) {
-			q.spent.connected = true
+			q.attempt.connected = true
 			r.apply(q, tracker.Event{Kind: tracker.Connected})
 		},
 	})
@@ -51,28 +54,30 @@
 	}
 	transport := r.repeatable
 	if q.key != "" {
-		transport = r.once
+		transport = r.nonRepeatable
 	}
-	watch := r.watch(q, cancel)
-	defer watch.stop()
+	stall := r.startStallTimer(q, cancel)
+	defer stall.stop()
 	response, err := transport.RoundTrip(out)
 	if err != nil {
-		return r.broken(ctx, q, err), err.Error()
+		return r.failureEvent(ctx, q, err), err.Error()
 	}
 	defer response.Body.Close()
 	if event, refused := r.refusedByEndpoint(q, response); refused {
 		return event, "status " + strconv.Itoa(response.StatusCode)
 	}
-	return r.relay(ctx, q, response, watch)
+	return r.relay(ctx, q, response, stall)
 }
 
-// refusedByEndpoint handles answers that are none to the request.
+// refusedByEndpoint returns true and the event for a response that is no answer to the request: one
+// to another request, a refusal to start it, or an engine's error status that another engine may
+// not return.
 func (r *Relayer) refusedByEndpoint(q *request, response *http.Response) (tracker.Event, bool) {
 	if id := response.Header.Get(headerRequestID); id != "" && id != q.id {
 		r.metrics.dropped.WithLabelValues(droppedForeign).Inc()
 		return tracker.Event{Kind: tracker.AttemptFailed}, true
 	}
-	r.noteSaid(q, response)
+	r.noteBackoff(q, response)
 	if response.Header.Get(headerStarted) == "no" {
 		switch response.StatusCode {
 		case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
@@ -80,15 +85,15 @@
 		}
 		return tracker.Event{Kind: tracker.NotStarted}, true
 	}
-	if q.chat != nil && response.StatusCode != http.StatusOK && !wrongRequest(response.StatusCode) {
+	if q.chat != nil && response.StatusCode != http.StatusOK && !isRequestFault(response.StatusCode) {
 		return tracker.Event{Kind: tracker.AttemptFailed}, true
 	}
 	return tracker.Event{}, false
 }
 
-// wrongRequest tells whether an engine's status says that the request is at
-// fault, so that no other engine would answer it either.
-func wrongRequest(status int) bool {
+// isRequestFault reports whether an engine's status means that the request itself is at fault, so
+// that other engines would reject it as well.
+func isRequestFault(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusConflict, http.StatusTooManyRequests:
 		return false
@@ -97,18 +102,18 @@
 	}
 }
 
-// relay hands the answer on.
-func (r *Relayer) relay(ctx context.Context, q *request, response *http.Response, watch *watch) (tracker.Event, string) {
+// relay relays the endpoint's answer to the caller and returns as exchange does.
+func (r *Relayer) relay(ctx context.Context, q *request, response *http.Response, stall *stallTimer) (tracker.Event, string) {
 	var err error
 	if q.chat != nil && response.StatusCode == http.StatusOK {
-		err = r.relayEvents(q, response.Body, watch)
+		err = r.relayEvents(q, response.Body, stall)
 	} else {
-		watch.stop()
-		q.spent.passed = true
+		stall.stop()
+		q.attempt.passedThrough = true
 		err = r.relayBody(q, response)
 	}
 	switch {
-	case err == nil && q.spent.unframed:
+	case err == nil && q.attempt.unframed:
 		return tracker.Event{Kind: tracker.ConnectionClosed}, ""
 	case err == nil:
 		return tracker.Event{Kind: tracker.AnswerCompleted}, ""
@@ -116,92 +121,94 @@
 		q.reason = "the answer is too long to be sent whole; ask for a stream"
 		return tracker.Event{Kind: tracker.AttemptFailed, Code: tracker.CodeEndpointFailed}, err.Error()
 	default:
-		return r.broken(ctx, q, err), err.Error()
+		return r.failureEvent(ctx, q, err), err.Error()
 	}
 }
 
-// broken is the event for an attempt that ended with an error.
-func (r *Relayer) broken(ctx context.Context, q *request, err error) tracker.Event {
+// failureEvent returns the event for an attempt that ended with an error.
+func (r *Relayer) failureEvent(ctx context.Context, q *request, err error) tracker.Event {
 	switch {
 	case ctx.Err() != nil:
 		return interruption(ctx)
-	case !q.spent.connected:
+	case !q.attempt.connected:
 		return tracker.Event{Kind: tracker.Unreachable}
 	case errors.Is(err, errCaller):
 		return tracker.Event{Kind: tracker.CallerGone}
-	case q.upload != nil && q.upload.err != nil:
+	case q.upload != nil && q.upload.readErr != nil:
 		return r.uploadFailed(q)
 	default:
-		q.spent.crashed = crash(err)
+		q.attempt.crashed = isCrash(err)
 		return tracker.Event{Kind: tracker.AttemptFailed}
 	}
 }
 
-// uploadFailed ends a request whose caller stopped in the middle of its body.
-// The endpoint has a part of it, and may have started.
+// uploadFailed returns the event for a request whose caller stopped in the middle of its body. The
+// endpoint has received a part of the body and may have started the request.
 func (r *Relayer) uploadFailed(q *request) tracker.Event {
-	if !q.persist.Load() {
+	if !q.outlivesCaller.Load() {
 		return tracker.Event{Kind: tracker.CallerGone}
 	}
 	r.detach(q)
 	return tracker.Event{Kind: tracker.AttemptFailed}
 }
 
-// crash tells whether an endpoint's connection broke as it does when its
-// process dies. A timeout is none: a cut network looks like that.
-func crash(err error) bool {
+// isCrash reports whether an endpoint's connection broke as it does when the endpoint's process
+// dies. A timeout is not a crash, because a network partition causes it as well.
+func isCrash(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// detach goes on without the caller: what the endpoint answers is kept for the
-// record, so that a resend hears it.
+// detach continues the request without its caller. The endpoint's answer is kept for the record of
+// the idempotency key, so that a resend gets it.
 func (r *Relayer) detach(q *request) {
 	r.note(q, "caller gone", "the answer is awaited for its record", "")
 	r.apply(q, tracker.Event{Kind: tracker.CallerGone})
 	q.caller.discard = true
 }
 
-// deliver tells the tracker that the caller gets a part of the answer, and
-// hands it over. A request that may not repeat outlives its caller.
+// deliver writes a part of the answer to the caller. If begins is set, it first tells the tracker
+// that the answer has begun. A request that outlives its caller is detached when the write fails.
 func (r *Relayer) deliver(q *request, begins bool, write func() error) error {
 	if begins && q.tracker.State() == tracker.Sent && !q.caller.discard {
-		// Before the write: if it fails half-way, the caller may have a part.
+		// The event precedes the write: a write that fails midway may have sent a part of the answer.
 		r.apply(q, tracker.Event{Kind: tracker.AnswerStarted})
 	}
 	err := write()
-	if err != nil && errors.Is(err, errCaller) && q.persist.Load() && q.caller.ended.Err() == nil {
+	if err != nil && errors.Is(err, errCaller) && q.outlivesCaller.Load() && q.caller.ctx.Err() == nil {
 		r.detach(q)
 		return nil
 	}
 	return err
 }
 
-func (r *Relayer) firstUnit(q *request) {
-	if q.spent.first != 0 {
+// noteFirstUnit records the time to the attempt's first token or byte, and the time to the first
+// token of a chat.
+func (r *Relayer) noteFirstUnit(q *request) {
+	if q.attempt.timeToFirst != 0 {
 		return
 	}
 	now := r.options.Clock.Now()
-	q.spent.first = max(now.Sub(q.spent.began), time.Millisecond)
-	if q.chat != nil && q.order.next == 1 {
+	q.attempt.timeToFirst = max(now.Sub(q.attempt.started), time.Millisecond)
+	if q.chat != nil && q.sequence.next == 1 {
 		r.metrics.firstToken.Observe(now.Sub(q.received).Seconds())
 	}
 }
 
-// relayEvents relays a stream. It returns no error when the answer is whole.
-func (r *Relayer) relayEvents(q *request, body io.Reader, watch *watch) error {
-	from := newEvents(body)
+// relayEvents relays the events of a model engine's stream. It returns nil if the answer is complete.
+func (r *Relayer) relayEvents(q *request, body io.Reader, stall *stallTimer) error {
+	events := newEventReader(body)
 	_, streams := q.sink.(*streamSink)
 	for {
-		data, err := from.next()
+		data, err := events.next()
 		if err != nil {
-			return q.cut(err)
+			return q.checkComplete(err)
 		}
-		watch.touch()
+		stall.reset()
 		if string(data) == streamDone {
-			return q.cut(errUnfinished)
+			return q.checkComplete(errUnfinished)
 		}
-		event, verdict := q.order.judge(data)
+		event, verdict := q.sequence.judge(data)
 		switch {
 		case verdict.broken != "":
 			return merry.Errorf("%w: %s", errStream, verdict.broken)
@@ -212,46 +219,47 @@
 			continue
 		}
 		if verdict.token {
-			q.spent.units++
+			q.attempt.units++
 			r.metrics.tokens.Inc()
-			r.firstUnit(q)
-			q.slot.Progress(q.spent.units)
+			r.noteFirstUnit(q)
+			q.slot.Progress(q.attempt.units)
 		}
-		q.keep.event(event)
+		q.recorder.addEvent(event)
 		if err := r.deliver(q, streams, func() error { return q.sink.event(data, event) }); err != nil {
 			return err
 		}
 	}
 }
 
-// errUnfinished says that a stream ended before its answer did.
+// errUnfinished is the error of a stream that ended before its answer was complete.
 var errUnfinished = merry.Sentinel("the stream ended before the answer")
 
-// cut says whether a stream that ended has carried the whole answer.
-func (q *request) cut(err error) error {
-	if q.order.finished {
+// checkComplete returns nil if the stream, which ended with err, has carried the complete answer.
+func (q *request) checkComplete(err error) error {
+	if q.sequence.finished {
 		return nil
 	}
 	return merry.Errorf("%w: %w", errStream, err)
 }
 
-const copyPiece = 32 << 10
+// copyBufferBytes is the size of the buffer through which the answer of a plain service is copied.
+const copyBufferBytes = 32 << 10
 
-// relayBody relays an answer as it is. It returns no error when it has come to its end.
+// relayBody relays an answer byte for byte. It returns nil if the answer has been read to its end.
 func (r *Relayer) relayBody(q *request, response *http.Response) error {
-	q.keep.status, q.keep.kind = response.StatusCode, response.Header.Get("Content-Type")
-	q.spent.unframed = framer.Of(q.http.Method, response) == framer.ByConnection
-	q.keep.omitted = q.spent.unframed
-	err := r.deliver(q, true, func() error { return q.passHeaders(response) })
+	q.recorder.status, q.recorder.contentType = response.StatusCode, response.Header.Get("Content-Type")
+	q.attempt.unframed = framer.Of(q.http.Method, response) == framer.ByConnection
+	q.recorder.omitted = q.attempt.unframed
+	err := r.deliver(q, true, func() error { return q.relayHeaders(response) })
 	if err != nil {
 		return err
 	}
-	buffer := make([]byte, copyPiece)
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		n, readErr := response.Body.Read(buffer)
 		if n > 0 {
-			r.firstUnit(q)
-			q.keep.add(buffer[:n])
+			r.noteFirstUnit(q)
+			q.recorder.add(buffer[:n])
 			if err := r.deliver(q, true, func() error { return q.caller.write(buffer[:n]) }); err != nil {
 				return err
 			}
@@ -265,37 +273,37 @@
 	}
 }
 
-// passHeaders sends the headers of an endpoint's answer.
-func (q *request) passHeaders(response *http.Response) error {
+// relayHeaders sends the status and the headers of the endpoint's answer.
+func (q *request) relayHeaders(response *http.Response) error {
 	if q.caller.discard {
 		return nil
 	}
-	if q.spent.unframed {
-		return q.passUnframed(response)
+	if q.attempt.unframed {
+		return q.relayUnframedHeaders(response)
 	}
 	to := q.caller.writer.Header()
 	copyHeaders(to, response.Header)
 	if response.ContentLength >= 0 && q.http.Method != http.MethodHead {
-		// With its length, an answer that is cut cannot be taken for a whole one.
+		// With its length, a truncated answer cannot be mistaken for a complete one.
 		to.Set("Content-Length", strconv.FormatInt(response.ContentLength, 10))
 	}
-	q.caller.begin(response.StatusCode)
+	q.caller.sendHead(response.StatusCode)
 	return q.caller.write(nil)
 }
 
-// passUnframed sends the headers of an answer that ends with its connection. Nobody knows whether
-// it will be whole, so that its outcome is not told as answered.
-func (q *request) passUnframed(response *http.Response) error {
+// relayUnframedHeaders sends the headers of an answer that ends with its connection. Its outcome is
+// sent as unknown rather than answered, because a truncation of such an answer cannot be detected.
+func (q *request) relayUnframedHeaders(response *http.Response) error {
 	if err := q.caller.unframe(q.http); err != nil {
 		return err
 	}
 	copyHeaders(q.caller.writer.Header(), response.Header)
-	q.caller.beginAs(tracker.OutcomeUnknown, response.StatusCode)
+	q.caller.sendHeadAs(tracker.OutcomeUnknown, response.StatusCode)
 	return q.caller.write(nil)
 }
 
-// private headers belong to one connection, or to the router itself.
-var private = map[string]bool{
+// notForwarded are the headers that belong to one connection or to the router itself.
+var notForwarded = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Expect": true, "Content-Length": true, "Host": true, "Authorization": true,
@@ -303,11 +311,11 @@
 	headerWorkspace: true, headerResumeFrom: true, headerTraceparent: true, headerReplayed: true, headerLeaving: true, "Tracestate": true,
 }
 
-// copyHeaders copies the headers that go from end to end.
+// copyHeaders copies the end-to-end headers, without those that Connection lists.
 func copyHeaders(to, from http.Header) {
 	dropped := strings.ToLower(strings.Join(from.Values("Connection"), ","))
 	for name, values := range from {
-		if private[name] || strings.Contains(dropped, strings.ToLower(name)) {
+		if notForwarded[name] || strings.Contains(dropped, strings.ToLower(name)) {
 			continue
 		}
 		to[name] = append([]string(nil), values...)
@@ -322,6 +330,8 @@
 	return q.outgoingCall(ctx)
 }
 
+// outgoingChat returns a chat completion for an engine. It asks to resume after the tokens that have
+// been received already.
 func (q *request) outgoingChat(ctx context.Context) (*http.Request, error) {
 	target := "http://" + q.slot.Address().String() + "/v1/chat/completions"
 	out, err := http.NewRequestWithContext(ctx, http.MethodPost, target, opaque{bytes.NewReader(q.chat.Body)})
@@ -330,15 +340,16 @@
 	}
 	out.ContentLength = int64(len(q.chat.Body))
 	out.Header.Set("Content-Type", contentJSON)
-	if q.order.next > 0 {
-		out.Header.Set(headerResumeFrom, strconv.Itoa(q.order.next))
+	if q.sequence.next > 0 {
+		out.Header.Set(headerResumeFrom, strconv.Itoa(q.sequence.next))
 	}
 	q.identify(ctx, out)
 	return out, nil
 }
 
+// outgoingCall returns the call for an endpoint of a plain service.
 func (q *request) outgoingCall(ctx context.Context) (*http.Request, error) {
-	// The escaped path is kept as it came, for services that tell %2F from a slash.
+	// The path is forwarded with its original escapes, for services that distinguish %2F from a slash.
 	_, path, _ := strings.Cut(strings.TrimPrefix(q.http.URL.EscapedPath(), "/v1/services/"), "/")
 	target := "http://" + q.slot.Address().String() + "/" + path
 	if q.http.URL.RawQuery != "" {
@@ -354,7 +365,7 @@
 	return out, nil
 }
 
-// identify adds the headers by which an endpoint knows the request.
+// identify sets the headers that identify the request to an endpoint.
 func (q *request) identify(ctx context.Context, out *http.Request) {
 	out.Header.Set(headerRequestID, q.id)
 	out.Header.Set(headerWorkspace, q.workspace.Name)
@@ -368,31 +379,34 @@
 	tracer.Inject(ctx, out.Header)
 }
 
-// watch ends an attempt whose endpoint sends nothing: a frozen process or a cut
-// network sends no reset, and the caller would wait until its request's time is
-// over although another endpoint could go on.
-type watch struct {
+// stallTimer cancels an attempt whose endpoint sends nothing. A frozen process or a network partition
+// causes no reset, and the caller would otherwise wait for the request timeout although another
+// endpoint could resume the answer.
+type stallTimer struct {
 	timer clockwork.Timer
 	limit time.Duration
 }
 
-// watch covers the time until the first event as well. Plain services are not
-// watched: how long a call takes is theirs to know.
-func (r *Relayer) watch(q *request, cancel context.CancelCauseFunc) *watch {
-	limit := r.limits.EndpointStall
+// startStallTimer starts the timer, which also covers the time until the first event. A call of a
+// plain service may take the whole request timeout, because the router does not know how long the
+// call should take.
+func (r *Relayer) startStallTimer(q *request, cancel context.CancelCauseFunc) *stallTimer {
+	limit := r.limits.EndpointStallTimeout
 	if q.chat == nil {
 		limit = r.limits.RequestTimeout
 	}
-	return &watch{
+	return &stallTimer{
 		timer: r.options.Clock.AfterFunc(limit, func() { cancel(errStalled) }),
 		limit: limit,
 	}
 }
 
-func (w *watch) touch() {
-	w.timer.Reset(w.limit)
+// reset restarts the timer after the endpoint has sent something.
+func (t *stallTimer) reset() {
+	t.timer.Reset(t.limit)
 }
 
-func (w *watch) stop() {
-	w.timer.Stop()
+// stop stops the timer.
+func (t *stallTimer) stop() {
+	t.timer.Stop()
 }
--- a/router/internal/relayer/sink.go
+++ b/router/internal/relayer/sink.go
@@ -8,32 +8,33 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// errTooLong says that an answer does not fit into the memory it may take.
+// errTooLong is the error of an answer that exceeds Limits.AnswerBytes.
 var errTooLong = merry.Sentinel("answer is too long to be assembled")
 
-// sink takes the events of a chat answer, across all attempts.
+// sink receives the events of a chat answer, across all attempts.
 type sink interface {
-	// event takes one event that belongs to the answer.
+	// event adds one event of the answer: its data and the decoded chunk.
 	event(data []byte, event chunk) error
 	// end completes the answer.
-	end(order *sequence) error
+	end(sequence *sequence) error
 }
 
-// newSink returns what the caller asked for.
+// newSink returns the sink for the answer that the caller asked for, streamed or not. Limit is the
+// maximum size in bytes of an answer that is not streamed.
 func (q *request) newSink(limit int) sink {
 	if q.chat.Stream {
 		return &streamSink{caller: q.caller}
 	}
-	return &wholeSink{caller: q.caller, answer: assembly{model: q.chat.Model, limit: limit}}
+	return &bufferedSink{caller: q.caller, answer: answerBuilder{model: q.chat.Model, limit: limit}}
 }
 
-// streamSink relays each event as it comes.
+// streamSink relays each event immediately.
 type streamSink struct {
 	caller *caller
 }
 
 func (s *streamSink) event(data []byte, _ chunk) error {
-	s.begin()
+	s.sendHead()
 	line := make([]byte, 0, len(data)+len("data: \n\n"))
 	line = append(line, "data: "...)
 	line = append(line, data...)
@@ -41,57 +42,59 @@
 	return s.caller.write(line)
 }
 
-func (s *streamSink) begin() {
-	if s.caller.begun {
+// sendHead sends the headers of the stream, once.
+func (s *streamSink) sendHead() {
+	if s.caller.started {
 		return
 	}
 	s.caller.writer.Header().Set("Content-Type", "text/event-stream")
 	s.caller.writer.Header().Set("Cache-Control", "no-store")
-	s.caller.begin(http.StatusOK)
+	s.caller.sendHead(http.StatusOK)
 }
 
 func (s *streamSink) end(*sequence) error {
-	s.begin()
+	s.sendHead()
 	return s.caller.write([]byte("data: " + streamDone + "\n\n"))
 }
 
-// wholeSink assembles the answer and sends it at the end.
-type wholeSink struct {
+// bufferedSink assembles the answer and sends it when it is complete.
+type bufferedSink struct {
 	caller *caller
-	answer assembly
+	answer answerBuilder
 }
 
-func (s *wholeSink) event(_ []byte, event chunk) error {
+func (s *bufferedSink) event(_ []byte, event chunk) error {
 	if !s.answer.add(event) {
 		return merry.Errorf("%w: it is longer than %d bytes; ask for a stream", errTooLong, s.answer.limit)
 	}
 	return nil
 }
 
-func (s *wholeSink) end(order *sequence) error {
-	body, err := s.answer.whole(order)
+func (s *bufferedSink) end(sequence *sequence) error {
+	body, err := s.answer.encode(sequence)
 	if err != nil {
 		return err
 	}
 	s.caller.writer.Header().Set("Content-Type", contentJSON)
-	s.caller.begin(http.StatusOK)
+	s.caller.sendHead(http.StatusOK)
 	return s.caller.write(body)
 }
 
+// contentJSON is the Content-Type of JSON bodies.
 const contentJSON = "application/json"
 
-// assembly puts an answer's tokens together.
-type assembly struct {
-	model string
-	limit int
-	text  strings.Builder
-	made  int64 // creation time of the answer in Unix seconds, by the engine
+// answerBuilder assembles an answer from its tokens.
+type answerBuilder struct {
+	model   string
+	limit   int // in bytes
+	text    strings.Builder
+	created int64 // creation time of the answer in Unix seconds, from the engine
 }
 
-// add takes one event, or tells that the answer has grown too long.
-func (a *assembly) add(event chunk) bool {
+// add appends one event. It returns false if the answer exceeds the limit.
+func (a *answerBuilder) add(event chunk) bool {
 	if event.Created != 0 {
-		a.made = event.Created
+		a.created = event.Created
 	}
 	if len(event.Choices) == 0 {
 		return true
@@ -104,7 +107,7 @@
 	return true
 }
 
-// completion is OpenAI's shape of a whole answer.
+// completion is a complete answer in OpenAI's format.
 type completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -114,24 +117,27 @@
 	Usage   *usage             `json:"usage,omitempty"`
 }
 
+// completionChoice is the single choice of a completion.
 type completionChoice struct {
 	Index        int               `json:"index"`
 	Message      completionMessage `json:"message"`
 	FinishReason string            `json:"finish_reason"`
 }
 
+// completionMessage is the message of a completion.
 type completionMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-func (a *assembly) whole(order *sequence) ([]byte, error) {
+// encode returns the complete answer as JSON.
+func (a *answerBuilder) encode(sequence *sequence) ([]byte, error) {
 	return json.Marshal(completion{
-		ID: order.id, Object: "chat.completion", Created: a.made, Model: a.model,
+		ID: sequence.id, Object: "chat.completion", Created: a.created, Model: a.model,
 		Choices: []completionChoice{{
 			Message:      completionMessage{Role: "assistant", Content: a.text.String()},
-			FinishReason: order.reason,
+			FinishReason: sequence.finishReason,
 		}},
-		Usage: order.usage,
+		Usage: sequence.usage,
 	})
 }
--- /dev/null
+++ b/router/internal/relayer/transport.go
@@ -0,0 +1,59 @@
+package relayer
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/ansel1/merry/v2"
+)
+
+const (
+	// endpointIdle is how long an idle connection to an endpoint is kept for reuse. It is short, so
+	// that a router seldom writes to a connection that the endpoint is about to close, which cannot
+	// be distinguished from a crash.
+	endpointIdle = 5 * time.Second
+	// endpointIdleConns is the maximum number of idle connections kept per endpoint.
+	endpointIdleConns = 16
+	// maxEndpointHeaders is the maximum size in bytes of the headers of an endpoint's answer.
+	maxEndpointHeaders = 64 << 10
+)
+
+// errUnreachable is the kind of error of an attempt for which no connection was made, so that no byte
+// of the request can have reached the endpoint.
+var errUnreachable = merry.Sentinel("no connection to the endpoint")
+
+// newTransport returns a transport for endpoints. With singleUse it is for non-repeatable requests and uses
+// each connection for a single request: when a reused connection is closed while a request is sent,
+// it is unknown whether the endpoint has read the request.
+func newTransport(dialTimeout time.Duration, singleUse bool) *http.Transport {
+	dial := net.Dialer{Timeout: dialTimeout}
+	return &http.Transport{
+		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
+			conn, err := dial.DialContext(ctx, network, address)
+			if err != nil {
+				return nil, merry.Errorf("%w: %w", errUnreachable, err)
+			}
+			return conn, nil
+		},
+		DisableKeepAlives:      singleUse,
+		DisableCompression:     true,
+		IdleConnTimeout:        endpointIdle,
+		MaxIdleConnsPerHost:    endpointIdleConns,
+		MaxResponseHeaderBytes: maxEndpointHeaders,
+	}
+}
+
+// opaque hides the type of a body from the transport. If a connection breaks, the transport itself
+// resends a request with an Idempotency-Key whose body it can rewind or whose body is empty, and a
+// non-repeatable request would run twice unnoticed.
+type opaque struct {
+	io.Reader
+}
+
+// Close does nothing; the reader stays with its owner.
+func (opaque) Close() error {
+	return nil
+}
--- a/router/internal/relayer/ends_test.go
+++ b/router/internal/relayer/truncation_test.go
@@ -15,8 +15,8 @@
 	"shallotkeel.example/router/internal/relayer"
 )
 
-// replaceEndpoint replaces the n-th endpoint by one that writes bytes of its own as its answer
-// and closes the connection.
+// replaceEndpoint replaces the n-th endpoint with one that writes the given raw bytes as its answer and
+// closes the connection.
 func (f *fleet) replaceEndpoint(n int, answer func() string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(f, err)
@@ -43,8 +43,9 @@
 	}()
 }
 
-// A call's answer that was broken off reached its caller as if it were complete.
-func TestCallThatBreaksOffNeverLooksComplete(t *testing.T) {
+// Guards against a truncated answer of a plain service that its caller takes for a complete one. The
+// endpoint's answer is truncated after each of its bytes, with every kind of framing.
+func TestTruncatedCallNeverLooksComplete(t *testing.T) {
 	const text = "the whole answer"
 	for name, test := range map[string]struct {
 		head, body string
@@ -57,32 +58,33 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			all := test.head + test.body
-			for place := range len(all) + 1 {
-				f := newFleet(t, relayer.Limits{Attempts: 1}, well)
-				f.replaceEndpoint(1, func() string { return all[:place] })
+			for offset := range len(all) + 1 {
+				f := newFleet(t, relayer.Limits{Attempts: 1}, healthy)
+				f.replaceEndpoint(1, func() string { return all[:offset] })
 				got := f.call(http.MethodGet, "/v1/services/app/", "")
-				where := fmt.Sprintf("cut behind byte %d of %d", place, len(all))
+				where := fmt.Sprintf("truncated after byte %d of %d", offset, len(all))
 				switch {
-				case got.status != http.StatusOK || got.cut:
-					require.False(t, place == len(all), "%s: a whole answer was not passed on", where)
+				case got.status != http.StatusOK || got.truncated:
+					require.False(t, offset == len(all), "%s: the complete answer was not relayed", where)
 				case got.framed:
-					require.True(t, test.framed && place == len(all), "%s: it looks complete", where)
+					require.True(t, test.framed && offset == len(all), "%s: a truncated answer looks complete", where)
 					require.Equal(t, text, got.body, where)
 				default:
 					require.False(t, test.framed, where)
-					require.Equal(t, all[len(test.head):place], got.body, where)
+					require.Equal(t, all[len(test.head):offset], got.body, where)
 				}
 			}
 		})
 	}
 }
 
-// A part of a bid's answer was recorded and given again as the whole one.
-func TestAnswerWithoutAKnownEndIsNotReplayed(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, well)
+// Guards against the replay of a truncated answer as a complete one. The answer of a non-repeatable
+// request ends with its connection, so that its completeness is unknown.
+func TestUnframedAnswerIsNotReplayed(t *testing.T) {
+	f := newFleet(t, relayer.Limits{}, healthy)
 	f.replaceEndpoint(1, func() string { return "HTTP/1.1 201 Created\r\n\r\nlot 7 to" })
 	first := f.bid("lot-7", "12")
-	require.False(t, first.framed, "its end tells nothing")
+	require.False(t, first.framed, "the end of the answer must not look certain")
 	second := f.bid("lot-7", "12")
 	require.Equal(t, "unknown key_spent", second.headers.Get("X-Outcome")+" "+second.failure.Code)
 	require.False(t, strings.Contains(second.body, "lot 7 to"))
