--- a/keeper/internal/server/directory.go
+++ b/keeper/internal/server/directory.go
@@ -142,9 +142,9 @@
 	d.lessor.DropExpired(now)
 	widened := d.subset.updateSizes(d.list.Services())
 	for _, service := range widened {
-		d.list.Retell(service)
+		d.list.Resend(service)
 	}
-	return d.list.Pass(now) || len(widened) > 0
+	return d.list.Expire(now) || len(widened) > 0
 }
 
 // mergeResult is the effect of another keeper's update on the list.
@@ -194,7 +194,7 @@
 	d.updateSums(known, 1)
 	changed := false
 	for _, h := range request.GetHeard() {
-		if d.list.Heard(now, h.GetId(), lister.FromMillis(h.GetStartedMs()), h.GetSequence()) {
+		if d.list.Refresh(now, h.GetId(), lister.FromMillis(h.GetStartedMs()), h.GetSequence()) {
 			changed = true
 		}
 	}
@@ -355,7 +355,7 @@
 	}
 	subset := d.subset.forRouter(request.GetNode(), request.GetZone())
 	return d.list.Select(after, func(l *lister.Listing) bool {
-		return l.State > lister.Ready || (!request.GetBrief() || !l.Well()) && subset.includes(l)
+		return l.State > lister.Ready || (!request.GetBrief() || !l.Healthy()) && subset.includes(l)
 	})
 }
 
--- a/keeper/internal/server/peers.go
+++ b/keeper/internal/server/peers.go
@@ -65,14 +65,14 @@
 	report := &messenger.FollowRequest{
 		Node: c.settings.Name, Zone: c.settings.Zone, Keeper: true, Address: c.settings.Address().String(),
 		Plan: c.view.Load().plan.GetVersion(), Heard: c.directory.recentHeartbeats(now, since),
-		Unheard: c.subscriber.Unheard(), Begun: c.directory.streamOrigins.since(now, since),
+		Unheard: c.subscriber.Unanswering(), Begun: c.directory.streamOrigins.since(now, since),
 	}
 	c.directory.summarize(now, report)
 	return report
 }
 
-// News merges the listings of a peer's answer into the directory.
-func (c peerSubscription) News(_ context.Context, keeper netip.AddrPort, response *messenger.FollowResponse) {
+// Update merges the listings of a peer's answer into the directory.
+func (c peerSubscription) Update(_ context.Context, keeper netip.AddrPort, response *messenger.FollowResponse) {
 	c.deliveries.acknowledge(keeper)
 	m := c.directory.merge(c.clock.Now(), keeper.String(), response.GetListings())
 	if m.invalid != nil && c.heartbeatDamper.Admit(c.clock.Now(), c.log) {
@@ -98,7 +98,7 @@
 			if s.directory.expire(s.clock.Now()) {
 				s.updates.notify(true)
 			}
-			s.subscriber.Know(s.memberAddresses()...)
+			s.subscriber.AddKeepers(s.memberAddresses()...)
 			wait := subscriber.ExchangeWaitFor(s.directory.routerCount(s.clock.Now()), len(s.view.Load().status.Group))
 			s.subscriber.Pace(wait, wait)
 		}
@@ -116,7 +116,7 @@
 	}
 	seeds := read.SeedAddresses()
 	s.seeds.Store(&seeds)
-	s.subscriber.Know(seeds...)
+	s.subscriber.AddKeepers(seeds...)
 	return nil
 }
 
--- a/keeper/internal/server/rationing.go
+++ b/keeper/internal/server/rationing.go
@@ -151,7 +151,7 @@
 func (d *directory) markZoneCold(now time.Time, zone string, lengths func(service string) time.Duration) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.list.Chill(now, zone, lengths)
+	d.list.MarkZoneCold(now, zone, lengths)
 }
 
 // hasZone reports whether an endpoint of a zone is listed.
--- a/keeper/internal/server/router_summary_test.go
+++ b/keeper/internal/server/router_summary_test.go
@@ -66,7 +66,7 @@
 	}
 	d.beat(testStart, at("silent", 1, lister.Ready))
 	d.beat(testStart, at("leaving", 2, lister.Leaving))
-	d.list.Pass(testStart.Add(lister.SilentBeats + 1))
+	d.list.Expire(testStart.Add(lister.SilentBeats + 1))
 	d.beat(testStart.Add(lister.SilentBeats+1), at("well", 3, lister.Ready))
 	listed := func(request *messenger.FollowRequest) []string {
 		var ids []string
--- a/keeper/internal/server/server.go
+++ b/keeper/internal/server/server.go
@@ -184,7 +184,7 @@
 		server.directory.lessor.Start(clock.Now())
 	}
 	server.subscriber = subscriber.New(subscriber.Options{
-		Host: peerSubscription{Server: server, deliveries: &deliveryTimes{}}, Clock: clock, Log: log, Own: s.Address(), Wait: subscriber.LeastWait,
+		Host: peerSubscription{Server: server, deliveries: &deliveryTimes{}}, Clock: clock, Log: log, Own: s.Address(), Wait: subscriber.MinWait,
 		Dial: func(address netip.AddrPort) messenger.Planning { return server.peers.forAddress(address.String()) },
 	})
 	server.updates.clock, server.updates.followers = clock, server.directory.followerCount
--- a/lib/detector/detector.go
+++ b/lib/detector/detector.go
@@ -1,18 +1,21 @@
-// Package detector keeps the list of live routers.
+// Package detector maintains the list of live routers by gossip.
 //
-// Within an availability zone every router has a beat, a number that rises
-// with each of its heartbeats. Heartbeats go to a few members in turn (to all
-// of them in a small zone) and carry the beats of all members, so that beats
-// spread like gossip and the traffic of a router does not grow with the square
-// of the zone. A member whose beat stops rising for the suspect time is dead.
-// Lists are compared by digest and sent only when they differ. Of the other
-// zones, one member is asked in turn with each heartbeat.
+// Within an availability zone every router has a beat, a counter that rises with each of
+// its heartbeats. Heartbeats go to a few members in rotation (to all members of a small
+// zone) and carry the beats of all members. The beats thus spread by gossip, and the
+// traffic of a router does not grow with the square of the zone's size. A member whose beat
+// does not rise for the suspect time is dead. Lists are compared by digest and sent only
+// when they differ. With each heartbeat, a member of one other zone is queried, the zones
+// in rotation.
 //
-// Invariants: the machine is pure, the host sends its beats and gives it what
-// comes back; an older incarnation never replaces a newer one; old gossip
-// never revives a dead member, only a higher beat does; a detector that was
-// itself frozen does not blame the others for the time in which it heard
-// nothing; memory is bounded by MaxMembers, MaxZones and MaxDead.
+// Invariants:
+//   - a Detector is a pure state machine: the caller sends its beats and passes in the
+//     responses;
+//   - an older incarnation never replaces a newer one;
+//   - old gossip never revives a dead member, only a higher beat does;
+//   - a detector whose own process was suspended does not mark the others dead for the time
+//     in which it received nothing;
+//   - memory is bounded by MaxMembers, MaxZones and MaxDead.
 package detector
 
 import (
@@ -26,33 +29,33 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// Bounds of what a detector remembers.
+// Bounds of a detector's memory.
 const (
 	MaxMembers = 256 // members of one zone
-	MaxZones   = 64
-	MaxDead    = 64
+	MaxZones   = 64  // other zones
+	MaxDead    = 64  // dead members of the own zone
 )
 
-// Defaults of the options.
+// Default values of Options.
 const (
 	DefaultHeartbeat    = 250 * time.Millisecond
 	DefaultSuspectAfter = time.Second
 	DefaultFanout       = 3
 )
 
-// contactsPerZone is how many members of each other zone a full list names, so
-// that a router that starts learns of zones that none of its seeds is in.
+// contactsPerZone is the number of members of each other zone in a full list, so that a
+// starting router discovers zones that contain none of its seeds.
 const contactsPerZone = 2
 
-// Options say who a detector is and how fast it judges.
+// Options configure a Detector.
 type Options struct {
-	Self  Member
+	Self  Member           // this router
 	Seeds []netip.AddrPort // control addresses of some other routers
-	// Heartbeat is the time between two calls of Tick.
+	// Heartbeat is the interval between two calls of Tick.
 	Heartbeat time.Duration
-	// SuspectAfter is how long a beat may stand still.
+	// SuspectAfter is how long a beat may stay unchanged before its member is dead.
 	SuspectAfter time.Duration
-	// Fanout is how many members of the zone a heartbeat goes to.
+	// Fanout is the number of members of the zone that each Tick sends a heartbeat to.
 	Fanout int
 }
 
@@ -62,25 +65,24 @@
 	Request *messenger.HeartbeatRequest
 }
 
-// Detector is one router's view of the fleet. The methods are called by one
-// goroutine.
+// Detector is one router's view of the fleet. It is not safe for concurrent use.
 type Detector struct {
-	options  Options
-	self     Member
-	records  map[string]*record // own zone, without self
-	zones    map[string]*zone   // other zones
-	agreed   map[netip.AddrPort]uint64
-	ticks    int
-	last     time.Time
-	version  uint64
-	thawed   uint64
-	live     []Member // cache, self included, sorted by name
-	digest   uint64
-	places   map[netip.AddrPort]string // cache: the zone of each listed address
-	contacts int                       // answers and beats heard in all
+	options       Options
+	self          Member
+	records       map[string]*record // own zone, without self
+	zones         map[string]*zone   // other zones
+	agreedDigests map[netip.AddrPort]uint64
+	ticks         int
+	lastTick      time.Time
+	version       uint64
+	stalls        uint64
+	live          []Member // cache: the live members, self included, sorted by name
+	digest        uint64
+	zoneOf        map[netip.AddrPort]string // cache: the zone name of each listed address
+	contacts      int                       // number of heartbeats and responses received
 }
 
-// New returns a detector that knows only itself.
+// New returns a detector whose only member is this router.
 func New(now time.Time, options Options) *Detector {
 	if options.Heartbeat <= 0 {
 		options.Heartbeat = DefaultHeartbeat
@@ -92,40 +94,41 @@
 		options.Fanout = DefaultFanout
 	}
 	d := &Detector{
-		options: options,
-		self:    options.Self,
-		records: make(map[string]*record),
-		zones:   make(map[string]*zone),
-		agreed:  make(map[netip.AddrPort]uint64),
-		last:    now,
+		options:       options,
+		self:          options.Self,
+		records:       make(map[string]*record),
+		zones:         make(map[string]*zone),
+		agreedDigests: make(map[netip.AddrPort]uint64),
+		lastTick:      now,
 	}
 	d.refresh()
 	return d
 }
 
-// Version rises whenever a list of members or a leaving mark has changed.
+// Version returns a number that rises whenever a list of members or a leaving mark changes, and
+// with each stall that Stalls counts.
 func (d *Detector) Version() uint64 {
 	return d.version
 }
 
-// Thawed counts how often this process stood still for longer than the others
-// wait before they take over its pools.
-func (d *Detector) Thawed() uint64 {
-	return d.thawed
+// Stalls returns how often this process was suspended for longer than the other routers wait
+// before they take over its pools.
+func (d *Detector) Stalls() uint64 {
+	return d.stalls
 }
 
-// Contacts counts the heartbeats and answers heard from others.
+// Contacts returns the number of heartbeats and responses received from other routers.
 func (d *Detector) Contacts() int {
 	return d.contacts
 }
 
-// Self returns this router as it presents itself.
+// Self returns this router's own member entry.
 func (d *Detector) Self() Member {
 	return d.self
 }
 
-// Leave announces that this router is about to stop, and returns heartbeats
-// that tell every member of the zone at once.
+// Leave marks this router as leaving because it is about to stop, and returns heartbeats that
+// announce this to every member of the zone immediately.
 func (d *Detector) Leave() []Beat {
 	d.self.Leaving = true
 	d.self.Beat++
@@ -133,7 +136,7 @@
 	var beats []Beat
 	for _, m := range d.live {
 		if m.Name != d.self.Name {
-			beats = append(beats, d.beatTo(m.Address))
+			beats = append(beats, d.newBeat(m.Address))
 		}
 	}
 	return beats
@@ -150,7 +153,7 @@
 	return slices.Sorted(maps.Keys(d.zones))
 }
 
-// Members returns the last known list of a zone.
+// Members returns the last known members of a zone.
 func (d *Detector) Members(name string) []Member {
 	if name == d.self.Zone {
 		return d.live
@@ -161,10 +164,10 @@
 	return nil
 }
 
-// Heard returns when another zone last answered.
-func (d *Detector) Heard(name string) time.Time {
+// LastContact returns the time of the last contact with another zone, zero if there was none.
+func (d *Detector) LastContact(name string) time.Time {
 	if z := d.zones[name]; z != nil {
-		return z.heard
+		return z.lastContact
 	}
 	return time.Time{}
 }
@@ -174,65 +177,67 @@
 	return Owner(d.Members(zone), zone, service)
 }
 
-// Tick judges the members and returns the heartbeats to send now.
+// Tick marks members without recent beats as dead and returns the heartbeats to send now.
 func (d *Detector) Tick(now time.Time) []Beat {
-	d.thaw(now)
+	d.compensateStall(now)
 	d.ticks++
 	d.self.Beat++
-	d.judge(now)
-	beats := d.beatZone()
-	beats = append(beats, d.beatOther()...)
-	return append(beats, d.beatLost()...)
+	d.markDead(now)
+	beats := d.zoneBeats()
+	beats = append(beats, d.otherZoneBeats()...)
+	return append(beats, d.rejoinBeats()...)
 }
 
-// thaw shifts what was heard by the time in which this process stood still. A
-// process that is stopped and continued would otherwise find every other
-// member silent, and make itself the scheduler of everything.
-func (d *Detector) thaw(now time.Time) {
-	stood := now.Sub(d.last) - d.options.Heartbeat
-	d.last = now
-	if stood < d.options.SuspectAfter/2 {
+// compensateStall extends the members' last rise times by the time for which this process was
+// suspended. A process that is stopped and continued would otherwise find every other member
+// silent, and make itself the scheduler of all pools.
+func (d *Detector) compensateStall(now time.Time) {
+	stalled := now.Sub(d.lastTick) - d.options.Heartbeat
+	d.lastTick = now
+	if stalled < d.options.SuspectAfter/2 {
 		return
 	}
 	for _, r := range d.records {
-		r.heard = r.heard.Add(stood)
+		r.lastRise = r.lastRise.Add(stalled)
 	}
-	if stood >= d.options.SuspectAfter-d.options.Heartbeat {
-		d.thawed++
+	if stalled >= d.options.SuspectAfter-d.options.Heartbeat {
+		d.stalls++
 		d.version++
 	}
 }
 
-func (d *Detector) judge(now time.Time) {
+// markDead marks the members as dead whose beat has not risen for longer than SuspectAfter.
+func (d *Detector) markDead(now time.Time) {
 	changed := false
 	for _, r := range d.records {
-		if !r.dead && now.Sub(r.heard) > d.options.SuspectAfter {
+		if !r.dead && now.Sub(r.lastRise) > d.options.SuspectAfter {
 			r.dead = true
 			changed = true
 		}
 	}
 	if changed {
-		d.forget()
+		d.removeOldestDead()
 		d.refresh()
 	}
 }
 
-// forget drops the members that have been dead for longest beyond MaxDead.
-func (d *Detector) forget() {
+// removeOldestDead removes the members that have been dead for longest, down to MaxDead dead
+// members.
+func (d *Detector) removeOldestDead() {
 	var dead []*record
 	for _, r := range d.records {
 		if r.dead {
 			dead = append(dead, r)
 		}
 	}
-	slices.SortFunc(dead, func(a, b *record) int { return a.heard.Compare(b.heard) })
+	slices.SortFunc(dead, func(a, b *record) int { return a.lastRise.Compare(b.lastRise) })
 	for _, r := range dead[:max(0, len(dead)-MaxDead)] {
 		delete(d.records, r.Name)
-		delete(d.agreed, r.Address)
+		delete(d.agreedDigests, r.Address)
 	}
 }
 
-// refresh computes the live list and its digest again.
+// refresh recomputes the live list, its digest and the zones of the addresses.
 func (d *Detector) refresh() {
 	d.live = []Member{d.self}
 	for _, r := range d.records {
@@ -241,26 +246,28 @@
 		}
 	}
 	sorted(d.live)
-	d.place()
+	d.indexZones()
 	d.digest = digestOf(d.live, d.Zones())
 	d.version++
 }
 
-func (d *Detector) place() {
-	d.places = make(map[netip.AddrPort]string)
+// indexZones recomputes the zone of each listed address.
+func (d *Detector) indexZones() {
+	d.zoneOf = make(map[netip.AddrPort]string)
 	for name, z := range d.zones {
 		for _, m := range z.members {
-			d.places[m.Address] = name
+			d.zoneOf[m.Address] = name
 		}
 	}
 	for _, m := range d.live {
-		d.places[m.Address] = d.self.Zone
+		d.zoneOf[m.Address] = d.self.Zone
 	}
 }
 
-// beatZone goes on around the zone, each member starting behind its own place,
-// so that every member gets as many heartbeats as it sends.
-func (d *Detector) beatZone() []Beat {
+// zoneBeats returns the heartbeats for the next members of the own zone in rotation. Each
+// router starts after its own position in the list, so that every member receives as many
+// heartbeats as it sends.
+func (d *Detector) zoneBeats() []Beat {
 	others := len(d.live) - 1
 	own := slices.IndexFunc(d.live, func(m Member) bool { return m.Name == d.self.Name })
 	count := min(d.options.Fanout, others)
@@ -268,15 +275,16 @@
 	for i := range count {
 		step := 1 + (d.ticks*count+i)%others
 		to := d.live[(own+step)%len(d.live)]
-		beats = append(beats, d.beatTo(to.Address))
+		beats = append(beats, d.newBeat(to.Address))
 	}
 	return beats
 }
 
-// beatTo leaves out whatever the other knows if it still agrees with us.
-func (d *Detector) beatTo(address netip.AddrPort) Beat {
+// newBeat returns a heartbeat for an address. It carries the own member entry in full only if the
+// last known digest of the receiver differs from the own one.
+func (d *Detector) newBeat(address netip.AddrPort) Beat {
 	request := &messenger.HeartbeatRequest{Digest: d.digest, Beats: d.beats()}
-	if d.agreed[address] == d.digest {
+	if d.agreedDigests[address] == d.digest {
 		request.From = &messenger.Member{Name: d.self.Name, Incarnation: d.self.Incarnation}
 	} else {
 		request.From = encode(d.self)
@@ -284,10 +292,10 @@
 	return Beat{To: address, Request: request}
 }
 
-// beatOther asks one member of one other zone, zones in turn. It stays with a
-// member that answers: connections to all members of all zones would be kept
-// alive for nothing.
-func (d *Detector) beatOther() []Beat {
+// otherZoneBeats returns a query for one member of one other zone, the zones in rotation. It
+// keeps querying a member that responds, which avoids idle connections to all members of all
+// zones.
+func (d *Detector) otherZoneBeats() []Beat {
 	names := d.Zones()
 	if len(names) == 0 {
 		return nil
@@ -297,15 +305,17 @@
 		return nil
 	}
 	offset := xxhash.Sum64String(d.self.Name) % MaxMembers
-	if z.asked {
-		z.cursor++ // the last one did not answer
+	if z.unanswered {
+		z.cursor++ // the last queried member did not respond
 	}
-	z.asked = true
+	z.unanswered = true
 	to := z.members[(z.cursor+int(offset))%len(z.members)]
-	return []Beat{d.ask(to.Address, z.digest)}
+	return []Beat{d.newZoneQuery(to.Address, z.digest)}
 }
 
-func (d *Detector) ask(address netip.AddrPort, known uint64) Beat {
+// newZoneQuery returns a heartbeat that asks a member of another zone for its list, unless the list
+// still has the known digest.
+func (d *Detector) newZoneQuery(address netip.AddrPort, known uint64) Beat {
 	request := &messenger.HeartbeatRequest{Digest: known, From: &messenger.Member{Zone: d.self.Zone}}
 	if known == 0 {
 		request.From = encode(d.self)
@@ -313,30 +323,29 @@
 	return Beat{To: address, Request: request}
 }
 
-// beatLost tries one address that should be a router and is not in any list:
-// a seed, or a member that has died. This is how the halves of a zone that
-// was cut find each other again.
-func (d *Detector) beatLost() []Beat {
-	var lost []netip.AddrPort
+// rejoinBeats returns a heartbeat for one address of a router that is in no list: a seed, or a
+// dead member. This lets the halves of a partitioned zone discover each other again.
+func (d *Detector) rejoinBeats() []Beat {
+	var unlisted []netip.AddrPort
 	for _, seed := range d.options.Seeds {
-		if d.places[seed] == "" {
-			lost = append(lost, seed)
+		if d.zoneOf[seed] == "" {
+			unlisted = append(unlisted, seed)
 		}
 	}
 	for _, r := range d.records {
-		if r.dead && d.places[r.Address] == "" && !slices.Contains(lost, r.Address) {
-			lost = append(lost, r.Address)
+		if r.dead && d.zoneOf[r.Address] == "" && !slices.Contains(unlisted, r.Address) {
+			unlisted = append(unlisted, r.Address)
 		}
 	}
-	if len(lost) == 0 {
+	if len(unlisted) == 0 {
 		return nil
 	}
-	slices.SortFunc(lost, netip.AddrPort.Compare)
-	delete(d.agreed, lost[d.ticks%len(lost)])
-	return []Beat{d.beatTo(lost[d.ticks%len(lost)])}
+	slices.SortFunc(unlisted, netip.AddrPort.Compare)
+	delete(d.agreedDigests, unlisted[d.ticks%len(unlisted)])
+	return []Beat{d.newBeat(unlisted[d.ticks%len(unlisted)])}
 }
 
-// beats are the members' beats in the order of the live list.
+// beats returns the members' beats in the order of the live list.
 func (d *Detector) beats() []uint32 {
 	beats := make([]uint32, 0, len(d.live))
 	for _, m := range d.live {
--- a/lib/detector/detector_test.go
+++ b/lib/detector/detector_test.go
@@ -11,8 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// fleet runs detectors against each other on one clock. Calls are lost when
-// cut says so.
+// fleet runs detectors against each other on one clock. Calls for which cut returns true are lost.
 type fleet struct {
 	t       *testing.T
 	now     time.Time
@@ -24,9 +23,9 @@
 	calls   int
 }
 
-// framing is what a unary call on a kept connection costs besides its
-// payload, both directions; measured by the conductor's own test.
-const framing = 54
+// callOverheadBytes is the size of a unary call on a kept connection without its payload, both
+// directions; as determined by the test of package conductor.
+const callOverheadBytes = 54
 
 func address(zone, i int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.%d.%d:8100", zone, i+1))
@@ -63,8 +62,8 @@
 	}
 	response := target.Receive(f.now, beat.Request)
 	f.calls++
-	f.bytes += framing + proto.Size(beat.Request) + proto.Size(response)
-	for _, further := range f.members[from].Answer(f.now, beat, response) {
+	f.bytes += callOverheadBytes + proto.Size(beat.Request) + proto.Size(response)
+	for _, further := range f.members[from].HandleResponse(f.now, beat, response) {
 		f.call(from, further)
 	}
 }
@@ -86,9 +85,9 @@
 	return len(f.members[address(zone, i)].Live())
 }
 
-func TestEveryoneFindsEveryone(t *testing.T) {
+func TestAllRoutersDiscoverEachOther(t *testing.T) {
 	for name, size := range map[string]struct{ zones, each int }{
-		"alone": {1, 1}, "pair": {1, 2}, "two zones": {2, 3}, "size of letter 1": {19, 22},
+		"alone": {1, 1}, "pair": {1, 2}, "two zones": {2, 3}, "a large fleet": {19, 22},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, size.zones, size.each)
@@ -113,9 +112,9 @@
 	}
 }
 
-// Symptom: heartbeats alone use up the control budget of 29 KB a second.
-// Sequence: 22 routers in a zone, 19 zones, nothing happens.
-// Cause: all-to-all heartbeats grow with the square of the zone.
+// Guards against heartbeats that alone use up the control budget of 29 KB a second, with 22
+// routers in each of 19 zones and no changes: all-to-all heartbeats grow with the square of the
+// zone's size.
 func TestIdleTrafficIsBounded(t *testing.T) {
 	f := newFleet(t, 19, 22)
 	f.run(12 * time.Second)
@@ -127,10 +126,9 @@
 	require.Less(t, perRouter, 5000.0)
 }
 
-// Symptom: routers vanish from the list although they live.
-// Sequence: one call in five is lost.
-// Cause: beats that reach a member only over several hops grow old.
-func TestLossyCallsKillNobody(t *testing.T) {
+// Guards against live routers missing from the list when one call in five is lost, because beats
+// that reach a member only over several hops become too old.
+func TestLostCallsMarkNoMemberDead(t *testing.T) {
 	f := newFleet(t, 1, 22)
 	f.run(5 * time.Second)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -143,10 +141,10 @@
 	}
 }
 
-// Symptom: pools of a crashed router stay without a scheduler.
-// Sequence: a router dies, and later comes back with no memory.
-// Cause: nobody notices that its beat has stopped, or the old life's beat hides the new life.
-func TestCrashIsNoticedAndRestartIsWelcome(t *testing.T) {
+// Guards against pools of a crashed router that stay without a scheduler: a router crashes and
+// later restarts without state, and either its stopped beat is not detected, or the beat of the
+// old incarnation hides the new one.
+func TestCrashIsDetectedAndRestartIsAccepted(t *testing.T) {
 	f := newFleet(t, 1, 6)
 	f.run(5 * time.Second)
 	f.members[address(0, 3)] = nil
@@ -162,10 +160,10 @@
 	require.Equal(t, uint64(2), f.members[address(0, 0)].records["router-0-03"].Incarnation)
 }
 
-// Symptom: a router that was stopped and continued makes itself the scheduler
-// of every pool. Sequence: SIGSTOP for longer than the suspect time, SIGCONT.
-// Cause: it heard nobody while it stood still, and blames the others.
-func TestThawedRouterBlamesNobody(t *testing.T) {
+// Guards against a router that makes itself the scheduler of every pool after SIGSTOP for longer
+// than the suspect time and SIGCONT: it received nothing while it was suspended, and must not mark
+// the others dead for that.
+func TestResumedRouterMarksNoMemberDead(t *testing.T) {
 	f := newFleet(t, 1, 4)
 	f.run(5 * time.Second)
 	frozen := f.members[address(0, 2)]
@@ -175,15 +173,14 @@
 	f.frozen[address(0, 2)] = false
 	frozen.Tick(f.now)
 	require.Len(t, frozen.Live(), 4)
-	require.Equal(t, uint64(1), frozen.Thawed())
+	require.Equal(t, uint64(1), frozen.Stalls())
 	f.run(4 * DefaultHeartbeat)
 	require.Equal(t, 4, f.live(0, 0))
 }
 
-// Symptom: the halves of a zone stay apart after the network is whole again.
-// Sequence: a zone is cut in two, each half forgets the other, the cut ends.
-// Cause: nobody calls members that have died.
-func TestHalvesRejoin(t *testing.T) {
+// Guards against the halves of a zone staying apart after a network partition ends: each half has
+// marked the other dead, and they rejoin only if dead members are still called.
+func TestPartitionedZoneRejoins(t *testing.T) {
 	f := newFleet(t, 1, 6)
 	f.run(5 * time.Second)
 	half := func(at netip.AddrPort) bool { return at.Addr().As4()[3]%2 == 0 }
@@ -197,9 +194,8 @@
 	}
 }
 
-// Symptom: new work keeps going to a scheduler that is about to stop.
-// Sequence: a planned stop announces leaving.
-// Cause: leaving reaches the others only with the list.
+// Guards against new requests to a scheduler that is about to stop: a planned stop announces
+// leaving, which reaches the others only with the list.
 func TestLeavingMovesThePools(t *testing.T) {
 	f := newFleet(t, 2, 4)
 	f.run(10 * time.Second)
--- a/lib/detector/exchange.go
+++ b/lib/detector/exchange.go
@@ -6,12 +6,12 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// Receive answers another router's heartbeat.
+// Receive applies another router's heartbeat and returns the response.
 func (d *Detector) Receive(now time.Time, request *messenger.HeartbeatRequest) *messenger.HeartbeatResponse {
 	d.contacts++
 	from := request.GetFrom()
-	if d.foreign(from) {
-		return d.receiveOther(now, request)
+	if d.ofOtherZone(from) {
+		return d.receiveFromOtherZone(now, request)
 	}
 	if member, ok := decode(from); ok {
 		d.merge(now, member)
@@ -19,36 +19,38 @@
 	d.mergeAll(now, request.GetMembers())
 	response := &messenger.HeartbeatResponse{Digest: d.digest}
 	if request.GetDigest() == d.digest {
-		d.raise(now, request.GetBeats())
+		d.raiseBeats(now, request.GetBeats())
 		response.Beats = d.beats()
 		return response
 	}
 	response.From = encode(d.self)
-	response.Members = d.everyone()
+	response.Members = d.fullList()
 	return response
 }
 
-func (d *Detector) foreign(from *messenger.Member) bool {
+// ofOtherZone reports whether a message is from a router of another zone.
+func (d *Detector) ofOtherZone(from *messenger.Member) bool {
 	return from.GetZone() != "" && from.GetZone() != d.self.Zone
 }
 
-// receiveOther answers a router of another zone, which only wants to know
-// whether its list of this zone still holds.
-func (d *Detector) receiveOther(now time.Time, request *messenger.HeartbeatRequest) *messenger.HeartbeatResponse {
+// receiveFromOtherZone responds to a router of another zone, which only asks whether its list of
+// this zone is still current.
+func (d *Detector) receiveFromOtherZone(now time.Time, request *messenger.HeartbeatRequest) *messenger.HeartbeatResponse {
 	if member, ok := decode(request.GetFrom()); ok {
-		d.contact(now, member)
+		d.addContact(now, member)
 	}
 	response := &messenger.HeartbeatResponse{Digest: d.digest}
 	if request.GetDigest() == d.digest {
 		return response
 	}
 	response.From = encode(d.self)
-	response.Members = d.everyone()
+	response.Members = d.fullList()
 	return response
 }
 
-// everyone is the own zone whole and a few members of each other zone.
-func (d *Detector) everyone() []*messenger.Member {
+// fullList returns all live members of the own zone and contactsPerZone members of each other
+// zone.
+func (d *Detector) fullList() []*messenger.Member {
 	members := make([]*messenger.Member, 0, len(d.live)+contactsPerZone*len(d.zones))
 	for _, m := range d.live {
 		if m.Name == d.self.Name {
@@ -67,21 +69,21 @@
 	return members
 }
 
-// Answer takes in the answer to a heartbeat and returns a further heartbeat
-// when the other has to hear what it does not know. A further heartbeat is not
-// followed by another: the two may differ for a while over a member that only
-// one of them holds for dead.
-func (d *Detector) Answer(now time.Time, sent Beat, response *messenger.HeartbeatResponse) []Beat {
+// HandleResponse applies the response to a heartbeat, and returns a further heartbeat if the
+// responder lacks members of the own list. The response to a further heartbeat leads to no
+// other one: the two routers may disagree for a while about a member that only one of them
+// considers dead.
+func (d *Detector) HandleResponse(now time.Time, sent Beat, response *messenger.HeartbeatResponse) []Beat {
 	d.contacts++
 	to := sent.To
 	from := response.GetFrom()
-	if d.foreign(from) {
-		d.answerOther(now, response)
+	if d.ofOtherZone(from) {
+		d.replaceZone(now, response)
 		return nil
 	}
 	if from == nil {
-		if z := d.zones[d.places[to]]; z != nil {
-			z.heard, z.asked = now, false
+		if z := d.zones[d.zoneOf[to]]; z != nil {
+			z.lastContact, z.unanswered = now, false
 			return nil
 		}
 	}
@@ -90,26 +92,26 @@
 	}
 	d.mergeAll(now, response.GetMembers())
 	if response.GetDigest() == d.digest {
-		d.agreed[to] = d.digest
-		d.raise(now, response.GetBeats())
+		d.agreedDigests[to] = d.digest
+		d.raiseBeats(now, response.GetBeats())
 		return nil
 	}
 	if len(response.GetMembers()) == 0 || len(sent.Request.GetMembers()) > 0 {
 		return nil
 	}
-	beat := d.beatTo(to)
-	beat.Request.Members = d.everyone()
+	beat := d.newBeat(to)
+	beat.Request.Members = d.fullList()
 	return []Beat{beat}
 }
 
-// answerOther replaces the list of another zone.
-func (d *Detector) answerOther(now time.Time, response *messenger.HeartbeatResponse) {
+// replaceZone replaces the list of another zone by the one in a response.
+func (d *Detector) replaceZone(now time.Time, response *messenger.HeartbeatResponse) {
 	name := response.GetFrom().GetZone()
 	z := d.addZone(name)
 	if z == nil {
 		return
 	}
-	z.heard, z.asked = now, false
+	z.lastContact, z.unanswered = now, false
 	if z.digest == response.GetDigest() {
 		return
 	}
@@ -121,7 +123,7 @@
 		case m.Zone == name && len(members) < MaxMembers:
 			members = append(members, m)
 		case m.Zone != d.self.Zone:
-			d.contact(time.Time{}, m)
+			d.addContact(time.Time{}, m)
 		}
 	}
 	z.members = sorted(members)
@@ -129,6 +131,8 @@
 	d.refresh()
 }
 
+// addZone returns the entry of another zone and creates it if needed. It returns nil if there are
+// already MaxZones zones.
 func (d *Detector) addZone(name string) *zone {
 	if z := d.zones[name]; z != nil {
 		return z
@@ -141,14 +145,15 @@
 	return z
 }
 
-// contact remembers the first members of a zone that was not known.
-func (d *Detector) contact(now time.Time, member Member) {
+// addContact adds a member of another zone whose list has not been received yet. Now is the time
+// of a direct contact with the member, zero if another router named it.
+func (d *Detector) addContact(now time.Time, member Member) {
 	z := d.addZone(member.Zone)
 	if z == nil {
 		return
 	}
-	if now.After(z.heard) {
-		z.heard = now
+	if now.After(z.lastContact) {
+		z.lastContact = now
 	}
 	if z.digest != 0 {
 		return
@@ -162,6 +167,7 @@
 	d.refresh()
 }
 
+// mergeAll applies a full list of another member of the own zone.
 func (d *Detector) mergeAll(now time.Time, members []*messenger.Member) {
 	for _, encoded := range members {
 		m, ok := decode(encoded)
@@ -170,12 +176,12 @@
 		case m.Zone == d.self.Zone:
 			d.merge(now, m)
 		default:
-			d.contact(time.Time{}, m)
+			d.addContact(time.Time{}, m)
 		}
 	}
 }
 
-// merge takes in what is said of a member of the own zone.
+// merge applies a received entry of a member of the own zone.
 func (d *Detector) merge(now time.Time, m Member) {
 	if m.Name == d.self.Name {
 		return
@@ -184,21 +190,23 @@
 	switch {
 	case r == nil && len(d.records) >= MaxMembers:
 	case r == nil || m.Incarnation > r.Incarnation:
-		d.records[m.Name] = &record{Member: m, heard: now}
+		d.records[m.Name] = &record{Member: m, lastRise: now}
 		d.refresh()
 	case m.Incarnation == r.Incarnation:
 		d.update(now, r, m)
 	}
 }
 
+// update applies a received entry of the known incarnation of a member. Only a higher beat revives a
+// dead member.
 func (d *Detector) update(now time.Time, r *record, m Member) {
 	if m.Beat > r.Beat {
 		r.Beat = m.Beat
-		r.heard = now
+		r.lastRise = now
 	}
 	changed := m.Leaving && !r.Leaving
 	r.Leaving = r.Leaving || m.Leaving
-	if r.dead && r.heard.Equal(now) {
+	if r.dead && r.lastRise.Equal(now) {
 		r.dead = false
 		changed = true
 	}
@@ -207,9 +215,9 @@
 	}
 }
 
-// raise takes in beats that are in the order of this detector's own list,
-// which the equal digest has shown.
-func (d *Detector) raise(now time.Time, beats []uint32) {
+// raiseBeats applies received beats. They are in the order of this detector's own live list,
+// because the digests are equal.
+func (d *Detector) raiseBeats(now time.Time, beats []uint32) {
 	if len(beats) != len(d.live) {
 		return
 	}
@@ -217,7 +225,7 @@
 		r := d.records[d.live[i].Name]
 		if r != nil && beat > r.Beat {
 			r.Beat = beat
-			r.heard = now
+			r.lastRise = now
 		}
 	}
 }
--- a/lib/detector/member.go
+++ b/lib/detector/member.go
@@ -12,30 +12,30 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// Member is one life of a router.
+// Member is one incarnation of a router.
 type Member struct {
 	Name        string
 	Zone        string
 	Incarnation uint64 // rises with each restart
 	Address     netip.AddrPort
-	Leaving     bool
+	Leaving     bool   // about to stop
 	Beat        uint32 // rises with each of its heartbeats
 }
 
-// record is a member of the detector's own zone with the evidence for its life.
+// record is a member of the detector's own zone with its liveness state.
 type record struct {
 	Member
-	heard time.Time // when its beat last rose
-	dead  bool
+	lastRise time.Time // time when its beat last rose
+	dead     bool
 }
 
-// zone is what is known of another zone.
+// zone is the known state of another zone.
 type zone struct {
-	members []Member
-	digest  uint64
-	heard   time.Time
-	cursor  int
-	asked   bool // and not yet answered
+	members     []Member
+	digest      uint64 // digest of the received list, 0 before the first one
+	lastContact time.Time
+	cursor      int  // position of the queried member, rises when it does not respond
+	unanswered  bool // whether the last query has got no response yet
 }
 
 func encode(m Member) *messenger.Member {
@@ -45,7 +45,8 @@
 	}
 }
 
-// decode returns false for a member that no call could reach.
+// decode decodes a member. It returns false if the address is invalid or the name or zone is
+// missing, because such a member cannot be called.
 func decode(m *messenger.Member) (Member, bool) {
 	address, err := netip.ParseAddrPort(m.GetAddress())
 	if err != nil || m.GetName() == "" || m.GetZone() == "" {
@@ -61,9 +62,9 @@
 	return cmp.Compare(a.Name, b.Name)
 }
 
-// digestOf hashes what decides who schedules what: names, incarnations and
-// leaving, but not the beats, which change all the time. The names of the
-// other zones are part of it so that every router hears of a new zone.
+// digestOf hashes the data that determines which router schedules which pool: names,
+// incarnations and leaving marks, but not the beats, which change constantly. The names of the
+// other zones are included so that every router learns of a new zone.
 func digestOf(members []Member, zones []string) uint64 {
 	hash := xxhash.New()
 	var number [9]byte
@@ -82,22 +83,22 @@
 	return hash.Sum64()
 }
 
-// Owner returns the member that schedules a zone's pool of a service: the one
-// with the highest hash of pool and name (rendezvous hashing), so that a
-// member that comes or goes moves only its own share of the pools. Leaving
-// members are passed over while there are others.
+// Owner returns the member that schedules a zone's pool of a service: the member with the
+// highest hash of pool and name (rendezvous hashing), so that a joining or leaving member moves
+// only its own share of the pools. Leaving members are chosen only if there are no others.
 func Owner(members []Member, zone, service string) (Member, bool) {
 	best, found, highest := Member{}, false, uint64(0)
 	for _, m := range members {
 		score := xxhash.Sum64String(zone + "\x00" + service + "\x00" + m.Name)
-		stays := best.Leaving && !m.Leaving
-		if !found || stays || (m.Leaving == best.Leaving && score > highest) {
+		preferred := best.Leaving && !m.Leaving
+		if !found || preferred || (m.Leaving == best.Leaving && score > highest) {
 			best, found, highest = m, true, score
 		}
 	}
 	return best, found
 }
 
+// sorted sorts the members by name in place and returns them.
 func sorted(members []Member) []Member {
 	slices.SortFunc(members, byName)
 	return members
--- a/lib/dialer/dialer.go
+++ b/lib/dialer/dialer.go
@@ -1,11 +1,12 @@
-// Package dialer makes the connections between shallotkeel's own processes:
-// unencrypted HTTP/2 on kept connections, authenticated by a shared secret,
-// with every byte counted.
+// Package dialer provides the connections between shallotkeel's own processes: unencrypted
+// HTTP/2 on persistent connections, authenticated by a shared secret, with all bytes counted.
 //
-// Invariants: a call without the secret reaches no handler; a call is begun once, and
-// whoever makes it decides whether it is made again; the secret is compared in constant
-// time; counters see the bytes on the wire, framing
-// included, so that control traffic is measured and not estimated.
+// Invariants:
+//   - a call without the secret reaches no handler;
+//   - a call is sent at most once; only the caller decides on retries;
+//   - the secret is compared in constant time;
+//   - counters count the bytes on the wire, including framing, so that control traffic is
+//     measured rather than estimated.
 package dialer
 
 import (
@@ -28,15 +29,15 @@
 	maxControlHeaders = 16 << 10
 )
 
-// Counter counts the bytes of a set of connections, both directions.
+// Counter counts the bytes of a set of connections in both directions.
 type Counter struct {
 	Sent     atomic.Uint64
 	Received atomic.Uint64
 }
 
-// Client returns an HTTP client for calls to other processes of the fleet.
-// A peer that stops answering is noticed by pings on the kept connection,
-// because a cut network sends no reset and the next call would hang.
+// Client returns an HTTP client for calls to other processes of the fleet. It detects an
+// unresponsive peer by pings on the persistent connection, because a network partition causes no
+// reset and the next call would hang.
 func Client(secret string, counter *Counter) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
@@ -48,7 +49,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &counted{Conn: conn, counter: counter}, nil
+			return &countingConn{Conn: conn, counter: counter}, nil
 		},
 		IdleConnTimeout: idleTimeout,
 		HTTP2: &http.HTTP2Config{
@@ -59,8 +60,8 @@
 	return &http.Client{Transport: &signer{secret: "Bearer " + secret, next: transport}}
 }
 
-// signer adds the shared secret to every call. It leaves out headers that
-// cost bytes and carry nothing between our own processes.
+// signer adds the shared secret to every call. It omits headers that cost bytes and have no
+// use between shallotkeel's own processes.
 type signer struct {
 	secret string
 	next   http.RoundTripper
@@ -71,14 +72,13 @@
 	signed.Header.Set("Authorization", s.secret)
 	signed.Header.Set("User-Agent", "")
 	signed.Header.Set("Accept-Encoding", "identity")
-	// Without a way to read the body anew the transport does not repeat what a peer that stops
-	// did not take. It would begin again while the first try may still read the body.
+	// Without GetBody the transport does not retry a call that a stopping peer did not process.
+	// It would start the retry while the first attempt may still be reading the body.
 	signed.GetBody = nil
 	return s.next.RoundTrip(signed)
 }
 
-// Server returns a server for control calls whose handler only sees callers
-// that know the secret.
+// Server returns a server for control calls. Only calls with the secret reach its handler.
 func Server(secret string, handler http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
@@ -92,7 +92,8 @@
 	}
 }
 
-// Guard lets only requests through that carry the secret as bearer token.
+// Guard passes on only requests that carry the secret as bearer token, and answers others with
+// status 401.
 func Guard(secret string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte("Bearer " + secret))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -105,7 +106,7 @@
 	})
 }
 
-// Listener counts the bytes of the connections that it accepts.
+// Listener returns a listener that counts the bytes of the connections it accepts.
 func Listener(inner net.Listener, counter *Counter) net.Listener {
 	return &listener{Listener: inner, counter: counter}
 }
@@ -120,21 +121,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &counted{Conn: conn, counter: l.counter}, nil
+	return &countingConn{Conn: conn, counter: l.counter}, nil
 }
 
-type counted struct {
+// countingConn is a connection that adds the bytes read and written to a counter.
+type countingConn struct {
 	net.Conn
 	counter *Counter
 }
 
-func (c *counted) Read(buffer []byte) (int, error) {
+func (c *countingConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	c.counter.Received.Add(uint64(n))
 	return n, err
 }
 
-func (c *counted) Write(buffer []byte) (int, error) {
+func (c *countingConn) Write(buffer []byte) (int, error) {
 	n, err := c.Conn.Write(buffer)
 	c.counter.Sent.Add(uint64(n))
 	return n, err
--- a/lib/dialer/dialer_test.go
+++ b/lib/dialer/dialer_test.go
@@ -56,12 +56,12 @@
 		response.Body.Close()
 	}
 	require.Positive(t, calling.Sent.Load())
-	// A byte is counted as sent once the write has returned, and the other end may
-	// have read it before that.
+	// A byte is counted as sent after the write has returned, and the other side may have
+	// read it before that.
 	agree := func() bool {
 		return serving.Received.Load() <= calling.Sent.Load() && calling.Received.Load() <= serving.Sent.Load()
 	}
 	require.Eventually(t, agree, 10*time.Second, time.Millisecond)
 	perCall := (calling.Sent.Load() + calling.Received.Load()) / calls
-	require.Less(t, perCall, uint64(200), "a kept connection compresses repeated headers")
+	require.Less(t, perCall, uint64(200), "a persistent connection compresses repeated headers")
 }
--- a/lib/dialer/once_test.go
+++ b/lib/dialer/once_test.go
@@ -13,32 +13,33 @@
 	"golang.org/x/net/http2"
 )
 
-// leaver is a server that has no time for any call: it says that it goes as soon as one begins.
-type leaver struct {
+// closingServer is a server that processes no call: it answers the start of the first call with
+// GOAWAY.
+type closingServer struct {
 	address string
 	calls   atomic.Int64
-	begun   func() // called before it says so
+	onCall  func() // called before GOAWAY is sent
 }
 
-func startLeaver(t *testing.T, begun func()) *leaver {
+func startClosingServer(t *testing.T, onCall func()) *closingServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	l := &leaver{address: "http://" + listener.Addr().String(), begun: begun}
+	l := &closingServer{address: "http://" + listener.Addr().String(), onCall: onCall}
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go l.converse(conn)
+			go l.serve(conn)
 		}
 	}()
 	return l
 }
 
-func (l *leaver) converse(conn net.Conn) {
+func (l *closingServer) serve(conn net.Conn) {
 	defer conn.Close()
 	preface := make([]byte, len(http2.ClientPreface))
 	if _, err := io.ReadFull(conn, preface); err != nil {
@@ -58,9 +59,9 @@
 		}
 		if _, begins := frame.(*http2.HeadersFrame); begins {
 			if l.calls.Add(1) > 1 {
-				return // this one was begun again
+				return // the call was retried
 			}
-			l.begun()
+			l.onCall()
 			if framer.WriteGoAway(0, http2.ErrCodeNo, nil) != nil {
 				return
 			}
@@ -68,8 +69,8 @@
 	}
 }
 
-// try makes a call that the leaver fails. It may not reach it at all on a busy machine.
-func (l *leaver) try(ctx context.Context, t *testing.T, body []byte) {
+// try makes a call that the server fails. On a busy machine the call may not reach it at all.
+func (l *closingServer) try(ctx context.Context, t *testing.T, body []byte) {
 	t.Helper()
 	call, err := http.NewRequestWithContext(ctx, http.MethodPost, l.address, bytes.NewReader(body))
 	require.NoError(t, err)
@@ -81,24 +82,25 @@
 	require.LessOrEqual(t, l.calls.Load(), int64(1))
 }
 
-// A message that the transport sends again by itself reaches its keeper late and unseen by the
-// agreement's own retries.
+// Guards against retries by the transport itself: such a message reaches its keeper late, and
+// replication, which has its own retries, does not know of it.
 func TestCallIsSentOnce(t *testing.T) {
-	l := startLeaver(t, func() {})
+	l := startClosingServer(t, func() {})
 	for l.calls.Load() == 0 {
 		l.try(t.Context(), t, []byte("message"))
 	}
 }
 
-// A caller that gives up as its keeper stops has the body of its call read by two goroutines.
-func TestCallThatEndsWithItsConnectionIsNotBegunAgain(t *testing.T) {
+// Guards against two goroutines reading the body of a call when the caller cancels it while its
+// keeper stops.
+func TestCallThatEndsWithItsConnectionIsNotRepeated(t *testing.T) {
 	const calls = 300
 	body := make([]byte, 1<<20)
-	for begun := int64(0); begun < calls; {
+	for started := int64(0); started < calls; {
 		ctx, cancel := context.WithCancel(t.Context())
-		l := startLeaver(t, cancel)
+		l := startClosingServer(t, cancel)
 		l.try(ctx, t, body)
 		cancel()
-		begun += l.calls.Load()
+		started += l.calls.Load()
 	}
 }
--- a/lib/framer/framer.go
+++ b/lib/framer/framer.go
@@ -1,11 +1,12 @@
-// Package framer knows how an answer of HTTP/1 tells its end, and passes on one that does not.
+// Package framer determines how an HTTP/1 answer is framed, and forwards answers without framing.
 //
-// An answer with a length or in chunks is whole or visibly cut. One with neither ends with its
-// connection, and nobody who reads it can tell a process that has said everything from one that
-// died while it spoke (RFC 9112, section 6.3). Passed on in chunks it would claim to be whole.
+// An answer with a length or in chunks is complete or detectably truncated. An answer with neither
+// ends with its connection, so that its reader cannot distinguish a complete answer from that of a
+// process that crashed while sending it (RFC 9112, section 6.3). Forwarded in chunks, a truncated
+// answer would appear complete.
 //
-// Invariants: an answer that is passed on without framing is never ended by an ordinary close
-// unless it was read to its end; whatever else closes the connection resets it.
+// Invariant: the connection of an answer forwarded without framing is closed normally only if the
+// answer was read to its end; in all other cases it is reset.
 package framer
 
 import (
@@ -18,22 +19,22 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Framing is how an answer tells its end.
+// Framing is the way in which the end of an answer is marked.
 type Framing uint8
 
-// The framings. The zero value is that of an answer of which nothing is known.
+// The framings. The zero value is used while there is no answer yet.
 const (
 	Unknown      Framing = iota
-	ByLength             // it says how long it is, or has no body at all
-	ByChunks             // its last chunk ends it
-	ByConnection         // it ends when its connection does
+	ByLength             // by its Content-Length, or by having no body at all
+	ByChunks             // by its last chunk
+	ByConnection         // by the end of its connection
 )
 
 func (f Framing) String() string {
 	return [...]string{"", "length", "chunks", "connection"}[f]
 }
 
-// Of returns the framing of the answer to a request with a method.
+// Of returns the framing of the answer to a request with the given method.
 func Of(method string, answer *http.Response) Framing {
 	switch {
 	case method == http.MethodHead, answer.StatusCode == http.StatusNoContent, answer.StatusCode == http.StatusNotModified:
@@ -46,38 +47,38 @@
 	return ByConnection
 }
 
-// ErrNoReset means that the client's connection cannot be reset, so that no answer can be
-// passed on without framing there.
+// ErrNoReset is returned if the client's connection cannot be reset, so that no answer can be
+// forwarded on it without framing.
 var ErrNoReset = merry.Sentinel("the client's connection cannot be reset; serve HTTP/1 over TCP, with WithConn")
 
 type connKey struct{}
 
-// WithConn puts a client's connection into the context of its requests. It is for
-// http.Server's ConnContext.
+// WithConn stores a client's connection in the context of its requests. It is meant for the
+// ConnContext field of http.Server.
 func WithConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// Conn returns the connection that WithConn has put there, or nil.
+// Conn returns the connection stored by WithConn, or nil.
 func Conn(ctx context.Context) net.Conn {
 	conn, _ := ctx.Value(connKey{}).(net.Conn)
 	return conn
 }
 
-// What becomes, at a close, of bytes that were not acknowledged.
+// Socket options for the treatment of unacknowledged bytes at a close.
 var (
-	discard = syscall.Linger{Onoff: 1} // they are thrown away and the connection is reset
-	deliver = syscall.Linger{}         // they are still sent, as by default
+	discard = syscall.Linger{Onoff: 1} // the bytes are discarded and the connection is reset
+	deliver = syscall.Linger{}         // the bytes are still sent, the default
 )
 
-// End is the end of an answer. That of an answer with framing is nil.
+// End controls how an answer without framing ends. It is nil for an answer with framing.
 type End struct {
 	socket syscall.RawConn
 }
 
-// Unframe makes the answer to a request, of which nothing has been written, one that ends with
-// its connection. From now on every close of the connection is a reset, the one at the
-// process's own death included. The error is ErrNoReset.
+// Unframe prepares the answer to a request, before anything of it is written, to end with its
+// connection. From now on every close of the connection is a reset, including the one at a crash
+// of this process. The error is ErrNoReset.
 func Unframe(w http.ResponseWriter, h *http.Request) (*End, error) {
 	conn, ok := Conn(h.Context()).(syscall.Conn)
 	if !ok || h.ProtoMajor != 1 {
@@ -95,17 +96,18 @@
 	return end, nil
 }
 
+// linger sets the SO_LINGER option of the client's socket.
 func (e *End) linger(l syscall.Linger) error {
-	var refused error
+	var failure error
 	err := e.socket.Control(func(descriptor uintptr) {
-		refused = syscall.SetsockoptLinger(int(descriptor), syscall.SOL_SOCKET, syscall.SO_LINGER, &l)
+		failure = syscall.SetsockoptLinger(int(descriptor), syscall.SOL_SOCKET, syscall.SO_LINGER, &l)
 	})
-	return errors.Join(err, refused)
+	return errors.Join(err, failure)
 }
 
-// Whole sends what is left of an answer that has been read to its end, and lets its connection
-// end as such. The error is of the connection, which is then reset.
-func (e *End) Whole(control *http.ResponseController) error {
+// Complete flushes an answer that has been read to its end, and lets its connection close
+// normally. After an error of the connection the close is still a reset.
+func (e *End) Complete(control *http.ResponseController) error {
 	if e == nil {
 		return nil
 	}
--- a/lib/framer/framer_test.go
+++ b/lib/framer/framer_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// wrapped is a connection that is known by its socket only.
+// wrapped is a connection that exposes its socket but not its type.
 type wrapped struct {
 	net.Conn
 	socket syscall.Conn
@@ -19,22 +19,22 @@
 
 func (w wrapped) SyscallConn() (syscall.RawConn, error) { return w.socket.SyscallConn() }
 
-// bare is a connection without a socket.
-type bare struct{ net.Conn }
+// socketless is a connection that does not expose a socket.
+type socketless struct{ net.Conn }
 
-// An answer that broke off without framing was closed as a whole one is, on connections that
-// another package had wrapped.
-func TestUnframedAnswerEndsWithAResetUnlessWhole(t *testing.T) {
+// Guards against a normal close after a truncated answer without framing, which would make it
+// appear complete, also on connections wrapped by another package.
+func TestUnframedAnswerEndsWithAResetUnlessComplete(t *testing.T) {
 	for name, test := range map[string]struct {
-		wrap  func(net.Conn) net.Conn
-		whole bool
-		fails bool
+		wrap     func(net.Conn) net.Conn
+		complete bool
+		fails    bool
 	}{
-		"whole":           {whole: true},
-		"broken":          {},
-		"whole, wrapped":  {wrap: func(conn net.Conn) net.Conn { return wrapped{conn, conn.(syscall.Conn)} }, whole: true},
-		"broken, wrapped": {wrap: func(conn net.Conn) net.Conn { return wrapped{conn, conn.(syscall.Conn)} }},
-		"no socket":       {wrap: func(conn net.Conn) net.Conn { return bare{conn} }, fails: true},
+		"whole":              {complete: true},
+		"broken":             {},
+		"complete, wrapped":  {wrap: func(conn net.Conn) net.Conn { return wrapped{conn, conn.(syscall.Conn)} }, complete: true},
+		"truncated, wrapped": {wrap: func(conn net.Conn) net.Conn { return wrapped{conn, conn.(syscall.Conn)} }},
+		"no socket":          {wrap: func(conn net.Conn) net.Conn { return socketless{conn} }, fails: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,11 +46,11 @@
 					return
 				}
 				io.WriteString(w, "a part") //nolint:errcheck // the reader may be gone
-				if !test.whole {
+				if !test.complete {
 					http.NewResponseController(w).Flush() //nolint:errcheck // likewise
 					panic(http.ErrAbortHandler)
 				}
-				if err := end.Whole(http.NewResponseController(w)); err != nil {
+				if err := end.Complete(http.NewResponseController(w)); err != nil {
 					t.Error(err)
 				}
 			}))
@@ -71,12 +71,12 @@
 			}
 			require.Contains(t, string(got), "\r\n\r\na part")
 			require.NotContains(t, string(got), "chunked")
-			require.Equal(t, test.whole, err == nil, "%v", err)
+			require.Equal(t, test.complete, err == nil, "%v", err)
 		})
 	}
 }
 
-// wrapping is a listener whose connections are wrapped.
+// wrapping is a listener that wraps the connections it accepts.
 type wrapping struct {
 	net.Listener
 	wrap func(net.Conn) net.Conn
--- a/lib/lister/bench_test.go
+++ b/lib/lister/bench_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// BenchmarkSince asks a list of 3,000 endpoints for the one that has changed, as each of
-// hundreds of followers does at each wake-up. Looking through the whole list it took 32.8
-// microseconds, with changes in order 0.11.
+// BenchmarkSince queries a list of 3,000 endpoints for the only one that has changed, as each
+// of hundreds of followers does at each wake-up. A scan of the whole list takes 32.8
+// microseconds, with the changes kept in order 0.11.
 func BenchmarkSince(b *testing.B) {
 	l := List{Interval: time.Second}
 	for i := range 3000 {
--- a/lib/lister/cold.go
+++ b/lib/lister/cold.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// chill notes until when an instance is cold, and tells whether that is news. It is never
-// cold for less long than was told before: a late heartbeat may be from before it became so.
-func (l *List) chill(e *entry, until time.Time) bool {
-	if until.Sub(e.ColdUntil) <= coldSlack {
+// extendCold extends an instance's cold phase to the given time, and reports whether that is a
+// change. The phase is never shortened: a delayed heartbeat may have been sent before the
+// instance became cold.
+func (l *List) extendCold(e *entry, until time.Time) bool {
+	if until.Sub(e.ColdUntil) <= minColdExtension {
 		return false
 	}
 	e.ColdUntil = until
-	l.noteCold(e)
+	l.indexCold(e)
 	return true
 }
 
-func (l *List) noteCold(e *entry) {
+// indexCold adds an entry that has a cold phase to the set that Cold reads.
+func (l *List) indexCold(e *entry) {
 	if e.ColdUntil.IsZero() {
 		return
 	}
@@ -23,25 +25,25 @@
 	l.cold[e] = true
 }
 
-// Chill takes the instances of a zone to be cold for as long as their services need to get
-// warm, 0 for not at all, and tells whether that is news. Instances that got nothing for a
-// while may have become cold without having said so yet.
-func (l *List) Chill(now time.Time, zone string, lengths func(service string) time.Duration) bool {
+// MarkZoneCold marks the instances of a zone as cold for the time their service needs to warm
+// up, as given by lengths (0: not marked), and reports whether that changed the list. Instances
+// that got no requests for a while may have become cold without having reported it yet.
+func (l *List) MarkZoneCold(now time.Time, zone string, lengths func(service string) time.Duration) bool {
 	changed := false
 	for _, e := range l.entries {
 		if e.Zone != zone || e.State == Gone {
 			continue
 		}
 		length := lengths(e.Service)
-		if length > 0 && l.chill(e, now.Add(length)) {
-			l.touch(e)
+		if length > 0 && l.extendCold(e, now.Add(length)) {
+			l.markChanged(e)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// Cold returns the instances that take work and are cold.
+// Cold returns the ready instances that are cold.
 func (l *List) Cold(now time.Time) []Listing {
 	var cold []Listing
 	for e := range l.cold {
@@ -55,7 +57,7 @@
 	return cold
 }
 
-// InZone tells whether an instance of a zone is listed.
+// InZone reports whether an instance of a zone is listed.
 func (l *List) InZone(zone string) bool {
 	for _, e := range l.entries {
 		if e.Zone == zone {
--- a/lib/lister/cold_test.go
+++ b/lib/lister/cold_test.go
@@ -7,31 +7,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a crowd of requests at an endpoint that has turned cold again: the news of it
-// must pass another keeper's word that the heartbeat came.
-func TestColdEndpointsAreTold(t *testing.T) {
+// Guards against overloading an endpoint that has become cold again: the change must be
+// applied even if a Refresh from another keeper has already advanced the sequence.
+func TestColdEndpointsAreReported(t *testing.T) {
 	until := start.Add
 	tests := map[string]struct {
-		beats []Listing // of one life, after a first one that was warm
-		heard uint64    // told by another keeper before them
-		cold  time.Time
-		news  bool // behind the first one
+		beats     []Listing // of one life, after a first heartbeat that was warm
+		refreshed uint64    // sequence refreshed by another keeper before them
+		cold      time.Time
+		changed   bool // after the first heartbeat
 	}{
-		"warm":                         {beats: []Listing{{Sequence: 2}}},
-		"cold again":                   {beats: []Listing{{Sequence: 2, ColdUntil: until(3 * time.Second)}}, cold: until(3 * time.Second), news: true},
-		"cold again, heard of already": {beats: []Listing{{Sequence: 2, ColdUntil: until(3 * time.Second)}}, heard: 2, cold: until(3 * time.Second), news: true},
-		"a late one from before": {
+		"warm":                          {beats: []Listing{{Sequence: 2}}},
+		"cold again":                    {beats: []Listing{{Sequence: 2, ColdUntil: until(3 * time.Second)}}, cold: until(3 * time.Second), changed: true},
+		"cold again, refreshed already": {beats: []Listing{{Sequence: 2, ColdUntil: until(3 * time.Second)}}, refreshed: 2, cold: until(3 * time.Second), changed: true},
+		"a delayed one from before": {
 			beats: []Listing{{Sequence: 3, ColdUntil: until(3 * time.Second)}, {Sequence: 4}},
-			cold:  until(3 * time.Second), news: true,
+			cold:  until(3 * time.Second), changed: true,
 		},
-		"an older one": {beats: []Listing{{Sequence: 3}, {Sequence: 2, ColdUntil: until(3 * time.Second)}}},
+		"an older heartbeat": {beats: []Listing{{Sequence: 3}, {Sequence: 2, ColdUntil: until(3 * time.Second)}}},
 		"a little later": {
-			beats: []Listing{{Sequence: 2, ColdUntil: until(time.Second)}, {Sequence: 3, ColdUntil: until(time.Second + coldSlack)}},
-			cold:  until(time.Second), news: true,
+			beats: []Listing{{Sequence: 2, ColdUntil: until(time.Second)}, {Sequence: 3, ColdUntil: until(time.Second + minColdExtension)}},
+			cold:  until(time.Second), changed: true,
 		},
 		"for longer": {
 			beats: []Listing{{Sequence: 2, ColdUntil: until(time.Second)}, {Sequence: 3, ColdUntil: until(4 * time.Second)}},
-			cold:  until(4 * time.Second), news: true,
+			cold:  until(4 * time.Second), changed: true,
 		},
 	}
 	for name, test := range tests {
@@ -39,18 +39,18 @@
 			l := &List{Interval: time.Second}
 			l.Beat(start, beat("a", 1, Ready))
 			before := l.Revision()
-			if test.heard > 0 {
-				l.Heard(start, "a", time.Time{}, test.heard)
+			if test.refreshed > 0 {
+				l.Refresh(start, "a", time.Time{}, test.refreshed)
 			}
 			for _, b := range test.beats {
-				told := beat("a", b.Sequence, Ready)
-				told.ColdUntil = b.ColdUntil
-				l.Beat(start, told)
+				received := beat("a", b.Sequence, Ready)
+				received.ColdUntil = b.ColdUntil
+				l.Beat(start, received)
 			}
 			listing, found := l.Find("a")
 			require.True(t, found)
 			require.Equal(t, test.cold, listing.ColdUntil)
-			require.Equal(t, test.news, l.Revision() > before)
+			require.Equal(t, test.changed, l.Revision() > before)
 			cold := l.Cold(start)
 			if test.cold.IsZero() {
 				require.Empty(t, cold)
@@ -62,9 +62,9 @@
 	}
 }
 
-// Guards against a zone's endpoints being taken for warm that have got nothing for a while and
-// have not said yet that they are cold.
-func TestZoneIsTakenToBeCold(t *testing.T) {
+// Guards against treating endpoints of a zone as warm that got no requests for a while and
+// have not yet reported that they are cold.
+func TestZoneIsMarkedCold(t *testing.T) {
 	l := &List{Interval: time.Second}
 	for id, zone := range map[string]string{"a": "hall", "b": "hall", "c": "barn"} {
 		listing := beat(id, 1, Ready)
@@ -74,13 +74,13 @@
 	}
 	l.Leave(start, "b", time.Time{})
 	length := func(string) time.Duration { return 3 * time.Second }
-	require.False(t, l.Chill(start, "hall", func(string) time.Duration { return 0 }))
-	require.True(t, l.Chill(start, "hall", length))
+	require.False(t, l.MarkZoneCold(start, "hall", func(string) time.Duration { return 0 }))
+	require.True(t, l.MarkZoneCold(start, "hall", length))
 	cold := l.Cold(start.Add(time.Second))
 	require.Len(t, cold, 1)
 	require.Equal(t, "a", cold[0].ID)
 	require.Equal(t, start.Add(3*time.Second), cold[0].ColdUntil)
-	require.False(t, l.Chill(start, "hall", length), "it is known")
+	require.False(t, l.MarkZoneCold(start, "hall", length), "the cold phase is known already")
 	require.True(t, l.InZone("barn"))
 	require.False(t, l.InZone("loft"))
 }
--- a/lib/lister/life_test.go
+++ b/lib/lister/life_test.go
@@ -9,52 +9,52 @@
 	"pgregory.net/rapid"
 )
 
-// life is when the nth life of an instance began.
-func life(number int) time.Time {
+// lifeStart returns the start time of an instance's nth life.
+func lifeStart(number int) time.Time {
 	return time.UnixMilli(1_700_000_000_000 + int64(number)*10_000)
 }
 
 func lifeBeat(id string, number int, sequence uint64, state State) Listing {
 	b := beat(id, sequence, state)
-	b.Started = life(number)
+	b.Started = lifeStart(number)
 	return b
 }
 
-// Symptom: an endpoint that serves gets no work, or an ended one gets it. Sequence:
-// an instance crashes and starts again under its id, with sequences from 1; what it
-// said before its crash arrives late, from other keepers and through partitions.
-// Cause: heartbeats were ordered by their sequence alone.
-func TestLaterLifeIsBelieved(t *testing.T) {
+// Guards against ordering heartbeats by their sequence number alone: an instance crashes and
+// restarts under its id with sequences from 1 while heartbeats from before the crash arrive
+// late, from other keepers or through partitions. A serving endpoint would get no requests,
+// or an ended one would get them.
+func TestLaterLifeReplacesEarlier(t *testing.T) {
 	tests := map[string]struct {
 		beats    []Listing
 		state    State
 		sequence uint64
 	}{
-		"it comes back": {
+		"it restarts": {
 			[]Listing{lifeBeat("a", 1, 40, Ready), lifeBeat("a", 2, 1, Ready)}, Ready, 1,
 		},
-		"it comes back behind leaving": {
+		"it restarts after leaving": {
 			[]Listing{lifeBeat("a", 1, 40, Leaving), lifeBeat("a", 2, 1, Ready)}, Ready, 1,
 		},
-		"it comes back behind its end": {
+		"it restarts after its end": {
 			[]Listing{lifeBeat("a", 1, 40, Gone), lifeBeat("a", 2, 1, Ready)}, Ready, 1,
 		},
-		"a heartbeat from before comes late": {
+		"a heartbeat from before is delayed": {
 			[]Listing{lifeBeat("a", 1, 40, Ready), lifeBeat("a", 2, 1, Ready), lifeBeat("a", 1, 41, Ready)}, Ready, 1,
 		},
-		"the former life's leaving comes late": {
+		"the former life's leaving is delayed": {
 			[]Listing{lifeBeat("a", 2, 1, Ready), lifeBeat("a", 1, 41, Leaving)}, Ready, 1,
 		},
-		"the former life's end comes late": {
+		"the former life's end is delayed": {
 			[]Listing{lifeBeat("a", 2, 1, Ready), lifeBeat("a", 1, 41, Gone)}, Ready, 1,
 		},
 		"the new life leaves": {
 			[]Listing{lifeBeat("a", 1, 40, Ready), lifeBeat("a", 2, 3, Leaving), lifeBeat("a", 2, 2, Ready)}, Leaving, 3,
 		},
-		"a heartbeat without a start comes late": {
+		"a heartbeat without a start is delayed": {
 			[]Listing{lifeBeat("a", 2, 3, Ready), beat("a", 41, Leaving)}, Ready, 3,
 		},
-		"it tells its start from now on": {
+		"it reports its start from now on": {
 			[]Listing{beat("a", 41, Leaving), lifeBeat("a", 1, 1, Ready)}, Ready, 1,
 		},
 	}
@@ -76,10 +76,10 @@
 		ended time.Time
 		state State
 	}{
-		"of the life that is listed":  {life(2), Gone},
-		"of the one before":           {life(1), Ready},
-		"of one that is not told":     {time.Time{}, Gone},
-		"of one that is not known of": {life(3), Gone},
+		"of the life that is listed": {lifeStart(2), Gone},
+		"of the previous life":       {lifeStart(1), Ready},
+		"of an unspecified life":     {time.Time{}, Gone},
+		"of an unknown life":         {lifeStart(3), Gone},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -87,54 +87,54 @@
 			l.Beat(start, lifeBeat("a", 2, 1, Ready))
 			require.Equal(t, test.state == Gone, l.Leave(start, "a", test.ended))
 			l.Beat(start, lifeBeat("a", 2, 2, Ready))
-			require.Equal(t, test.state, l.stateOf("a"), "its heartbeats change nothing")
+			require.Equal(t, test.state, l.stateOf("a"), "further heartbeats of this life change nothing")
 			l.Beat(start, lifeBeat("a", 4, 1, Ready))
-			require.Equal(t, Ready, l.stateOf("a"), "but its next life does")
+			require.Equal(t, Ready, l.stateOf("a"), "the next life is listed")
 		})
 	}
 }
 
-// Symptom: an instance that has left for good gets work. Sequence: it says so to a
-// keeper that does not know it yet, without telling its start, and its last heartbeat
-// arrives behind that; or other keepers hear of its end from that one.
+// Guards against sending requests to an instance that has left permanently: it announces its
+// end, without its start, to a keeper that does not know it yet, and its last heartbeat arrives
+// after that; or other keepers learn of its end from that keeper.
 func TestEndOfAnInstanceThatIsNotKnown(t *testing.T) {
 	l := &List{Interval: interval}
 	l.Leave(start, "a", time.Time{})
-	told := l.Since(0)
+	listings := l.Since(0)
 	l.Beat(start.Add(interval), lifeBeat("a", 1, 40, Ready))
 	require.Equal(t, Gone, l.stateOf("a"))
 	l.Beat(start.Add(interval), lifeBeat("a", 2, 1, Ready))
-	require.Equal(t, Ready, l.stateOf("a"), "its next life is another matter")
+	require.Equal(t, Ready, l.stateOf("a"), "the end does not apply to the next life")
 
 	other := &List{Interval: interval}
 	other.Beat(start, lifeBeat("a", 1, 40, Ready))
-	require.Len(t, told, 1)
-	require.True(t, other.Beat(start, told[0]))
+	require.Len(t, listings, 1)
+	require.True(t, other.Beat(start, listings[0]))
 	require.Equal(t, Gone, other.stateOf("a"))
 }
 
-// Symptom: routers keep the pauses and counts of a life that is over. Cause: a
-// restart changed nothing but the sequence, and so was no news.
-func TestRestartIsNews(t *testing.T) {
+// Guards against routers that keep the backoff and counters of a life that has ended, because
+// a restart that changes only the sequence number is not reported as a change.
+func TestRestartIsAChange(t *testing.T) {
 	l := &List{Interval: interval}
 	l.Beat(start, lifeBeat("a", 1, 40, Ready))
 	before := l.Revision()
 	require.True(t, l.Beat(start, lifeBeat("a", 2, 1, Ready)))
 	require.Equal(t, []Listing{lifeBeat("a", 2, 1, Ready)}, l.Since(before))
-	require.False(t, l.Heard(start, "a", life(1), 50), "of the former life")
-	l.Pass(start.Add((SilentBeats + 1) * interval))
-	require.True(t, l.Heard(start.Add(6*interval), "a", life(2), 2))
+	require.False(t, l.Refresh(start, "a", lifeStart(1), 50), "the refresh is of the former life")
+	l.Expire(start.Add((SilentBeats + 1) * interval))
+	require.True(t, l.Refresh(start.Add(6*interval), "a", lifeStart(2), 2))
 }
 
-// Symptom: requests go to an instance that has ended, at an address that another
-// one has. Cause: which of two instances had an address last was guessed from their
-// sequences, though both tell when they started.
+// Guards against sending requests to an ended instance whose address another instance holds:
+// the later holder of an address must be determined by the start times, where both are
+// reported, and not guessed from the sequence numbers.
 func TestAddressBelongsToTheLatestStart(t *testing.T) {
 	tests := map[string][]Listing{
-		"the successor comes later":           {lifeBeat("old", 1, 40, Ready), lifeBeat("new", 2, 30, Ready)},
-		"the old one's last word comes later": {lifeBeat("new", 2, 1, Ready), lifeBeat("old", 1, 41, Ready)},
-		"and is heard again":                  {lifeBeat("new", 2, 1, Ready), lifeBeat("old", 1, 41, Ready), lifeBeat("old", 1, 42, Ready)},
-		"one without a start claims it":       {lifeBeat("new", 2, 1, Ready), beat("old", 1, Ready), beat("old", 2, Ready)},
+		"the successor arrives later":                {lifeBeat("old", 1, 40, Ready), lifeBeat("new", 2, 30, Ready)},
+		"the old one's last heartbeat arrives later": {lifeBeat("new", 2, 1, Ready), lifeBeat("old", 1, 41, Ready)},
+		"and another one after it":                   {lifeBeat("new", 2, 1, Ready), lifeBeat("old", 1, 41, Ready), lifeBeat("old", 1, 42, Ready)},
+		"an instance without a start claims it":      {lifeBeat("new", 2, 1, Ready), beat("old", 1, Ready), beat("old", 2, Ready)},
 	}
 	for name, beats := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -148,36 +148,35 @@
 	}
 }
 
-// A heartbeat of a life whose successor at the address has ended as well brings
-// nobody back, also where the successor's end was heard of first.
+// Guards against a delayed heartbeat bringing back a life whose successor at the address has
+// ended as well, including the case that the successor's end arrives before its heartbeat.
 func TestAddressIsRememberedBehindItsHolder(t *testing.T) {
 	tests := map[string]func(l *List){
-		"its end comes last": func(l *List) {
+		"its end arrives last": func(l *List) {
 			l.Beat(start, lifeBeat("new", 2, 1, Ready))
-			l.Leave(start, "new", life(2))
+			l.Leave(start, "new", lifeStart(2))
 		},
-		"its end comes first": func(l *List) {
-			l.Leave(start, "new", life(2))
+		"its end arrives first": func(l *List) {
+			l.Leave(start, "new", lifeStart(2))
 			l.Beat(start, lifeBeat("new", 2, 1, Ready))
 		},
 	}
-	for name, tell := range tests {
+	for name, apply := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := &List{Interval: interval}
-			tell(l)
+			apply(l)
 			l.Beat(start, lifeBeat("old", 1, 41, Ready))
 			require.Equal(t, Gone, l.stateOf("old"))
-			l.Pass(start.Add((lostBeats + 1) * interval))
+			l.Expire(start.Add((expiryBeats + 1) * interval))
 			require.Empty(t, l.entries)
-			l.Pass(start.Add((lostBeats + 2) * interval))
-			require.Empty(t, l.holders, "in the end it is forgotten")
+			l.Expire(start.Add((expiryBeats + 2) * interval))
+			require.Empty(t, l.holders, "holders expire as well")
 		})
 	}
 }
 
-// The symptom would be keepers that disagree for good about an instance. The events
-// are the same heartbeats and ends of several lives, at shared addresses, in any two
-// orders.
+// Guards against keepers that disagree permanently about an instance: two lists receive the
+// same heartbeats and ends of several lives, at shared addresses, in different orders.
 func TestListsAgreeOnLivesInAnyOrder(t *testing.T) {
 	type event struct {
 		beat  Listing
@@ -190,12 +189,12 @@
 			number := rapid.IntRange(1, 3).Draw(t, "life")
 			b := lifeBeat(ids[id], number*len(ids)+id, rapid.Uint64Range(1, 4).Draw(t, "sequence"),
 				rapid.SampledFrom([]State{Ready, Leaving, Gone}).Draw(t, "state"))
-			// A life keeps its address; others of its id and of other ids may have it.
+			// A life keeps its address; other lives, of the same id or of another, may share it.
 			b.Address = at(byte((id + number) % 2))
 			return event{beat: b, leave: rapid.Bool().Draw(t, "leave")}
 		}), 1, 12).Draw(t, "events")
 		one, other := &List{Interval: interval}, &List{Interval: interval}
-		tell := func(l *List, e event) {
+		apply := func(l *List, e event) {
 			if e.leave {
 				l.Leave(start, e.beat.ID, e.beat.Started)
 				return
@@ -203,10 +202,10 @@
 			l.Beat(start, e.beat)
 		}
 		for _, e := range events {
-			tell(one, e)
+			apply(one, e)
 		}
 		for _, i := range rapid.Permutation(indexes(len(events))).Draw(t, "order") {
-			tell(other, events[i])
+			apply(other, events[i])
 		}
 		listed := make(map[string]string)
 		for _, id := range ids {
--- a/lib/lister/lister.go
+++ b/lib/lister/lister.go
@@ -1,24 +1,24 @@
-// Package lister keeps the list of endpoints from their heartbeats.
+// Package lister maintains the registry of endpoints from their heartbeats.
 //
-// A List is a pure state machine: the host passes in what was heard and when.
-// Keepers fill one from heartbeats and from one another, routers from keepers.
+// A List is a pure state machine: the caller passes in the received heartbeats and the
+// time. Keepers fill a list from heartbeats and from their peers, routers from keepers.
 //
-// An instance may start again under its id. Each start begins a life, which has
-// sequences and states of its own and is told from the others by when it began.
+// An instance may restart under the same id. Each start begins a new life, which has its
+// own sequence numbers and states and is identified by its start time.
 //
 // Invariants:
-//   - of one instance's lives only the latest is listed, in whatever order the
-//     heartbeats of several arrive;
-//   - of one life's heartbeats only a higher sequence counts, so that a late one
-//     changes nothing;
-//   - a life's state only rises: one that leaves never becomes ready again, and one
-//     that is gone stays gone, whatever arrives later;
-//   - at most one listed instance holds an address, of those whose start is known
-//     the one that started last;
-//   - lists that have heard the same, in any order, agree on every state.
+//   - only the latest life of an instance is listed, regardless of the order in which
+//     heartbeats of several lives arrive;
+//   - within a life only a heartbeat with a higher sequence number takes effect, so that
+//     a delayed heartbeat changes nothing;
+//   - the state of a life only rises: a leaving life never becomes ready again, and a gone
+//     life stays gone, whatever arrives later;
+//   - at most one listed instance holds an address; among the lives whose start is known
+//     it is the one that started last;
+//   - lists that received the same heartbeats, in any order, agree on every state.
 //
-// Memory: Forget drops what has been gone or silent for long, and MaxListings
-// bounds the rest.
+// Memory: Expire and RemoveGone delete instances that have been gone or silent for long,
+// and MaxListings bounds the rest.
 package lister
 
 import (
@@ -28,113 +28,114 @@
 	"time"
 )
 
-// MaxListings bounds the instances of one list. At 200 bytes each that is 6 MB;
-// the largest fleet planned for has 12,000 endpoints.
+// MaxListings bounds the number of instances in a list. At 200 bytes each, a full list
+// takes 6 MB; the largest planned fleet has 12,000 endpoints.
 const MaxListings = 30000
 
-// State is how far an instance is in its life. It only rises.
+// State is the phase of an instance's life. It only rises.
 type State uint8
 
 // The states of an instance.
 const (
-	// Ready takes work.
+	// Ready instances accept new requests.
 	Ready State = iota + 1
-	// Leaving gets no new work and finishes what it has.
+	// Leaving instances get no new requests and finish those in flight.
 	Leaving
-	// Gone has ended, or another instance has its address.
+	// Gone instances have ended, or another instance holds their address.
 	Gone
 )
 
-// Listing is one life of an instance of an endpoint.
+// Listing describes one life of an endpoint instance.
 type Listing struct {
 	ID      string
 	Service string
 	Zone    string
 	Address netip.AddrPort
 	Slots   int
-	// Version is that of the instance's software, empty if it is not known.
+	// Version is the version of the instance's software, empty if unknown.
 	Version string
-	// Started is when this life began, by the instance's own clock. It is zero for
-	// an instance that does not tell: such a one has one life only.
+	// Started is the start time of this life by the instance's own clock. It is zero for
+	// an instance that does not report it; such an instance has a single life.
 	Started  time.Time
 	Sequence uint64
 	State    State
-	// Silent tells that no heartbeat has come for SilentBeats intervals.
+	// Silent is set when no heartbeat has arrived for SilentBeats intervals.
 	Silent bool
-	// WasSilent tells that it has been so in this life, as this list knows.
+	// WasSilent is set when this list has seen the instance silent during this life.
 	WasSilent bool
-	// ColdUntil is until when it bears few requests, zero if it has been warm all along. Of
-	// what is told of one life the latest counts.
+	// ColdUntil is the time until which the instance can take only few requests, zero if it
+	// has always been warm. The latest time reported for a life applies.
 	ColdUntil time.Time
 }
 
-// Cold tells whether it bears few requests now.
+// Cold reports whether the instance can take only few requests at the given time.
 func (l *Listing) Cold(now time.Time) bool {
 	return now.Before(l.ColdUntil)
 }
 
-// Well tells whether nothing speaks or ever spoke against giving it work.
-func (l *Listing) Well() bool {
+// Healthy reports whether the instance is ready and has never been silent in this life.
+func (l *Listing) Healthy() bool {
 	return l.State == Ready && !l.Silent && !l.WasSilent
 }
 
-// SilentBeats is how many missed heartbeats make an instance silent. Heartbeats
-// may come seconds late, so that one or two missed ones say nothing.
+// SilentBeats is the number of missed heartbeats after which an instance is silent.
+// Heartbeats may be delayed by seconds, so one or two missed ones are not significant.
 const SilentBeats = 4
 
-// lostBeats is how many missed heartbeats end an instance. One that still
-// serves behind a partition announces itself again.
-const lostBeats = 50
+// expiryBeats is the number of missed heartbeats after which an instance is removed. An
+// instance that still serves behind a partition announces itself again.
+const expiryBeats = 50
 
-// freshSequence is the highest sequence with which an instance that does not tell
-// its start, and that nobody has heard of, takes the address of another at once. A
-// higher one may be a late heartbeat of an instance that has crashed since.
-const freshSequence = 2
+// maxFreshSequence is the highest sequence number with which an unknown instance that does
+// not report its start takes over another instance's address immediately. A higher number
+// may belong to a delayed heartbeat of an instance that has crashed since.
+const maxFreshSequence = 2
 
-// coldSlack is how much later the end of being cold has to be told to be news. Heartbeats
-// tell what is left, and take different times to arrive.
-const coldSlack = 400 * time.Millisecond
+// minColdExtension is the minimum by which a reported end of the cold phase must be later
+// than the known one to count as a change. Heartbeats report the remaining time and have
+// varying transit times.
+const minColdExtension = 400 * time.Millisecond
 
-// List is a list of endpoints. Its zero value is empty and usable; Interval has
-// to be set where silence matters. It is not safe for concurrent use.
+// List is a list of endpoint instances. Its zero value is empty and usable; Interval must
+// be set where silence is to be detected. It is not safe for concurrent use.
 type List struct {
-	// Interval is the pause between an instance's heartbeats.
+	// Interval is the time between two heartbeats of an instance.
 	Interval time.Duration
 
-	entries map[string]*entry
-	holders map[netip.AddrPort]holder
-	last    uint64
-	// changes holds the entries that have a revision, the oldest change first: who asks
-	// for what is new pays for that and not for the length of the list.
+	entries  map[string]*entry
+	holders  map[netip.AddrPort]addressHolder
+	revision uint64
+	// changes holds the entries that have a revision, oldest change first, so that the cost
+	// of reading the changes depends on their number and not on the length of the list.
 	changes list.List
-	cold    map[*entry]bool // those that were cold when they were looked at last
+	cold    map[*entry]bool // entries that may be cold; Cold removes those that are warm again
 }
 
-// holder is the life that started last of those that have used an address. It is
-// remembered for as long as its heartbeats may still arrive late, also when it has
-// ended: a late heartbeat of a life before it must not bring that one back.
-type holder struct {
-	id      string
-	started time.Time
-	heard   time.Time
+// addressHolder is the latest-started life that has used an address. It is kept, even
+// after the life has ended, for as long as delayed heartbeats may arrive: a delayed heartbeat
+// of an earlier life must not bring that life back.
+type addressHolder struct {
+	id           string
+	started      time.Time
+	lastReceived time.Time
 }
 
 type entry struct {
 	Listing
-	heard    time.Time
-	revision uint64 // of the list, when this entry changed last
-	change   *list.Element
-	pending  bool // it may be a late heartbeat of an instance that is gone
-	disagree bool // its heartbeats named several versions of its software
+	lastReceived    time.Time
+	revision        uint64 // revision of the list at this entry's last change
+	change          *list.Element
+	pending         bool // not listed: its only heartbeat may be a delayed one of an instance that is gone
+	versionConflict bool // its heartbeats reported different software versions
 }
 
-// Revision is the number of the list's latest change.
+// Revision returns the number of the list's latest change.
 func (l *List) Revision() uint64 {
-	return l.last
+	return l.revision
 }
 
-// Beat takes a heartbeat and tells whether it changed anything but the
-// instance's sequence.
+// Beat applies a heartbeat and reports whether it changed anything other than the
+// instance's sequence number.
 func (l *List) Beat(now time.Time, beat Listing) bool {
 	known, found := l.entries[beat.ID]
 	if !found {
@@ -142,13 +143,13 @@
 	}
 	switch beat.Started.Compare(known.Started) {
 	case -1:
-		if beat.unnamed() {
+		if beat.isBareEnd() {
 			return l.Leave(now, beat.ID, time.Time{})
 		}
-		return l.late(now, beat)
+		return l.applyStale(now, beat)
 	case 1:
-		if known.unnamed() && beat.Sequence > freshSequence && now.Sub(known.heard) < 2*l.Interval {
-			beat.State = Gone // the life whose end was heard of before any of its heartbeats
+		if known.isBareEnd() && beat.Sequence > maxFreshSequence && now.Sub(known.lastReceived) < 2*l.Interval {
+			beat.State = Gone // the end of this life arrived before any of its heartbeats
 		}
 		return l.restart(now, known, beat)
 	default:
@@ -156,43 +157,43 @@
 	}
 }
 
-// unnamed tells whether this is the end of a life that nothing else was known of,
-// as another list tells it.
-func (l *Listing) unnamed() bool {
+// isBareEnd reports whether this listing, received from another list, marks the end of a
+// life of which nothing but the id is known.
+func (l *Listing) isBareEnd() bool {
 	return l.State == Gone && l.Started.IsZero() && !l.Address.IsValid()
 }
 
-// late takes a heartbeat of an earlier life than the known one. All that it still
-// tells is who had the address.
-func (l *List) late(now time.Time, beat Listing) bool {
+// applyStale applies a heartbeat of a life earlier than the known one. It only contributes
+// that this life used the address.
+func (l *List) applyStale(now time.Time, beat Listing) bool {
 	if beat.Started.IsZero() {
 		return false
 	}
-	before := l.last
-	l.claim(now, beat)
-	return l.last != before
+	before := l.revision
+	l.claimAddress(now, beat)
+	return l.revision != before
 }
 
-// renew takes a further heartbeat of a known life.
+// renew applies a further heartbeat of the known life.
 func (l *List) renew(now time.Time, known *entry, beat Listing) bool {
-	// Another keeper's word that a heartbeat came may be here before what it told.
-	chilled := beat.Sequence >= known.Sequence && l.chill(known, beat.ColdUntil)
+	// Refresh may have advanced the sequence before the heartbeat's contents arrive.
+	chilled := beat.Sequence >= known.Sequence && l.extendCold(known, beat.ColdUntil)
 	if beat.Sequence <= known.Sequence && beat.State <= known.State {
 		if chilled {
-			l.touch(known)
+			l.markChanged(known)
 		}
 		return chilled
 	}
-	known.heard = now
+	known.lastReceived = now
 	changed := known.Silent || known.pending || chilled
 	if !known.Address.IsValid() {
-		// Its end was heard of before its first heartbeat.
+		// The end of this life arrived before its first heartbeat.
 		known.Address = beat.Address
-		l.claim(now, known.Listing)
+		l.claimAddress(now, known.Listing)
 	}
 	if known.pending {
 		known.pending = false
-		l.hold(now, known)
+		l.assignAddress(now, known)
 	}
 	known.Sequence = max(known.Sequence, beat.Sequence)
 	known.Silent = false
@@ -201,28 +202,28 @@
 		changed = true
 	}
 	if known.State == Gone {
-		l.release(known)
+		l.releaseAddress(known)
 	} else if known.update(beat) {
 		changed = true
 	}
 	if changed {
-		l.touch(known)
+		l.markChanged(known)
 	}
 	return changed
 }
 
-// restart replaces what is known of an instance by its next life. What the one
-// before had said, that it leaves or is gone included, says nothing of this one.
+// restart replaces an instance's entry with its next life. The state of the previous life,
+// including leaving or gone, does not apply to the new one.
 func (l *List) restart(now time.Time, known *entry, beat Listing) bool {
-	l.release(known)
-	known.Listing, known.heard, known.pending, known.disagree = beat, now, false, false
-	l.noteCold(known)
-	l.hold(now, known)
-	l.touch(known)
+	l.releaseAddress(known)
+	known.Listing, known.lastReceived, known.pending, known.versionConflict = beat, now, false, false
+	l.indexCold(known)
+	l.assignAddress(now, known)
+	l.markChanged(known)
 	return true
 }
 
-// update takes what an instance may say anew, and tells whether it differs.
+// update applies the fields that may change during a life and reports whether any differed.
 func (e *entry) update(beat Listing) bool {
 	changed := e.updateVersion(beat.Version)
 	if beat.Service == "" || beat.Service == e.Service && beat.Slots == e.Slots {
@@ -232,99 +233,102 @@
 	return true
 }
 
-// updateVersion takes the version of an instance's software, which some of those who tell of it
-// leave out. One life has one: of an instance that named two nobody knows which runs.
+// updateVersion applies the reported version of the instance's software and reports whether
+// it changed the entry. Some processes omit the version when they pass a listing on. A life
+// has a single version; after two different ones were reported it is unknown which one runs.
 func (e *entry) updateVersion(version string) bool {
 	switch {
-	case version == "" || version == e.Version || e.disagree:
+	case version == "" || version == e.Version || e.versionConflict:
 		return false
 	case e.Version == "":
 		e.Version = version
 	default:
-		e.Version, e.disagree = "", true
+		e.Version, e.versionConflict = "", true
 	}
 	return true
 }
 
-// Heard takes the news that another list has had a heartbeat of a life. The first
-// heartbeat of a life comes as a listing.
-func (l *List) Heard(now time.Time, id string, started time.Time, sequence uint64) bool {
+// Refresh records that another list has received a heartbeat of a life, and reports whether
+// this ended the instance's silence. The first heartbeat of a life arrives as a listing.
+func (l *List) Refresh(now time.Time, id string, started time.Time, sequence uint64) bool {
 	known, found := l.entries[id]
 	if !found || !started.Equal(known.Started) || sequence <= known.Sequence {
 		return false
 	}
-	known.Sequence, known.heard = sequence, now
+	known.Sequence, known.lastReceived = sequence, now
 	if !known.Silent {
 		return false
 	}
 	known.Silent = false
-	l.touch(known)
+	l.markChanged(known)
 	return true
 }
 
-// Leave notes that an instance says it leaves for good. It still finishes what
-// it has, so that it only gets no new work. Started is zero if the instance did not
-// tell which life ends; it is then the one that is known.
+// Leave marks an instance as gone because it announced its permanent departure, and
+// reports whether this changed the list. The instance still finishes its requests in flight
+// and only gets no new ones. Started is zero if the instance did not report which life ends;
+// the known life is meant then.
 func (l *List) Leave(now time.Time, id string, started time.Time) bool {
 	known, found := l.entries[id]
 	switch {
 	case !found:
-		// Remembered, so that a late heartbeat does not list it again.
+		// The entry keeps a delayed heartbeat from listing the instance again.
 		return l.add(now, Listing{ID: id, Started: started, State: Gone})
 	case started.After(known.Started):
 		return l.restart(now, known, Listing{ID: id, Started: started, State: Gone})
 	case !started.IsZero() && started.Before(known.Started) || known.State == Gone:
 		return false
 	}
-	known.State, known.heard = Gone, now
-	l.release(known)
-	l.touch(known)
+	known.State, known.lastReceived = Gone, now
+	l.releaseAddress(known)
+	l.markChanged(known)
 	return true
 }
 
 func (l *List) add(now time.Time, beat Listing) bool {
 	if l.entries == nil {
 		l.entries = make(map[string]*entry)
-		l.holders = make(map[netip.AddrPort]holder)
+		l.holders = make(map[netip.AddrPort]addressHolder)
 	}
 	if len(l.entries) >= MaxListings {
 		return false
 	}
-	added := &entry{Listing: beat, heard: now}
+	added := &entry{Listing: beat, lastReceived: now}
 	l.entries[beat.ID] = added
-	l.noteCold(added)
-	if l.disputed(now, beat) {
-		// The one that is heard again has the address.
+	l.indexCold(added)
+	if l.addressDisputed(now, beat) {
+		// The address goes to the instance whose next heartbeat arrives first.
 		added.pending = true
 		return false
 	}
-	l.hold(now, added)
-	l.touch(added)
+	l.assignAddress(now, added)
+	l.markChanged(added)
 	return true
 }
 
-// disputed tells whether another instance has used an address of late, and nothing
-// tells which of the two was there first.
-func (l *List) disputed(now time.Time, beat Listing) bool {
+// addressDisputed reports whether another instance has recently used the heartbeat's address
+// and neither start time is known, so that the order of the two cannot be determined.
+func (l *List) addressDisputed(now time.Time, beat Listing) bool {
 	before, taken := l.holders[beat.Address]
-	if !taken || !before.started.IsZero() || !beat.Started.IsZero() || beat.Sequence <= freshSequence {
+	if !taken || !before.started.IsZero() || !beat.Started.IsZero() || beat.Sequence <= maxFreshSequence {
 		return false
 	}
 	e, listed := l.entries[before.id]
-	return listed && now.Sub(e.heard) < 2*l.Interval
+	return listed && now.Sub(e.lastReceived) < 2*l.Interval
 }
 
-// hold gives an address to a life, unless one that started later has had it.
-func (l *List) hold(now time.Time, e *entry) {
-	if !l.claim(now, e.Listing) {
+// assignAddress assigns an entry its address; if a later-started life has used the address,
+// the entry is gone.
+func (l *List) assignAddress(now time.Time, e *entry) {
+	if !l.claimAddress(now, e.Listing) {
 		e.State = Gone
 	}
 }
 
-// claim notes that a life uses an address, and tells whether no later one has.
-// Whoever had it before is gone: an address is given out again only after its
-// holder's end.
-func (l *List) claim(now time.Time, beat Listing) bool {
+// claimAddress records that a life uses an address, and returns false if a later-started
+// life has used it. The previous holder is marked gone: the platform reassigns an address
+// only after its holder has ended.
+func (l *List) claimAddress(now time.Time, beat Listing) bool {
 	if !beat.Address.IsValid() || beat.State == Gone && beat.Started.IsZero() {
 		return true
 	}
@@ -333,35 +337,35 @@
 		return false
 	}
 	if taken && before.id != beat.ID {
-		l.end(before)
+		l.endHolder(before)
 	}
 	if !taken && len(l.holders) >= 2*MaxListings {
 		return true
 	}
-	l.holders[beat.Address] = holder{id: beat.ID, started: beat.Started, heard: now}
+	l.holders[beat.Address] = addressHolder{id: beat.ID, started: beat.Started, lastReceived: now}
 	return true
 }
 
-// end notes that a life is over because another has its address.
-func (l *List) end(before holder) {
+// endHolder marks a life as gone because another life has its address.
+func (l *List) endHolder(before addressHolder) {
 	e, found := l.entries[before.id]
 	if found && e.Started.Equal(before.started) && e.State != Gone {
 		e.State = Gone
-		l.touch(e)
+		l.markChanged(e)
 	}
 }
 
-// release frees the address of a life that does not tell its start: whoever
-// announces itself there is another one. Where starts are told they decide.
-func (l *List) release(e *entry) {
+// releaseAddress frees the address of a life without a start time: the next heartbeat from
+// that address belongs to another life. Where start times are known, they decide.
+func (l *List) releaseAddress(e *entry) {
 	if e.Started.IsZero() && l.holders[e.Address].id == e.ID {
 		delete(l.holders, e.Address)
 	}
 }
 
-func (l *List) touch(e *entry) {
-	l.last++
-	e.revision = l.last
+func (l *List) markChanged(e *entry) {
+	l.revision++
+	e.revision = l.revision
 	if e.change == nil {
 		e.change = l.changes.PushBack(e)
 		return
@@ -369,8 +373,8 @@
 	l.changes.MoveToBack(e.change)
 }
 
-func (l *List) forget(e *entry) {
-	l.release(e)
+func (l *List) remove(e *entry) {
+	l.releaseAddress(e)
 	delete(l.entries, e.ID)
 	delete(l.cold, e)
 	if e.change != nil {
@@ -378,47 +382,47 @@
 	}
 }
 
-// Pass lets time pass: instances that are not heard of become silent and are
-// forgotten in the end. It tells whether the list has changed.
-func (l *List) Pass(now time.Time) bool {
-	before := l.last
+// Expire marks instances without recent heartbeats as silent, and removes those without a
+// heartbeat for expiryBeats intervals. It reports whether the list's revision has changed.
+func (l *List) Expire(now time.Time) bool {
+	before := l.revision
 	for _, e := range l.entries {
-		quiet := now.Sub(e.heard)
+		quiet := now.Sub(e.lastReceived)
 		switch {
-		case quiet > lostBeats*l.Interval:
-			l.forget(e)
+		case quiet > expiryBeats*l.Interval:
+			l.remove(e)
 		case quiet > SilentBeats*l.Interval && !e.Silent && e.State != Gone:
 			e.Silent, e.WasSilent = true, true
-			l.touch(e)
+			l.markChanged(e)
 		}
 	}
 	for address, h := range l.holders {
-		if _, listed := l.entries[h.id]; !listed && now.Sub(h.heard) > lostBeats*l.Interval {
+		if _, listed := l.entries[h.id]; !listed && now.Sub(h.lastReceived) > expiryBeats*l.Interval {
 			delete(l.holders, address)
 		}
 	}
-	return l.last != before
+	return l.revision != before
 }
 
-// Drop forgets what has been gone for a time, and returns the ids. It is for a list that lets no
-// time pass because it hears no heartbeats itself.
-func (l *List) Drop(now time.Time, age time.Duration) []string {
+// RemoveGone removes the instances that have been gone for longer than age, and returns their
+// ids. It is for lists that receive no heartbeats themselves and so never call Expire.
+func (l *List) RemoveGone(now time.Time, age time.Duration) []string {
 	var dropped []string
 	for id, e := range l.entries {
-		if e.State == Gone && now.Sub(e.heard) > age {
-			l.forget(e)
+		if e.State == Gone && now.Sub(e.lastReceived) > age {
+			l.remove(e)
 			dropped = append(dropped, id)
 		}
 	}
 	for address, h := range l.holders {
-		if _, listed := l.entries[h.id]; !listed && now.Sub(h.heard) > age {
+		if _, listed := l.entries[h.id]; !listed && now.Sub(h.lastReceived) > age {
 			delete(l.holders, address)
 		}
 	}
 	return dropped
 }
 
-// Services returns how many ready instances each service has.
+// Services returns the number of ready instances of each service.
 func (l *List) Services() map[string]int {
 	services := make(map[string]int)
 	for _, e := range l.entries {
@@ -429,21 +433,22 @@
 	return services
 }
 
-// Retell makes a service's instances news again.
-func (l *List) Retell(service string) {
+// Resend marks a service's ready instances as changed, so that Since and Select return them again.
+func (l *List) Resend(service string) {
 	for _, e := range l.entries {
 		if e.Service == service && e.State == Ready {
-			l.touch(e)
+			l.markChanged(e)
 		}
 	}
 }
 
-// Since returns what has changed behind a revision, oldest change first.
+// Since returns the listings that have changed after a revision, oldest change first.
 func (l *List) Since(revision uint64) []Listing {
 	return l.Select(revision, func(*Listing) bool { return true })
 }
 
-// Select returns those of the changes behind a revision that are wanted, oldest change first.
+// Select returns the listings that have changed after a revision and for which wanted returns
+// true, oldest change first.
 func (l *List) Select(revision uint64, wanted func(*Listing) bool) []Listing {
 	var listings []Listing
 	for at := l.changes.Back(); at != nil; at = at.Prev() {
@@ -459,7 +464,7 @@
 	return listings
 }
 
-// Find returns an instance by its id.
+// Find returns the listing of an instance by its id.
 func (l *List) Find(id string) (Listing, bool) {
 	e, found := l.entries[id]
 	if !found || e.pending {
--- a/lib/lister/lister_test.go
+++ b/lib/lister/lister_test.go
@@ -26,15 +26,14 @@
 	return listing.State
 }
 
-// Symptom: an instance that said it leaves gets work again. Sequence: its
-// heartbeat from before arrives late, by another way. Cause: the last to arrive
-// was taken for the last that was sent.
+// Guards against a leaving instance getting requests again: a heartbeat from before it left
+// arrives late over another path and must not be treated as the last one sent.
 func TestLateHeartbeatChangesNothing(t *testing.T) {
 	tests := map[string][]Listing{
-		"from before it left":    {beat("a", 1, Ready), beat("a", 3, Leaving), beat("a", 2, Ready)},
-		"sent again":             {beat("a", 1, Ready), beat("a", 2, Leaving), beat("a", 2, Leaving)},
-		"a later one, confused":  {beat("a", 1, Ready), beat("a", 2, Leaving), beat("a", 9, Ready)},
-		"heard from two keepers": {beat("a", 2, Leaving), beat("a", 1, Ready)},
+		"from before it left":   {beat("a", 1, Ready), beat("a", 3, Leaving), beat("a", 2, Ready)},
+		"sent twice":            {beat("a", 1, Ready), beat("a", 2, Leaving), beat("a", 2, Leaving)},
+		"a later one, ready":    {beat("a", 1, Ready), beat("a", 2, Leaving), beat("a", 9, Ready)},
+		"received out of order": {beat("a", 2, Leaving), beat("a", 1, Ready)},
 	}
 	for name, beats := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -47,26 +46,25 @@
 	}
 }
 
-// Symptom: requests go to an instance that has crashed, and are lost for as long
-// as its successor at the address is not listed. Sequence: a heartbeat is held up
-// by a cut, its sender crashes, a new instance announces itself at the address,
-// and then the old heartbeat arrives.
-func TestAddressGoesToTheInstanceThatIsHeardAgain(t *testing.T) {
+// Guards against sending requests to a crashed instance, which are lost for as long as its
+// successor at the address is not listed: a heartbeat is delayed by a network cut, its sender
+// crashes, a new instance announces itself at the address, then the old heartbeat arrives.
+func TestAddressGoesToTheConfirmedInstance(t *testing.T) {
 	tests := map[string]struct {
-		beats []Listing
-		holds string
+		beats  []Listing
+		holder string
 	}{
 		"a successor takes over at once": {
-			beats: []Listing{beat("old", 40, Ready), beat("new", 1, Ready)}, holds: "new",
+			beats: []Listing{beat("old", 40, Ready), beat("new", 1, Ready)}, holder: "new",
 		},
-		"the old one's last word arrives after it": {
-			beats: []Listing{beat("old", 40, Ready), beat("new", 1, Ready), beat("old", 41, Ready)}, holds: "new",
+		"the old one's last heartbeat arrives after it": {
+			beats: []Listing{beat("old", 40, Ready), beat("new", 1, Ready), beat("old", 41, Ready)}, holder: "new",
 		},
-		"nobody has heard of the old one before": {
-			beats: []Listing{beat("new", 1, Ready), beat("old", 41, Ready)}, holds: "new",
+		"the old one is unknown": {
+			beats: []Listing{beat("new", 1, Ready), beat("old", 41, Ready)}, holder: "new",
 		},
-		"one that is heard twice has it": {
-			beats: []Listing{beat("first", 9, Ready), beat("second", 30, Ready), beat("second", 31, Ready)}, holds: "second",
+		"a second heartbeat confirms the holder": {
+			beats: []Listing{beat("first", 9, Ready), beat("second", 30, Ready), beat("second", 31, Ready)}, holder: "second",
 		},
 	}
 	for name, test := range tests {
@@ -78,35 +76,35 @@
 			for _, id := range []string{"old", "new", "first", "second"} {
 				listing, found := l.Find(id)
 				if found && listing.State == Ready {
-					require.Equal(t, test.holds, id)
+					require.Equal(t, test.holder, id)
 				}
 			}
-			require.Equal(t, Ready, l.stateOf(test.holds))
+			require.Equal(t, Ready, l.stateOf(test.holder))
 		})
 	}
 }
 
-// Symptom: an endpoint that serves gets no work from any router. Sequence: its first
-// heartbeat to this keeper looks like a late one of an instance that is gone, the
-// second shows that it is not. Cause: it was listed then without being news.
-func TestInstanceThatIsHeardAgainIsNews(t *testing.T) {
+// Guards against a serving endpoint getting no requests from any router: its first heartbeat
+// to this keeper may be a delayed one of an instance that is gone, and the second confirms it;
+// listing it then must count as a change.
+func TestConfirmedInstanceIsAChange(t *testing.T) {
 	l := &List{Interval: interval}
 	l.Beat(start, beat("first", 9, Ready))
 	require.False(t, l.Beat(start, beat("second", 30, Ready)))
 	before := l.Revision()
 	require.True(t, l.Beat(start, beat("second", 31, Ready)))
-	told := make(map[string]State)
+	states := make(map[string]State)
 	for _, listing := range l.Since(before) {
-		told[listing.ID] = listing.State
+		states[listing.ID] = listing.State
 	}
-	require.Equal(t, map[string]State{"first": Gone, "second": Ready}, told)
+	require.Equal(t, map[string]State{"first": Gone, "second": Ready}, states)
 }
 
 func TestLeaveIsFinal(t *testing.T) {
 	l := &List{Interval: interval}
 	l.Leave(start, "a", time.Time{})
 	l.Beat(start, beat("a", 7, Ready))
-	require.Equal(t, Gone, l.stateOf("a"), "its heartbeat was overtaken")
+	require.Equal(t, Gone, l.stateOf("a"), "its heartbeat arrived after its end")
 	l.Beat(start, beat("b", 1, Ready))
 	require.True(t, l.Leave(start, "b", time.Time{}))
 	require.False(t, l.Leave(start, "b", time.Time{}))
@@ -116,40 +114,40 @@
 func TestSilence(t *testing.T) {
 	l := &List{Interval: interval}
 	l.Beat(start, beat("a", 1, Ready))
-	require.False(t, l.Pass(start.Add(SilentBeats*interval)))
-	require.True(t, l.Pass(start.Add(SilentBeats*interval+1)))
+	require.False(t, l.Expire(start.Add(SilentBeats*interval)))
+	require.True(t, l.Expire(start.Add(SilentBeats*interval+1)))
 	listing, _ := l.Find("a")
 	require.True(t, listing.Silent)
 	require.Equal(t, Ready, listing.State, "it may still serve")
-	require.False(t, l.Heard(start, "a", time.Time{}, 1), "an old number ends no silence")
-	require.True(t, l.Heard(start.Add(5*interval), "a", time.Time{}, 2), "another list has heard it")
+	require.False(t, l.Refresh(start, "a", time.Time{}, 1), "an old sequence number ends no silence")
+	require.True(t, l.Refresh(start.Add(5*interval), "a", time.Time{}, 2), "another list has received a heartbeat")
 	listing, _ = l.Find("a")
 	require.False(t, listing.Silent)
-	l.Pass(start.Add((lostBeats + 6) * interval))
+	l.Expire(start.Add((expiryBeats + 6) * interval))
 	_, found := l.Find("a")
-	require.False(t, found, "it is forgotten in the end")
+	require.False(t, found, "it is removed after expiryBeats intervals")
 }
 
-func TestSinceTellsEachChangeOnce(t *testing.T) {
+func TestSinceReturnsEachChangeOnce(t *testing.T) {
 	l := &List{Interval: interval}
 	l.Beat(start, beat("a", 1, Ready))
 	first := l.Revision()
 	require.Len(t, l.Since(0), 1)
 	l.Beat(start, beat("a", 2, Ready))
-	require.Empty(t, l.Since(first), "a heartbeat that changes nothing is no news")
+	require.Empty(t, l.Since(first), "a heartbeat without changes is not returned")
 	l.Beat(start, beat("a", 3, Leaving))
 	require.Len(t, l.Since(first), 1)
 }
 
-// The symptom would be two keepers that disagree for good about an instance. The
-// events are the same heartbeats in any two orders.
+// Guards against keepers that disagree permanently about an instance: two lists receive the
+// same heartbeats in different orders.
 func TestListsAgreeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		beats := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Listing {
 			b := beat(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"),
 				rapid.Uint64Range(1, 6).Draw(t, "sequence"),
 				rapid.SampledFrom([]State{Ready, Leaving, Gone}).Draw(t, "state"))
-			b.Address = at(b.ID[0]) // each its own
+			b.Address = at(b.ID[0]) // a separate address for each id
 			return b
 		}), 1, 12).Draw(t, "beats")
 		one, other := &List{Interval: interval}, &List{Interval: interval}
@@ -176,7 +174,7 @@
 func TestWire(t *testing.T) {
 	for name, listing := range map[string]Listing{
 		"ready":              beat("a", 4, Ready),
-		"started again":      lifeBeat("a", 2, 4, Ready),
+		"restarted instance": lifeBeat("a", 2, 4, Ready),
 		"gone, never listed": {ID: "a", State: Gone},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -185,14 +183,14 @@
 			require.Equal(t, listing, read)
 		})
 	}
-	for name, spoil := range map[string]func(*Listing){
+	for name, corrupt := range map[string]func(*Listing){
 		"no id":      func(l *Listing) { l.ID = "" },
 		"no address": func(l *Listing) { l.Address = netip.AddrPort{} },
 		"no state":   func(l *Listing) { l.State = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			listing := beat("a", 1, Ready)
-			spoil(&listing)
+			corrupt(&listing)
 			_, err := FromWire(ToWire(listing, time.Time{}), time.Time{})
 			require.ErrorIs(t, err, ErrWire)
 		})
--- a/lib/lister/unusable.go
+++ b/lib/lister/unusable.go
@@ -1,9 +1,9 @@
 package lister
 
-// Reason is why a heartbeat names no endpoint to use. It is a label of metrics.
+// Reason is the reason why a heartbeat is rejected as unusable. It is a metric label value.
 type Reason string
 
-// The reasons.
+// The reasons for rejecting a heartbeat.
 const (
 	Unreadable     Reason = "unreadable"
 	Missing        Reason = "missing"
@@ -12,17 +12,17 @@
 	UnknownService Reason = "service"
 )
 
-// Reasons are all reasons.
+// Reasons lists all values of Reason.
 var Reasons = []Reason{Unreadable, Missing, WrongType, OutOfRange, UnknownService}
 
-// Unusable is the error of a heartbeat that names no endpoint to use. What other
-// heartbeats have said holds.
+// Unusable is the error for a heartbeat that does not describe a usable endpoint. The
+// contents of other heartbeats stay in effect.
 type Unusable struct {
 	Reason Reason
-	Field  string // that is at fault, "" for all of it
+	Field  string // the invalid field, "" if the whole heartbeat is unreadable
 }
 
-// Error tells what to correct at the sender.
+// Error describes what to correct at the sender.
 func (u Unusable) Error() string {
 	if u.Field == "" {
 		return "the heartbeat cannot be read; send one object"
--- a/lib/lister/version_test.go
+++ b/lib/lister/version_test.go
@@ -13,21 +13,21 @@
 	return b
 }
 
-// A stream went on at other software than began it, because a late heartbeat, or a process that does not
-// pass the version on, had changed what was known of an endpoint.
+// Guards against resuming a stream on a different software version than it started on, after a
+// delayed heartbeat, or a process that does not pass the version on, has changed the listing.
 func TestVersionIsThatOfTheLifeOrUnknown(t *testing.T) {
 	for name, test := range map[string]struct {
 		beats []Listing
 		want  string
 	}{
 		"told":                            {beats: []Listing{versionBeat(1, 1, "v1")}, want: "v1"},
-		"not told":                        {beats: []Listing{versionBeat(1, 1, "")}},
-		"told later":                      {beats: []Listing{versionBeat(1, 1, ""), versionBeat(1, 2, "v1")}, want: "v1"},
-		"left out by another process":     {beats: []Listing{versionBeat(1, 1, "v1"), versionBeat(1, 2, "")}, want: "v1"},
+		"not reported":                    {beats: []Listing{versionBeat(1, 1, "")}},
+		"reported later":                  {beats: []Listing{versionBeat(1, 1, ""), versionBeat(1, 2, "v1")}, want: "v1"},
+		"omitted by another process":      {beats: []Listing{versionBeat(1, 1, "v1"), versionBeat(1, 2, "")}, want: "v1"},
 		"the next life's":                 {beats: []Listing{versionBeat(1, 9, "v1"), versionBeat(2, 1, "v2")}, want: "v2"},
-		"the next life does not tell":     {beats: []Listing{versionBeat(1, 9, "v1"), versionBeat(2, 1, "")}},
-		"of a former life, late":          {beats: []Listing{versionBeat(2, 1, "v2"), versionBeat(1, 10, "v1")}, want: "v2"},
-		"of this life, late":              {beats: []Listing{versionBeat(1, 4, "v1"), versionBeat(1, 3, "v2")}, want: "v1"},
+		"the next life reports none":      {beats: []Listing{versionBeat(1, 9, "v1"), versionBeat(2, 1, "")}},
+		"of a former life, delayed":       {beats: []Listing{versionBeat(2, 1, "v2"), versionBeat(1, 10, "v1")}, want: "v2"},
+		"of this life, delayed":           {beats: []Listing{versionBeat(1, 4, "v1"), versionBeat(1, 3, "v2")}, want: "v1"},
 		"two in one life":                 {beats: []Listing{versionBeat(1, 1, "v1"), versionBeat(1, 2, "v2")}},
 		"two in one life, and one again":  {beats: []Listing{versionBeat(1, 1, "v1"), versionBeat(1, 2, "v2"), versionBeat(1, 3, "v2")}},
 		"two in one life, then a new one": {beats: []Listing{versionBeat(1, 1, "v1"), versionBeat(1, 2, "v2"), versionBeat(2, 1, "v2")}, want: "v2"},
@@ -41,9 +41,9 @@
 			known, found := l.Find("a")
 			require.True(t, found)
 			require.Equal(t, test.want, known.Version)
-			told, err := FromWire(ToWire(known, now), now)
+			decoded, err := FromWire(ToWire(known, now), now)
 			require.NoError(t, err)
-			require.Equal(t, test.want, told.Version)
+			require.Equal(t, test.want, decoded.Version)
 		})
 	}
 }
--- a/lib/lister/wire.go
+++ b/lib/lister/wire.go
@@ -9,10 +9,10 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// ErrWire means that a message about an endpoint cannot be read.
+// ErrWire is returned for a message that contains an invalid listing.
 var ErrWire = merry.Sentinel("listing cannot be read")
 
-// ToWire converts a listing for a message that is sent now.
+// ToWire encodes a listing for a message sent at the given time.
 func ToWire(l Listing, now time.Time) *messenger.Listing {
 	wire := &messenger.Listing{
 		Id: l.ID, Service: l.Service, Zone: l.Zone, Slots: uint32(l.Slots),
@@ -28,7 +28,7 @@
 	return wire
 }
 
-// ToMillis converts the start of a life for a message. A start that is not known is 0.
+// ToMillis encodes the start of a life as Unix milliseconds. An unknown start is 0.
 func ToMillis(started time.Time) uint64 {
 	if started.IsZero() {
 		return 0
@@ -36,7 +36,7 @@
 	return uint64(started.UnixMilli())
 }
 
-// FromMillis converts the start of a life from a message.
+// FromMillis decodes the start of a life from Unix milliseconds. 0 is an unknown start.
 func FromMillis(milliseconds uint64) time.Time {
 	if milliseconds == 0 {
 		return time.Time{}
@@ -44,7 +44,8 @@
 	return time.UnixMilli(int64(milliseconds))
 }
 
-// FromWire converts the listing of a message that has come now.
+// FromWire decodes a listing from a message received at the given time. It returns ErrWire
+// for a missing id, an unknown state or an invalid address.
 func FromWire(wire *messenger.Listing, now time.Time) (Listing, error) {
 	l := Listing{
 		ID: wire.GetId(), Service: wire.GetService(), Zone: wire.GetZone(), Slots: int(wire.GetSlots()),
--- a/lib/subscriber/members.go
+++ b/lib/subscriber/members.go
@@ -8,8 +8,8 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// Know adds keepers.
-func (s *Subscriber) Know(addresses ...netip.AddrPort) {
+// AddKeepers adds keepers by their control addresses. It has no effect before Run.
+func (s *Subscriber) AddKeepers(addresses ...netip.AddrPort) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.ctx == nil || s.ctx.Err() != nil {
@@ -17,55 +17,56 @@
 	}
 	now := s.options.Clock.Now()
 	for _, address := range addresses {
-		s.note(now, address, "")
+		s.noteMember(now, address, "")
 	}
-	s.review(now)
-	s.choose()
+	s.reconcile(now)
+	s.choosePrimary()
 }
 
-// Keepers returns how many keepers there probably are to share the routers.
+// Keepers returns the estimated number of keepers that share the routers: those that answer,
+// and those that are neither followed nor demoted.
 func (s *Subscriber) Keepers() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now, count := s.options.Clock.Now(), 0
 	for address, known := range s.members {
 		f, found := s.followed[address]
-		if found && f.answer || !found && !now.Before(known.passed) {
+		if found && f.answering || !found && !now.Before(known.demotedUntil) {
 			count++
 		}
 	}
 	return count
 }
 
-// Unheard returns the keepers that do not answer.
-func (s *Subscriber) Unheard() []string {
+// Unanswering returns the addresses of the keepers that do not answer or are not followed.
+func (s *Subscriber) Unanswering() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var unheard []string
+	var unanswering []string
 	for address := range s.members {
-		if f, found := s.followed[address]; !found || !f.answer {
-			unheard = append(unheard, address.String())
+		if f, found := s.followed[address]; !found || !f.answering {
+			unanswering = append(unanswering, address.String())
 		}
 	}
-	return unheard
+	return unanswering
 }
 
-// partial tells whether only some of the keepers are followed.
+// partial reports whether only some of the keepers are followed.
 func (s *Subscriber) partial() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.options.Primary != nil && len(s.members) > fewKeepers
+	return s.options.Primary != nil && len(s.members) > maxFullGroup
 }
 
-// note notes that a keeper was named, and tells whether that is news.
-func (s *Subscriber) note(now time.Time, address netip.AddrPort, zone string) bool {
+// noteMember records that a keeper was named, and reports whether the keeper or its zone is new.
+func (s *Subscriber) noteMember(now time.Time, address netip.AddrPort, zone string) bool {
 	if !address.IsValid() || address == s.options.Own {
 		return false
 	}
 	known, found := s.members[address]
 	if !found {
 		if len(s.members) >= maxKeepers {
-			s.options.Log.Warn().Stringer("keeper", address).Msg("too many keepers are known; this one is left out")
+			s.options.Log.Warn().Stringer("keeper", address).Msg("number of known keepers is at its limit; this keeper is ignored")
 			return false
 		}
 		known = &member{}
@@ -74,7 +75,7 @@
 		}
 		s.members[address] = known
 	}
-	known.named = now
+	known.lastNamed = now
 	if zone == "" || zone == known.zone {
 		return !found
 	}
@@ -82,86 +83,87 @@
 	return true
 }
 
-// learn takes the group that an answer names, and tells whether anything of it is news. An
-// answer that names none means the one that its keeper named before.
-func (s *Subscriber) learn(now time.Time, f *followed, news *messenger.FollowResponse) bool {
-	if len(news.GetKeepers()) == 0 {
-		for _, address := range f.names {
-			s.note(now, address, "")
+// updateGroup applies the group that an answer names, and reports whether it contains a new
+// keeper or zone. An answer that names no group stands for the one its keeper named before.
+func (s *Subscriber) updateGroup(now time.Time, f *following, answer *messenger.FollowResponse) bool {
+	if len(answer.GetKeepers()) == 0 {
+		for _, address := range f.groupAddresses {
+			s.noteMember(now, address, "")
 		}
 		return false
 	}
 	changed := false
-	f.group, f.names = news.GetGroup(), nil
-	for i, text := range news.GetKeepers() {
+	f.group, f.groupAddresses = answer.GetGroup(), nil
+	for i, text := range answer.GetKeepers() {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			s.options.Log.Warn().Str("keeper", text).Msg("a keeper's address cannot be read; it is not followed")
+			s.options.Log.Warn().Str("keeper", text).Msg("address of a keeper is invalid; this keeper is not followed")
 			continue
 		}
 		zone := ""
-		if i < len(news.GetZones()) {
-			zone = news.GetZones()[i]
+		if i < len(answer.GetZones()) {
+			zone = answer.GetZones()[i]
 		}
-		f.names = append(f.names, address)
-		changed = s.note(now, address, zone) || changed
+		f.groupAddresses = append(f.groupAddresses, address)
+		changed = s.noteMember(now, address, zone) || changed
 	}
 	return changed
 }
 
-// judge notes whether a keeper is to rank behind the others.
-func (s *Subscriber) judge(now time.Time, address netip.AddrPort, f *followed) {
+// updateDemotion demotes a keeper that is lost or isolated behind the others, and ends the demotion
+// of a keeper that answers and is not isolated.
+func (s *Subscriber) updateDemotion(now time.Time, address netip.AddrPort, f *following) {
 	known, found := s.members[address]
 	switch {
 	case !found:
-	case f.answer && !f.isolated:
-		known.failed, known.passed = false, time.Time{}
+	case f.answering && !f.isolated:
+		known.failed, known.demotedUntil = false, time.Time{}
 	default:
-		known.failed, known.passed = true, now.Add(passTime)
+		known.failed, known.demotedUntil = true, now.Add(demotionTime)
 	}
 }
 
-// review begins to follow the keepers that are to be followed, and ends with the others.
-func (s *Subscriber) review(now time.Time) {
+// reconcile starts following the selected keepers and stops following the others.
+func (s *Subscriber) reconcile(now time.Time) {
 	if s.ctx == nil || s.ctx.Err() != nil {
 		return
 	}
-	s.reviewed = now
+	s.lastReconciled = now
 	s.forget(now)
 	wanted := make(map[netip.AddrPort]bool)
 	for _, address := range s.wanted(now) {
 		wanted[address] = true
 		if s.followed[address] == nil {
-			s.begin(address)
+			s.startFollowing(address)
 		}
 	}
 	for address, f := range s.followed {
 		if !wanted[address] {
 			delete(s.followed, address)
 			s.ending[address] = f.ended
-			f.end()
+			f.cancel()
 		}
 	}
 }
 
-// forget drops keepers that no group names any more and that do not answer.
+// forget removes keepers that do not answer and have not been named for unnamedTimeout.
 func (s *Subscriber) forget(now time.Time) {
 	for address, known := range s.members {
 		f, found := s.followed[address]
-		answers := found && f.answer
-		if now.Sub(known.named) >= retired && !answers {
+		answers := found && f.answering
+		if now.Sub(known.lastNamed) >= unnamedTimeout && !answers {
 			delete(s.members, address)
 		}
 	}
 }
 
-// wanted returns the keepers that are to be followed.
+// wanted returns the keepers to follow.
 func (s *Subscriber) wanted(now time.Time) []netip.AddrPort {
-	known := make([]standing, 0, len(s.members))
+	known := make([]rankedKeeper, 0, len(s.members))
 	for address, m := range s.members {
-		known = append(known, standing{
+		known = append(known, rankedKeeper{
 			candidate: candidate{address: address, zone: m.zone}, rank: m.rank,
-			failed: m.failed, passed: m.passed,
+			failed: m.failed, demotedUntil: m.demotedUntil,
 		})
 	}
 	if s.options.Primary == nil {
@@ -170,10 +172,10 @@
 	return s.options.Primary.selected(now, known)
 }
 
-// begin begins to follow a keeper, after a former following of it has ended.
-func (s *Subscriber) begin(address netip.AddrPort) {
+// startFollowing starts to follow a keeper as soon as a former following of it has ended.
+func (s *Subscriber) startFollowing(address netip.AddrPort) {
 	ctx, end := context.WithCancel(s.ctx)
-	f := &followed{end: end, ended: make(chan struct{})}
+	f := &following{cancel: end, ended: make(chan struct{})}
 	former, delay := s.ending[address], s.delay(address)
 	delete(s.ending, address)
 	s.followed[address] = f
@@ -181,19 +183,19 @@
 		if former != nil {
 			<-former
 		}
-		if s.stagger(ctx, delay) {
+		if s.awaitStart(ctx, delay) {
 			s.follow(ctx, address, f)
 		}
-		s.leave(address, f)
+		s.finish(address, f)
 	})
 }
 
-// firstDelay is by how much later than the one before a router asks each further keeper that the
-// settings name, as long as none has answered. All routers are told of the same few keepers. The
-// first answer names the others, and then most routers have no need of these.
-const firstDelay = 100 * time.Millisecond
+// initialDelay is the delay between a router's first polls of successive keepers named in the
+// settings, while none has answered. The settings of all routers name the same few keepers. The
+// first answer names the others, and then most routers do not need the remaining ones.
+const initialDelay = 100 * time.Millisecond
 
-// delay returns how long to wait for another keeper's answer before one is asked first.
+// delay returns how long to wait for another keeper's answer before the first poll of a keeper.
 func (s *Subscriber) delay(address netip.AddrPort) time.Duration {
 	if s.answered || s.options.Primary == nil {
 		return 0
@@ -201,18 +203,19 @@
 	delay := time.Duration(0)
 	for _, other := range s.members {
 		if other.rank > s.members[address].rank {
-			delay += firstDelay
+			delay += initialDelay
 		}
 	}
 	return delay
 }
 
-// stagger waits until a keeper is to be asked first, and tells whether it still is to be.
-func (s *Subscriber) stagger(ctx context.Context, delay time.Duration) bool {
+// awaitStart waits until the delay has passed or another keeper has answered, and reports whether
+// the keeper is still to be followed.
+func (s *Subscriber) awaitStart(ctx context.Context, delay time.Duration) bool {
 	if delay > 0 {
 		select {
 		case <-ctx.Done():
-		case <-s.begun:
+		case <-s.firstAnswer:
 		case <-s.options.Clock.After(delay):
 		}
 	}
--- a/lib/subscriber/pace.go
+++ b/lib/subscriber/pace.go
@@ -3,50 +3,53 @@
 import "time"
 
 const (
-	// LeastWait is how long a keeper holds the poll of a router that reports to it, at least.
-	// With each answer come the loads of the other routers. An engine reads a long prompt in
-	// some 0.2 s: what is known of it later is of no use.
-	LeastWait = 50 * time.Millisecond
-	// LateWait is how long the poll of a router that is late is held, at least. Each takes from
-	// the time that it has to serve, and it is late with what it learns.
-	LateWait = 100 * time.Millisecond
-	// mostPolls bounds the polls a second of the routers that report to one keeper.
-	mostPolls = 200
+	// MinWait is the minimum time for which a keeper holds the poll of a router that reports
+	// to it. Each answer carries the loads from the other routers. An engine prefills a long
+	// prompt in some 0.2 s: load information that arrives later is useless.
+	MinWait = 50 * time.Millisecond
+	// MinLateWait is the minimum time for which the poll of a router with high scheduling delay
+	// is held. Each poll takes processor time from serving requests, and such a router applies
+	// the answers late anyway.
+	MinLateWait = 100 * time.Millisecond
+	// maxPollsPerSecond bounds the total poll rate of the routers that report to one keeper.
+	maxPollsPerSecond = 200
 )
 
-// WaitFor returns how long a keeper holds polls without news in a fleet of so many routers and
-// keepers, so that the routers that report to it ask at most mostPolls times a second.
+// WaitFor returns how long a keeper holds polls without updates in a fleet of the given size, so
+// that the routers that report to one keeper send at most maxPollsPerSecond polls in total, as
+// far as DefaultWait allows.
 func WaitFor(routers, keepers int) time.Duration {
-	return min(max(reporting(routers, keepers)/mostPolls, LeastWait), DefaultWait)
+	return min(max(reporting(routers, keepers)/maxPollsPerSecond, MinWait), DefaultWait)
 }
 
-// reporting is a second for each router that reports to one keeper.
+// reporting returns one second for each router that reports to one keeper.
 func reporting(routers, keepers int) time.Duration {
 	return time.Duration(routers) * time.Second / time.Duration(max(keepers, 1))
 }
 
 const (
-	// mostBriefs bounds the polls a second of those that report to another keeper, and
-	// mostBriefWait is the longest that they are held: a lost path to such a keeper delays no
-	// report, and an endpoint's leaving that only this keeper heard of still comes within the
-	// time for which endpoints go on serving.
-	mostBriefs    = 200
-	mostBriefWait = 1500 * time.Millisecond
+	// maxBriefPollsPerSecond bounds the total poll rate of the routers that report to another
+	// keeper, and maxBriefWait is the maximum time for which their polls are held: a lost path to
+	// such a keeper delays no report, and the departure of an endpoint that only this keeper
+	// received still arrives within the time for which leaving endpoints continue to serve.
+	maxBriefPollsPerSecond = 200
+	maxBriefWait           = 1500 * time.Millisecond
 )
 
-// BriefWaitFor returns how long a keeper holds the polls of routers that report to another.
+// BriefWaitFor returns how long a keeper holds the polls of routers that report to another keeper,
+// in a fleet of the given size.
 func BriefWaitFor(routers, keepers int) time.Duration {
-	if keepers > fewKeepers {
-		return mostBriefWait // of so many only some are followed, and what they hear others hear as well
+	if keepers > maxFullGroup {
+		return maxBriefWait // routers follow only some of the keepers, and an update reaches several of them
 	}
 	others := time.Duration(routers)*time.Second - reporting(routers, keepers)
-	return min(max(others/mostBriefs, DefaultWait), mostBriefWait)
+	return min(max(others/maxBriefPollsPerSecond, DefaultWait), maxBriefWait)
 }
 
-// ReportWaitFor returns how long a keeper holds the polls of a router that reports to it and has
-// so many requests a second, in a fleet of so many routers and keepers: it asks about as often as
-// it has something to tell. In a large fleet most routers have little, and all of them together
-// would cost keepers most of their time.
+// ReportWaitFor returns how long a keeper holds the polls of a router that reports to it and gets
+// the given number of requests per second, in a fleet of the given size. The poll rate follows the
+// request rate, because a router's report changes with its requests. In a large fleet most routers
+// have few requests, and at a higher rate their polls would take most of the keepers' time.
 func ReportWaitFor(requests float64, routers, keepers int) time.Duration {
 	wait := DefaultWait
 	if requests > 0 {
@@ -55,12 +58,12 @@
 	return max(wait, WaitFor(routers, keepers))
 }
 
-// mostExchanges bounds the polls a second of a keeper by all others of its group.
-const mostExchanges = 60
+// maxExchangesPerSecond bounds the rate at which the peers of a keeper poll it, in total.
+const maxExchangesPerSecond = 60
 
-// ExchangeWaitFor returns how long keepers hold one another's polls. What was reported to them
-// is not newer if it is told more often than routers report.
+// ExchangeWaitFor returns how long keepers hold the polls of their peers, in a fleet of the given
+// size. Exchanging reports more often than routers send them would not make them more recent.
 func ExchangeWaitFor(routers, keepers int) time.Duration {
-	others := time.Duration(max(keepers-1, 0)) * time.Second / mostExchanges
+	others := time.Duration(max(keepers-1, 0)) * time.Second / maxExchangesPerSecond
 	return min(max(others, WaitFor(routers, keepers)), DefaultWait)
 }
--- a/lib/subscriber/primary.go
+++ b/lib/subscriber/primary.go
@@ -8,13 +8,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Primary decides which keepers a router follows, and which of them it reports to. Its zero
+// Primary decides which keepers a router follows, and which of them gets its reports. The zero
 // value has no zone.
 type Primary struct {
-	// Name is the router's own. It spreads the routers of a zone over its keepers.
+	// Name is the router's name. It spreads the routers of a zone over the zone's keepers.
 	Name string
-	// Zone is the router's own. Reports and sums are most of what is told, and a keeper
-	// of the same zone is reached when the zone is cut off.
+	// Zone is the router's zone. Reports and sums are most of the traffic, and a keeper of the
+	// same zone stays reachable when the zone is partitioned from the others.
 	Zone string
 }
 
@@ -22,14 +22,14 @@
 type candidate struct {
 	address  netip.AddrPort
 	zone     string
-	isolated bool // it has had no contact with a quorum for long
+	isolated bool // whether it has had no contact with a quorum for long
 }
 
-// choose returns one of the keepers that answer, the zero address if there is none. It
-// depends on nothing else, so that a keeper that is back gets its routers back.
+// choose returns one of the keepers that answer, or the zero address if there is none. The
+// result depends only on the candidates, so that a keeper gets its routers back after a recovery.
 //
-// One that is isolated has the sums and changes of its own side of a cut only, while this
-// router may reach the other side.
+// Isolated keepers rank last: they only have the sums and changes of their own side of a network
+// partition, while this router may reach the other side.
 func (p Primary) choose(candidates []candidate) netip.AddrPort {
 	if len(candidates) == 0 {
 		return netip.AddrPort{}
@@ -42,6 +42,7 @@
 	}).address
 }
 
+// near returns 1 for a keeper of the router's zone and 0 for others, as a sort key.
 func (p Primary) near(c candidate) int {
 	if c.zone == p.Zone {
 		return 1
@@ -49,7 +50,8 @@
 	return 0
 }
 
-// rank orders keepers differently for each router, by rendezvous hashing.
+// rank returns the keeper's rank for this router by rendezvous hashing; the highest rank comes
+// first. The order differs between routers.
 func (p Primary) rank(address netip.AddrPort) uint64 {
 	return xxhash.Sum64String(p.Name + " " + address.String())
 }
--- a/lib/subscriber/primary_test.go
+++ b/lib/subscriber/primary_test.go
@@ -20,11 +20,11 @@
 		candidates []candidate
 		want       []netip.AddrPort
 	}{
-		"nobody answers":          {nil, []netip.AddrPort{{}}},
-		"one of another zone":     {[]candidate{far}, []netip.AddrPort{address(3)}},
-		"one of each":             {[]candidate{far, near}, []netip.AddrPort{address(1)}},
-		"two of the own, spread":  {[]candidate{far, near, alsoNear}, []netip.AddrPort{address(1), address(2)}},
-		"in another order, alike": {[]candidate{alsoNear, near, far}, []netip.AddrPort{address(1), address(2)}},
+		"no candidates":       {nil, []netip.AddrPort{{}}},
+		"one of another zone": {[]candidate{far}, []netip.AddrPort{address(3)}},
+		"one of each":         {[]candidate{far, near}, []netip.AddrPort{address(1)}},
+		"two of the own zone": {[]candidate{far, near, alsoNear}, []netip.AddrPort{address(1), address(2)}},
+		"in another order":    {[]candidate{alsoNear, near, far}, []netip.AddrPort{address(1), address(2)}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -34,34 +34,34 @@
 			}
 			require.Len(t, chosen, len(test.want))
 			for _, want := range test.want {
-				require.GreaterOrEqual(t, chosen[want], 100/len(test.want)/2, "they are spread evenly")
+				require.GreaterOrEqual(t, chosen[want], 100/len(test.want)/2, "routers are spread evenly")
 			}
 		})
 	}
 }
 
-// Symptom: after a keeper's death its routers go by old sums for seconds. Sequence: the
-// primary stops answering while another keeper holds this router's poll for long. Cause:
-// that keeper would hear the report only with the next poll.
-func TestAnotherKeeperTakesTheReportsAtOnce(t *testing.T) {
+// Guards against routers that use old sums for seconds after a keeper's crash: the primary stops
+// answering while another keeper holds this router's poll for long, and that keeper would get the
+// report only with the next poll.
+func TestPrimaryFailoverIsImmediate(t *testing.T) {
 	down := make(chan struct{})
 	first := &keeper{answer: func(ctx context.Context, n int) (*messenger.FollowResponse, error) {
 		response := &messenger.FollowResponse{Epoch: 1, Zone: "here"}
 		if n >= 3 {
-			response.Keepers = []string{address(2).String()} // its list has been told
+			response.Keepers = []string{address(2).String()} // its list has been sent
 		}
 		select {
 		case <-down:
 			return nil, errDown
 		default:
-			return paced(ctx, response)
+			return respondAfterPause(ctx, response)
 		}
 	}}
 	second := &keeper{}
 	second.answer = func(ctx context.Context, n int) (*messenger.FollowResponse, error) {
 		request := second.requests()[n-1]
 		if request.GetWaitMs() == 0 || !request.GetBrief() {
-			return paced(ctx, &messenger.FollowResponse{Epoch: 2, Zone: "there"})
+			return respondAfterPause(ctx, &messenger.FollowResponse{Epoch: 2, Zone: "there"})
 		}
 		<-ctx.Done() // held until the caller ends it
 		return nil, ctx.Err()
@@ -77,29 +77,29 @@
 	done := make(chan struct{})
 	go func() { s.Run(ctx, address(1)); close(done) }()
 	defer func() { cancel(); <-done }()
-	require.Eventually(t, func() bool { return h.heard(address(1)) > 5 && h.heard(address(2)) > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return h.updatesFrom(address(1)) > 5 && h.updatesFrom(address(2)) > 0 }, waitTimeout, time.Millisecond)
 	close(down)
-	require.Eventually(t, func() bool { return h.heard(address(2)) > 5 }, patience, time.Millisecond, "it is polled anew, and reported to")
-	require.Zero(t, h.losses(address(2)), "ending a poll of our own is no loss")
-	asked := second.requests()
-	last := asked[len(asked)-1]
+	require.Eventually(t, func() bool { return h.updatesFrom(address(2)) > 5 }, waitTimeout, time.Millisecond, "it is polled again, with reports")
+	require.Zero(t, h.lossesOf(address(2)), "a poll cancelled by the subscriber is not a loss")
+	requests := second.requests()
+	last := requests[len(requests)-1]
 	require.False(t, last.GetBrief())
-	require.EqualValues(t, 2, last.GetEpoch(), "and then what has changed")
-	whole := 0
-	for _, request := range asked {
+	require.EqualValues(t, 2, last.GetEpoch(), "later polls ask for the changes only")
+	completeLists := 0
+	for _, request := range requests {
 		if !request.GetBrief() && request.GetEpoch() == 0 {
-			whole++
+			completeLists++
 		}
 	}
-	require.Equal(t, 1, whole, "its whole list is asked for once: brief answers left endpoints out")
+	require.Equal(t, 1, completeLists, "its complete list is requested once, because brief answers omit endpoints")
 	for _, request := range first.requests()[2:] {
-		require.False(t, request.GetBrief(), "the primary is always reported to")
+		require.False(t, request.GetBrief(), "polls of the primary always carry the report")
 	}
 }
 
-// Symptom: at a fleet's start keepers tell their whole list to each router three times.
-// Sequence: the keepers answer one after the other, each ranks before the last.
-func TestFirstPrimaryIsLeftForOneOfTheOwnZoneOnly(t *testing.T) {
+// Guards against keepers that send their complete list to each router three times at the start of
+// a fleet: they answer one after the other, and each ranks before the previous one.
+func TestInitialPrimaryYieldsOnlyToTheOwnZone(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	primary := Primary{Name: "r", Zone: "here"}
 	far := []candidate{{address: address(1), zone: "there"}, {address: address(2), zone: "there"}}
@@ -108,15 +108,15 @@
 	}
 	s := New(Options{Clock: clock, Log: zerolog.Nop(), Primary: &primary})
 	answers := func(c candidate) netip.AddrPort {
-		s.followed[c.address] = &followed{answer: true, zone: c.zone}
-		s.choose()
+		s.followed[c.address] = &following{answering: true, zone: c.zone}
+		s.choosePrimary()
 		return s.primary
 	}
 	require.Equal(t, far[0].address, answers(far[0]))
-	s.listed = clock.Now()
+	s.firstListing = clock.Now()
 	require.Equal(t, far[0].address, answers(far[1]))
 	require.Equal(t, address(3), answers(candidate{address: address(3), zone: "here"}))
-	s.followed[address(3)].answer = false
-	s.choose()
-	require.Equal(t, far[1].address, s.primary, "one that answers no more is left at once")
+	s.followed[address(3)].answering = false
+	s.choosePrimary()
+	require.Equal(t, far[1].address, s.primary, "a primary that stops answering is replaced immediately")
 }
--- a/lib/subscriber/selection.go
+++ b/lib/subscriber/selection.go
@@ -8,47 +8,47 @@
 )
 
 const (
-	// fewKeepers are all followed.
-	fewKeepers = 5
-	// nearFollowed of the followedMost keepers that a router follows in a larger group are of
-	// its own zone. One elsewhere tells of a zone that is cut off.
-	nearFollowed = 2
-	followedMost = 3
-	// triedMost bounds the keepers that are tried once more beside those, in the own zone and
-	// elsewhere each.
-	triedMost = 3
-	// passTime is for how long a keeper that was lost or isolated ranks behind the others.
-	passTime = 3 * time.Second
+	// maxFullGroup is the size of the largest group whose keepers are all followed.
+	maxFullGroup = 5
+	// In a larger group a router follows maxFollowed keepers, of which sameZoneFollowed are in
+	// its own zone. A keeper elsewhere reports when the router's zone is cut off.
+	sameZoneFollowed = 2
+	maxFollowed      = 3
+	// maxRetried bounds the failed keepers that are retried in addition, in the own zone and in
+	// the other zones each.
+	maxRetried = 3
+	// demotionTime is how long a lost or isolated keeper ranks behind the others.
+	demotionTime = 3 * time.Second
 )
 
-// member is a keeper that an answer or the settings have named.
+// member is a keeper named by an answer or by the settings.
 type member struct {
-	zone   string    // empty while it is not known
-	named  time.Time // last
-	rank   uint64    // for this router
-	failed bool      // when it was tried last, it was lost or isolated
-	passed time.Time // until when it ranks behind the others for that
+	zone         string    // empty if unknown
+	lastNamed    time.Time // last time an answer or the settings named it
+	rank         uint64    // rendezvous rank for this router
+	failed       bool      // whether it was lost or isolated at the last try
+	demotedUntil time.Time // end of the demotion behind the others
 }
 
-// standing is what a selection rests on.
-type standing struct {
+// rankedKeeper is the input of the selection for one keeper.
+type rankedKeeper struct {
 	candidate
-	rank   uint64
-	failed bool      // it was lost or isolated when it was tried last
-	passed time.Time // until when it is passed over for that
+	rank         uint64
+	failed       bool      // whether it was lost or isolated at the last try
+	demotedUntil time.Time // end of the time in which it is not retried
 }
 
-// selected returns the keepers that a router is to follow.
+// selected returns the keepers that a router follows.
 //
-// In a small group these are all. In a larger one a router follows a few, so that what a keeper
-// and a router carry does not grow with the group: those that rank first in its own zone and
-// one elsewhere. One that is lost or isolated is replaced at once by the next. After a while it
-// is tried again, beside the others, and has its place again when it answers.
-func (p Primary) selected(now time.Time, known []standing) []netip.AddrPort {
-	if len(known) <= fewKeepers {
+// In a small group these are all keepers. In a larger group a router follows only a few, so that
+// the load of keepers and routers does not grow with the group: those that rank first in its own
+// zone and one elsewhere. A lost or isolated keeper is replaced immediately by the next in rank.
+// After demotionTime it is retried in addition, and is selected again when it answers.
+func (p Primary) selected(now time.Time, known []rankedKeeper) []netip.AddrPort {
+	if len(known) <= maxFullGroup {
 		return addresses(known)
 	}
-	var near, far []standing
+	var near, far []rankedKeeper
 	for _, s := range known {
 		if p.near(s.candidate) == 1 {
 			near = append(near, s)
@@ -56,41 +56,41 @@
 			far = append(far, s)
 		}
 	}
-	near, sound := take(now, near, max(nearFollowed, followedMost-len(far)))
-	far, _ = take(now, far, followedMost-sound)
+	near, healthy := selectHealthy(now, near, max(sameZoneFollowed, maxFollowed-len(far)))
+	far, _ = selectHealthy(now, far, maxFollowed-healthy)
 	return append(addresses(near), addresses(far)...)
 }
 
-// take returns so many keepers that have not failed, as far as there are, and how many they are;
-// beside them those that are to be tried again because they would come first if they answered.
-// Where none is sound many are tried, the one that failed longest ago first.
-func take(now time.Time, of []standing, want int) (taken []standing, sound int) {
-	slices.SortFunc(of, func(a, b standing) int {
+// selectHealthy returns up to want keepers that have not failed, and their number in healthy.
+// Taken also contains the failed keepers to retry, which would rank before the selected ones if
+// they answered. If no keeper is healthy, several are tried, the one that failed longest ago first.
+func selectHealthy(now time.Time, of []rankedKeeper, want int) (taken []rankedKeeper, healthy int) {
+	slices.SortFunc(of, func(a, b rankedKeeper) int {
 		return cmp.Or(
-			compareBools(a.failed, b.failed), a.passed.Compare(b.passed),
+			compareBools(a.failed, b.failed), a.demotedUntil.Compare(b.demotedUntil),
 			cmp.Compare(b.rank, a.rank), a.address.Compare(b.address),
 		)
 	})
-	tried, last := 0, uint64(0) // last is the rank of the last sound one
+	tried, last := 0, uint64(0) // last is the rank of the last healthy one
 	for _, s := range of {
 		switch {
-		case !s.failed && sound < want:
-			sound, last = sound+1, s.rank
+		case !s.failed && healthy < want:
+			healthy, last = healthy+1, s.rank
 		case !s.failed:
 			continue
-		case sound > 0 && (tried == triedMost || now.Before(s.passed)), len(taken) >= want+triedMost:
-			return taken, sound
-		case sound == want && s.rank < last:
+		case healthy > 0 && (tried == maxRetried || now.Before(s.demotedUntil)), len(taken) >= want+maxRetried:
+			return taken, healthy
+		case healthy == want && s.rank < last:
 			continue
 		default:
 			tried++
 		}
 		taken = append(taken, s)
 	}
-	return taken, sound
+	return taken, healthy
 }
 
-func addresses(of []standing) []netip.AddrPort {
+func addresses(of []rankedKeeper) []netip.AddrPort {
 	addresses := make([]netip.AddrPort, 0, len(of))
 	for _, s := range of {
 		addresses = append(addresses, s.address)
--- a/lib/subscriber/selection_test.go
+++ b/lib/subscriber/selection_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// group is keepers in zones, some of which cannot be reached or have no quorum.
+// group is a group of keepers in several zones, some of which are unreachable or have no quorum.
 type group struct {
 	zones, keepers int
-	lost, isolated map[int]bool // keepers by number
+	lost, isolated map[int]bool // by the keepers' numbers
 }
 
 func (g group) address(i int) netip.AddrPort {
@@ -21,12 +21,12 @@
 
 func zoneName(i int) string { return fmt.Sprint("zone-", i) }
 
-// router is one router's view of a group, polled in rounds of reviewPause.
+// router is one router's view of a group, polled in rounds of reconcileInterval.
 type router struct {
 	Primary
 	now      time.Time
 	members  map[netip.AddrPort]*member
-	followed map[netip.AddrPort]bool // true for good ones
+	followed map[netip.AddrPort]bool // true if reachable and not isolated
 }
 
 func (g group) router(i int) *router {
@@ -40,14 +40,14 @@
 	return r
 }
 
-// poll lets a round pass: all that are followed are asked, and others followed in place of those
-// that do not answer or are isolated. It returns how many were asked.
+// poll runs one round: it selects keepers, replacing those that failed in earlier rounds, and
+// polls the selected ones. It returns the number of polled keepers.
 func (g group) poll(r *router) int {
-	var known []standing
+	var known []rankedKeeper
 	for address, m := range r.members {
-		known = append(known, standing{
+		known = append(known, rankedKeeper{
 			candidate: candidate{address: address, zone: m.zone}, rank: m.rank,
-			failed: m.failed, passed: m.passed,
+			failed: m.failed, demotedUntil: m.demotedUntil,
 		})
 	}
 	r.followed = make(map[netip.AddrPort]bool)
@@ -56,25 +56,25 @@
 		r.followed[address] = false
 	}
 	for k := range g.keepers {
-		if _, asked := r.followed[g.address(k)]; !asked {
+		if _, polled := r.followed[g.address(k)]; !polled {
 			continue
 		}
-		good := !g.lost[k] && !g.isolated[k]
-		r.followed[g.address(k)] = good
+		healthy := !g.lost[k] && !g.isolated[k]
+		r.followed[g.address(k)] = healthy
 		m := r.members[g.address(k)]
-		m.failed, m.passed = !good, time.Time{}
-		if !good {
-			m.passed = r.now.Add(passTime)
+		m.failed, m.demotedUntil = !healthy, time.Time{}
+		if !healthy {
+			m.demotedUntil = r.now.Add(demotionTime)
 		}
 	}
-	r.now = r.now.Add(reviewPause)
+	r.now = r.now.Add(reconcileInterval)
 	return len(selected)
 }
 
-func (r *router) good() (near, far int) {
-	for address, good := range r.followed {
+func (r *router) healthy() (near, far int) {
+	for address, healthy := range r.followed {
 		switch {
-		case !good:
+		case !healthy:
 		case r.members[address].zone == r.Zone:
 			near++
 		default:
@@ -84,8 +84,8 @@
 	return near, far
 }
 
-// Guards against a fleet in which each router follows each keeper, so that all of them together
-// ask for more than keepers can answer.
+// Guards against a fleet in which every router follows every keeper, so that the polls exceed the
+// capacity of the keepers.
 func TestRoutersFollowFewOfManyKeepers(t *testing.T) {
 	tests := map[string]struct{ routers, zones, keepers, each int }{
 		"a small group":       {8, 3, 3, 3},
@@ -102,14 +102,14 @@
 			followers := make(map[netip.AddrPort]int)
 			for i := range test.routers {
 				r := g.router(i)
-				require.Equal(t, test.each, g.poll(r), "no more are asked at first")
+				require.Equal(t, test.each, g.poll(r), "the first round polls only the selected keepers")
 				g.poll(r)
 				require.Len(t, r.followed, test.each)
-				near, far := r.good()
+				near, far := r.healthy()
 				require.Equal(t, test.each, near+far)
-				if test.zones > 1 && test.keepers > fewKeepers {
+				if test.zones > 1 && test.keepers > maxFullGroup {
 					require.Positive(t, near)
-					require.Positive(t, far, "one elsewhere tells of a zone that is cut off")
+					require.Positive(t, far, "a keeper elsewhere reports that the zone is cut off")
 				}
 				for address := range r.followed {
 					followers[address]++
@@ -123,10 +123,10 @@
 	}
 }
 
-// Guards against a router that hears nobody, or only keepers without a quorum, while others are
-// there: whatever is lost or cut off, it follows a good one within the time for which a change
-// may take.
-func TestRoutersFindAGoodKeeper(t *testing.T) {
+// Guards against a router that follows only unreachable keepers or keepers without a quorum while
+// healthy ones exist: whatever is lost or partitioned, it follows a healthy one within the time
+// that a change may take.
+func TestRoutersFindAHealthyKeeper(t *testing.T) {
 	numbers := func(of ...int) map[int]bool {
 		set := make(map[int]bool)
 		for _, i := range of {
@@ -140,18 +140,18 @@
 		}
 		return of
 	}
-	// Each round asks further ones, of twenty in other zones.
-	const soon, most = 3, 10 // rounds
+	// Each round polls further keepers, of twenty in other zones.
+	const few, many = 3, 10 // rounds
 	tests := map[string]struct {
 		lost, isolated map[int]bool
 		rounds         int
 	}{
-		"two keepers are lost":      {numbers(0, 7), nil, soon},
-		"the own zone's are lost":   {numbers(zone(0, 5, 25)...), nil, soon},
-		"the others' are lost":      {numbers(append(append(append(zone(1, 5, 25), zone(2, 5, 25)...), zone(3, 5, 25)...), zone(4, 5, 25)...)...), nil, most},
-		"half of them are cut off":  {nil, numbers(0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11), soon},
-		"one zone's have no quorum": {nil, numbers(zone(0, 5, 25)...), soon},
-		"all but one are lost":      {numbers(0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23), nil, most},
+		"two keepers are lost":      {numbers(0, 7), nil, few},
+		"the own zone's are lost":   {numbers(zone(0, 5, 25)...), nil, few},
+		"the others' are lost":      {numbers(append(append(append(zone(1, 5, 25), zone(2, 5, 25)...), zone(3, 5, 25)...), zone(4, 5, 25)...)...), nil, many},
+		"half of them are cut off":  {nil, numbers(0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11), few},
+		"one zone's have no quorum": {nil, numbers(zone(0, 5, 25)...), few},
+		"all but one are lost":      {numbers(0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23), nil, many},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -163,15 +163,15 @@
 				}
 				g.lost, g.isolated = test.lost, test.isolated
 				for range test.rounds {
-					require.LessOrEqual(t, g.poll(r), nearFollowed+followedMost+2*triedMost)
+					require.LessOrEqual(t, g.poll(r), sameZoneFollowed+maxFollowed+2*maxRetried)
 				}
-				near, far := r.good()
+				near, far := r.healthy()
 				require.Positive(t, near+far, "router %d", i)
 				g.lost, g.isolated = nil, nil
-				for range int(passTime/reviewPause) + 3 {
+				for range int(demotionTime/reconcileInterval) + 3 {
 					g.poll(r)
 				}
-				require.Len(t, r.followed, followedMost, "and the first ones again when all are back")
+				require.Len(t, r.followed, maxFollowed, "only the highest-ranked keepers again after all have recovered")
 			}
 		})
 	}
--- a/lib/subscriber/subscriber.go
+++ b/lib/subscriber/subscriber.go
@@ -1,20 +1,21 @@
-// Package subscriber follows keepers: it keeps one long poll open at each that it
-// follows, hands in what this process reports, and hands out the news.
+// Package subscriber follows keepers: it keeps one long poll open at each followed keeper,
+// sends this process's reports with the polls, and passes the answers to its host.
 //
-// Keepers are found from a few addresses: answers name the whole group. Keepers follow all
-// others, routers a few of them where the group is large.
+// Keepers are discovered from a few seed addresses: each answer names the whole group.
+// Keepers follow all their peers; routers follow only a few keepers of a large group.
 //
-// A router reports to one of them, its primary, which adds its report to those that
-// the other keepers have and tells the sums. The rest is followed briefly: for changes,
-// and to know that the path works. Reports and sums at every keeper would cost each of
-// them the whole fleet, most of it between zones. Where the primary is lost, another
-// one that answers takes its place at once.
+// A router reports to one of the followed keepers, its primary, which aggregates the report
+// with those of the other keepers and returns the sums. The others are followed with brief
+// polls, for changes and to verify that the path works. With reports and sums at every
+// keeper, each of them would carry the traffic of the whole fleet, most of it between zones.
+// When the primary is lost, another keeper that answers replaces it immediately.
 //
-// Invariants: every poll is bounded in time, because a connection may go silent
-// without a reset; a keeper that does not answer is asked again after a pause
-// that rises to MaxPause and never further, or after passTime where another one is
-// followed in its place, so that one that is back is heard of within that time; one
-// keeper's silence delays no other keeper's news.
+// Invariants:
+//   - every poll is bounded in time, because a connection may go silent without a reset;
+//   - a keeper that does not answer is polled again after a pause that grows to MaxPause at
+//     most, or after demotionTime if another keeper is followed in its place, so that its
+//     return is detected within that time;
+//   - the silence of one keeper does not delay the updates of another.
 package subscriber
 
 import (
@@ -32,134 +33,134 @@
 )
 
 const (
-	// DefaultWait is how long a keeper holds a poll without news. Each end takes
-	// the other's answer for a heartbeat, so that it is a fraction of the three
-	// seconds after which a lost path must have been noticed.
+	// DefaultWait is how long a keeper holds a poll when there are no updates. Each side
+	// uses the other's messages as heartbeats, so this is a fraction of the three seconds
+	// within which a lost path must be detected.
 	DefaultWait = 500 * time.Millisecond
-	// slack is how long an answer may be late before the poll is given up.
+	// slack is how long after the poll's wait time an answer may arrive before the poll times out.
 	slack = 700 * time.Millisecond
-	// MinPause is the pause after a poll that failed.
+	// MinPause is the pause after the first failed poll.
 	MinPause = 100 * time.Millisecond
-	// MaxPause is the longest pause that repeated failures lead to.
+	// MaxPause is the upper bound of the exponential backoff after repeated failures.
 	MaxPause = 800 * time.Millisecond
-	// FirstPause is the pause as long as no keeper at all has answered. After a loss of
-	// power processes start within some 0.3 s of one another: with longer pauses routers
-	// were without a configuration for 0.6 s after their start, and refused all that came.
-	FirstPause = 50 * time.Millisecond
-	// FirstTries is for how many polls of a keeper that pause holds.
-	FirstTries = 40
-	// firstSlack bounds the first polls of a keeper as long as none has answered; it doubles
-	// with each patienceTries of them, up to slack. An instance that has no power yet says
-	// nothing, and who waits for it as long as for one that is busy finds it late when it is
-	// up.
-	firstSlack    = 120 * time.Millisecond
-	patienceTries = 5
-	// retired is how long a keeper that no group names any more is still asked.
-	retired = 30 * time.Second
-	// settleTime is how long after the first whole list a keeper that answers is left only for
-	// one of the own zone, and one of the own zone for none.
+	// InitialPause is the pause between polls while no keeper has answered yet. After a power
+	// loss the processes start within some 0.3 s of one another: with longer pauses routers
+	// have no configuration for 0.6 s after their start, and refuse all requests.
+	InitialPause = 50 * time.Millisecond
+	// InitialTries is the number of polls of a keeper for which InitialPause applies.
+	InitialTries = 40
+	// initialSlack replaces slack for the first polls of a keeper while no keeper has answered
+	// yet; it doubles every slackDoublingTries polls, up to slack. A machine without power
+	// sends no answer at all; waiting for it as long as for a busy keeper would delay the
+	// detection that it is up.
+	initialSlack       = 120 * time.Millisecond
+	slackDoublingTries = 5
+	// unnamedTimeout is how long a keeper is still polled after it was last named in a group.
+	unnamedTimeout = 30 * time.Second
+	// settleTime is the period after the first complete list in which a primary that answers is
+	// replaced only by a keeper of the own zone, and a primary of the own zone not at all.
 	settleTime = 2 * time.Second
-	// maxKeepers bounds the keepers that are known, as the largest group is bounded.
+	// maxKeepers bounds the number of known keepers, as the size of a group is bounded.
 	maxKeepers = 64
-	// reviewPause is how often it is looked at who is to be followed where nothing has happened:
-	// a keeper that was passed over has its place again after a while.
-	reviewPause = time.Second
+	// reconcileInterval is how often the selection of followed keepers is recomputed when nothing
+	// has changed: the demotion of a keeper ends after some time.
+	reconcileInterval = time.Second
 )
 
-// ErrLeft means that a keeper is followed no more because others are.
-var ErrLeft = merry.Sentinel("another keeper is followed in its place")
+// ErrReplaced is passed to Host.Lost when a keeper is no longer followed because others are.
+var ErrReplaced = merry.Sentinel("another keeper is followed in its place")
 
-// Host is who follows.
+// Host is the process that follows keepers.
 type Host interface {
-	// Report returns what the keeper at an address is told with the next poll. Epoch,
-	// after, wait, brief, group and partial are filled in by the subscriber. A brief report leaves out
-	// what only the primary is told.
+	// Report returns the request of the next poll of a keeper. The subscriber fills in epoch,
+	// after, wait, brief, group and partial. A brief report omits the fields that only the
+	// primary needs.
 	Report(keeper netip.AddrPort, brief bool) *messenger.FollowRequest
-	// News takes an answer. It is called by one goroutine for each keeper.
-	News(ctx context.Context, keeper netip.AddrPort, news *messenger.FollowResponse)
-	// Lost tells that a keeper that answered before does not, or is followed no more.
+	// Update receives a keeper's answer. It is called from one goroutine per keeper.
+	Update(ctx context.Context, keeper netip.AddrPort, answer *messenger.FollowResponse)
+	// Lost is called when a keeper that answered before stops answering or is no longer followed.
 	Lost(keeper netip.AddrPort, err error)
 }
 
-// Options are what a Subscriber is made of.
+// Options configure a Subscriber.
 type Options struct {
 	Host  Host
 	Clock clockwork.Clock
 	Log   zerolog.Logger
-	// Dial returns the client of a keeper.
+	// Dial returns a client for the keeper at an address.
 	Dial func(address netip.AddrPort) messenger.Planning
-	// Own is this process's control address, which is never followed.
+	// Own is the control address of this process; it is never followed.
 	Own netip.AddrPort
-	// Wait is DefaultWait if 0. Pace changes it.
+	// Wait is how long keepers hold a poll, DefaultWait if 0. Pace changes it.
 	Wait time.Duration
-	// Primary chooses the keepers that are followed and the one that is reported to. Without
-	// it all of them are.
+	// Primary selects the followed keepers and the one that gets the reports. If nil, all
+	// keepers are followed and get the reports.
 	Primary *Primary
 }
 
-// Subscriber follows keepers.
+// Subscriber follows keepers by long polls.
 type Subscriber struct {
 	options Options
 
-	wait     atomic.Int64 // a time.Duration, of polls of the primary
-	brief    atomic.Int64 // a time.Duration, of the others
-	mutex    sync.Mutex
-	ctx      context.Context
-	members  map[netip.AddrPort]*member
-	followed map[netip.AddrPort]*followed
-	ending   map[netip.AddrPort]<-chan struct{} // followings that were ended, until they have
-	primary  netip.AddrPort
-	reviewed time.Time     // when it was looked at last who is to be followed
-	listed   time.Time     // when a keeper told its whole list first
-	answered bool          // any keeper has answered since the start
-	begun    chan struct{} // closed then
-	group    sync.WaitGroup
+	wait           atomic.Int64 // time.Duration for which the primary holds polls
+	brief          atomic.Int64 // time.Duration for which the other keepers hold polls
+	mutex          sync.Mutex
+	ctx            context.Context
+	members        map[netip.AddrPort]*member
+	followed       map[netip.AddrPort]*following
+	ending         map[netip.AddrPort]<-chan struct{} // closed when the goroutine of a former following has ended
+	primary        netip.AddrPort
+	lastReconciled time.Time     // time of the last reconcile
+	firstListing   time.Time     // time of the first complete list from a keeper
+	answered       bool          // whether any keeper has answered since the start
+	firstAnswer    chan struct{} // closed at the first answer of any keeper
+	group          sync.WaitGroup
 }
 
-// followed is the following of one keeper.
-type followed struct {
-	end      context.CancelFunc
-	ended    chan struct{}
-	epoch    uint64
-	after    uint64
-	group    uint64           // digest of the group as it was named last
-	names    []netip.AddrPort // that group
-	answer   bool             // the last poll was answered
-	isolated bool             // it had had no contact with a quorum for long
-	zone     string
-	whole    bool // it has told its whole list, and every change since; a brief answer leaves some out
-	// promote ends the poll that is under way, because the keeper has become the primary.
-	// It is nil while a poll of the primary is under way, or none.
+// following is the state of following one keeper.
+type following struct {
+	cancel         context.CancelFunc
+	ended          chan struct{}
+	epoch          uint64
+	after          uint64
+	group          uint64           // digest of the group that the keeper named last
+	groupAddresses []netip.AddrPort // addresses of that group
+	answering      bool             // whether the last poll was answered
+	isolated       bool             // whether the keeper reported to have had no contact with a quorum for long
+	zone           string
+	complete       bool // the keeper has sent its complete list and every change since; a brief answer omits some
+	// promote cancels the brief poll in flight because the keeper has become the primary.
+	// It is nil while no brief poll is in flight.
 	promote  context.CancelFunc
-	promoted bool // promote was called
+	promoted bool // whether promote was called
 }
 
-// New returns a subscriber that follows nobody yet.
+// New returns a subscriber that does not follow any keeper yet.
 func New(options Options) *Subscriber {
 	if options.Wait == 0 {
 		options.Wait = DefaultWait
 	}
 	s := &Subscriber{
 		options: options, members: make(map[netip.AddrPort]*member),
-		followed: make(map[netip.AddrPort]*followed), ending: make(map[netip.AddrPort]<-chan struct{}),
-		begun: make(chan struct{}),
+		followed: make(map[netip.AddrPort]*following), ending: make(map[netip.AddrPort]<-chan struct{}),
+		firstAnswer: make(chan struct{}),
 	}
 	s.Pace(options.Wait, options.Wait)
 	return s
 }
 
-// Pace sets how long polls of the primary and of the other keepers are held from now on.
+// Pace sets how long the primary and the other keepers hold polls from now on.
 func (s *Subscriber) Pace(primary, others time.Duration) {
 	s.wait.Store(int64(primary))
 	s.brief.Store(int64(others))
 }
 
-// Run follows until the context ends.
+// Run follows keepers, starting from the seed addresses, until the context ends.
 func (s *Subscriber) Run(ctx context.Context, seeds ...netip.AddrPort) {
 	s.mutex.Lock()
 	s.ctx = ctx
 	s.mutex.Unlock()
-	s.Know(seeds...)
+	s.AddKeepers(seeds...)
 	<-ctx.Done()
 	s.group.Wait()
 }
@@ -170,36 +171,36 @@
 	defer s.mutex.Unlock()
 	var keepers []netip.AddrPort
 	for address, known := range s.followed {
-		if known.answer {
+		if known.answering {
 			keepers = append(keepers, address)
 		}
 	}
 	return keepers
 }
 
-// Answering returns how many keepers answered their last poll.
+// Answering returns the number of keepers that answered their last poll.
 func (s *Subscriber) Answering() int {
 	return len(s.Answerers())
 }
 
 // follow polls one keeper until the context ends.
-func (s *Subscriber) follow(ctx context.Context, address netip.AddrPort, f *followed) {
+func (s *Subscriber) follow(ctx context.Context, address netip.AddrPort, f *following) {
 	client := s.options.Dial(address)
 	pause, tries := MinPause, 0
 	for ctx.Err() == nil {
-		news, err := s.poll(ctx, client, address, f, s.slackFor(tries))
+		answer, err := s.poll(ctx, client, address, f, s.slackFor(tries))
 		if err == nil {
 			pause = MinPause
-			s.options.Host.News(ctx, address, news)
+			s.options.Host.Update(ctx, address, answer)
 			continue
 		}
-		if ctx.Err() == nil && s.wasPromoted(f) {
+		if ctx.Err() == nil && s.takePromoted(f) {
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		s.lost(address, f, err)
+		s.handleLoss(address, f, err)
 		select {
 		case <-ctx.Done():
 		case <-s.options.Clock.After(s.pause(tries, pause)):
@@ -209,8 +210,9 @@
 	}
 }
 
-// wasPromoted tells, once, whether a poll was ended because its keeper is the primary now.
-func (s *Subscriber) wasPromoted(f *followed) bool {
+// takePromoted reports and clears whether the last poll was cancelled because its keeper has
+// become the primary.
+func (s *Subscriber) takePromoted(f *following) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	was := f.promoted
@@ -218,77 +220,79 @@
 	return was
 }
 
-// pause returns how long to wait after a poll that failed.
+// pause returns how long to wait after a failed poll; usual is the backoff that applies once
+// any keeper has answered.
 func (s *Subscriber) pause(tries int, usual time.Duration) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.answered && tries < FirstTries {
-		return FirstPause
+	if !s.answered && tries < InitialTries {
+		return InitialPause
 	}
 	return usual
 }
 
-// slackFor returns how late an answer may be after so many polls without one.
+// slackFor returns how late an answer may be after the given number of failed polls.
 func (s *Subscriber) slackFor(tries int) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.answered || tries >= FirstTries {
+	if s.answered || tries >= InitialTries {
 		return slack
 	}
-	return min(firstSlack<<(tries/patienceTries), slack)
+	return min(initialSlack<<(tries/slackDoublingTries), slack)
 }
 
-// poll asks a keeper once. Slack is how late its answer may be.
-func (s *Subscriber) poll(ctx context.Context, client messenger.Planning, address netip.AddrPort, f *followed, slack time.Duration) (*messenger.FollowResponse, error) {
+// poll polls a keeper once. Slack is how long after the wait time the answer may arrive.
+func (s *Subscriber) poll(ctx context.Context, client messenger.Planning, address netip.AddrPort, f *following, slack time.Duration) (*messenger.FollowResponse, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	brief := s.prepare(address, f, cancel)
 	request := s.options.Host.Report(address, brief)
 	request.Brief, request.Epoch, request.After, request.Group = brief, f.epoch, f.after, f.group
 	request.Partial = s.partial()
-	if !brief && !f.whole {
+	if !brief && !f.complete {
 		request.Epoch, request.After = 0, 0
 	}
 	wait := s.waitFor(brief, f)
 	request.WaitMs = uint32(wait / time.Millisecond)
 	ctx, expire := context.WithTimeout(ctx, wait+slack)
 	defer expire()
-	news, err := client.Follow(ctx, request)
+	answer, err := client.Follow(ctx, request)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	f.promote = nil
 	if err != nil {
 		return nil, err
 	}
-	s.heard(address, f, brief, news)
-	return news, nil
+	s.handleAnswer(address, f, brief, answer)
+	return answer, nil
 }
 
-// heard notes what an answer tells of its keeper, and of who is the primary.
-func (s *Subscriber) heard(address netip.AddrPort, f *followed, brief bool, news *messenger.FollowResponse) {
-	if !f.answer {
-		s.options.Log.Info().Stringer("keeper", address).Uint64("plan", news.GetPlan()).Msg("keeper answers")
+// handleAnswer updates the state of the keeper and the group from an answer, and chooses the
+// primary again.
+func (s *Subscriber) handleAnswer(address netip.AddrPort, f *following, brief bool, answer *messenger.FollowResponse) {
+	if !f.answering {
+		s.options.Log.Info().Stringer("keeper", address).Uint64("plan", answer.GetPlan()).Msg("keeper answers")
 	}
 	now := s.options.Clock.Now()
-	if !brief && s.listed.IsZero() {
-		s.listed = now
+	if !brief && s.firstListing.IsZero() {
+		s.firstListing = now
 	}
 	first := !s.answered
-	changed := !f.answer || f.isolated != news.GetIsolated() || now.Sub(s.reviewed) > reviewPause
-	s.answered, f.answer, f.promoted, f.whole = true, true, false, !brief
-	f.epoch, f.after, f.zone, f.isolated = news.GetEpoch(), news.GetNext(), news.GetZone(), news.GetIsolated()
-	s.judge(now, address, f)
-	if s.learn(now, f, news) || changed {
-		s.review(now)
+	changed := !f.answering || f.isolated != answer.GetIsolated() || now.Sub(s.lastReconciled) > reconcileInterval
+	s.answered, f.answering, f.promoted, f.complete = true, true, false, !brief
+	f.epoch, f.after, f.zone, f.isolated = answer.GetEpoch(), answer.GetNext(), answer.GetZone(), answer.GetIsolated()
+	s.updateDemotion(now, address, f)
+	if s.updateGroup(now, f, answer) || changed {
+		s.reconcile(now)
 	}
 	if first {
-		close(s.begun)
+		close(s.firstAnswer)
 	}
-	s.choose()
+	s.choosePrimary()
 }
 
-// prepare prepares a poll, and tells whether it is a brief one.
-func (s *Subscriber) prepare(address netip.AddrPort, f *followed, cancel context.CancelFunc) bool {
+// prepare prepares a poll, and reports whether it is a brief one.
+func (s *Subscriber) prepare(address netip.AddrPort, f *following, cancel context.CancelFunc) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.options.Primary == nil || s.primary == address {
@@ -298,16 +302,17 @@
 	return true
 }
 
-// settling tells whether the first whole list was told only just.
+// settling reports whether the first complete list arrived less than settleTime ago.
 func (s *Subscriber) settling() bool {
-	return !s.listed.IsZero() && s.options.Clock.Since(s.listed) < settleTime
+	return !s.firstListing.IsZero() && s.options.Clock.Since(s.firstListing) < settleTime
 }
 
-// waitFor returns how long a keeper may hold a poll. The first answer is wanted at once:
-// it tells that the path works, or the whole list.
-func (s *Subscriber) waitFor(brief bool, f *followed) time.Duration {
+// waitFor returns how long a keeper may hold a poll. A keeper that did not answer the last poll,
+// or has to send its complete list, must not hold it: the answer shows that the path works, or
+// brings the list.
+func (s *Subscriber) waitFor(brief bool, f *following) time.Duration {
 	switch {
-	case !f.answer, !brief && !f.whole:
+	case !f.answering, !brief && !f.complete:
 		return 0
 	case brief:
 		return time.Duration(s.brief.Load())
@@ -315,20 +320,20 @@
 	return time.Duration(s.wait.Load())
 }
 
-// choose looks which keeper is the primary. One that becomes it is polled anew: the poll
-// that it holds may last for long, and until then nobody would have the report. It is asked
-// for its whole list, because what it had told briefly left endpoints out.
+// choosePrimary chooses the primary among the keepers that answer. A new primary is polled
+// again immediately: it may hold the brief poll for long, and no keeper would have the report
+// until it ends. It is asked for its complete list, because brief answers omit endpoints.
 //
-// While the keepers answer for the first time, one after the other, each of them may rank
-// before the last. Each change would cost another list, of hundreds of kilobytes in a large
-// fleet, told to all routers at the moment at which they are waited for.
-func (s *Subscriber) choose() {
+// While the keepers answer for the first time, one after the other, each may rank before the
+// previous one. Every change of the primary would cost another complete list, of hundreds of
+// kilobytes in a large fleet, sent to all routers just when their clients wait for them.
+func (s *Subscriber) choosePrimary() {
 	if s.options.Primary == nil {
 		return
 	}
 	var candidates []candidate
 	for address, f := range s.followed {
-		if f.answer {
+		if f.answering {
 			candidates = append(candidates, candidate{address: address, zone: f.zone, isolated: f.isolated})
 		}
 	}
@@ -336,9 +341,9 @@
 	if chosen == s.primary {
 		return
 	}
-	present, found := s.followed[s.primary]
-	near := func(f *followed) bool { return f.zone == s.options.Primary.Zone }
-	if found && present.answer && !present.isolated && s.settling() && (near(present) || !near(s.followed[chosen])) {
+	current, found := s.followed[s.primary]
+	inOwnZone := func(f *following) bool { return f.zone == s.options.Primary.Zone }
+	if found && current.answering && !current.isolated && s.settling() && (inOwnZone(current) || !inOwnZone(s.followed[chosen])) {
 		return
 	}
 	s.options.Log.Info().Str("keeper", nameOf(chosen)).Str("before", nameOf(s.primary)).Int("answering", len(candidates)).
@@ -350,7 +355,7 @@
 	}
 }
 
-// nameOf names a primary in the log.
+// nameOf formats the address of a primary for the log.
 func nameOf(address netip.AddrPort) string {
 	if !address.IsValid() {
 		return "none"
@@ -358,14 +363,16 @@
 	return address.String()
 }
 
-func (s *Subscriber) lost(address netip.AddrPort, f *followed, err error) {
+// handleLoss updates the state after a failed poll, and notifies the host if the keeper answered
+// before.
+func (s *Subscriber) handleLoss(address netip.AddrPort, f *following, err error) {
 	s.mutex.Lock()
 	now := s.options.Clock.Now()
-	answered := f.answer
-	f.answer = false
-	s.judge(now, address, f)
-	s.review(now)
-	s.choose()
+	answered := f.answering
+	f.answering = false
+	s.updateDemotion(now, address, f)
+	s.reconcile(now)
+	s.choosePrimary()
 	s.mutex.Unlock()
 	if answered {
 		s.options.Log.Warn().Stringer("keeper", address).Err(err).Msg("keeper does not answer")
@@ -373,15 +380,15 @@
 	}
 }
 
-// leave ends the following of a keeper. It is the last that the host hears of it.
-func (s *Subscriber) leave(address netip.AddrPort, f *followed) {
+// finish ends the following of a keeper. It makes the last call to the host about this following.
+func (s *Subscriber) finish(address netip.AddrPort, f *following) {
 	defer close(f.ended)
 	s.mutex.Lock()
-	answered := f.answer && s.ctx.Err() == nil
-	f.answer = false
+	answered := f.answering && s.ctx.Err() == nil
+	f.answering = false
 	s.mutex.Unlock()
 	if answered {
 		s.options.Log.Info().Stringer("keeper", address).Msg("keeper is followed no more")
-		s.options.Host.Lost(address, ErrLeft)
+		s.options.Host.Lost(address, ErrReplaced)
 	}
 }
--- a/lib/subscriber/subscriber_test.go
+++ b/lib/subscriber/subscriber_test.go
@@ -15,22 +15,22 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-const patience = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
 var errDown = errors.New("down")
 
-// keeper is a stand-in that answers polls as a test says.
+// keeper is a fake keeper that answers polls by a function of the test.
 type keeper struct {
 	messenger.Planning
-	mutex  sync.Mutex
-	asked  []*messenger.FollowRequest
-	answer func(ctx context.Context, n int) (*messenger.FollowResponse, error)
+	mutex    sync.Mutex
+	received []*messenger.FollowRequest
+	answer   func(ctx context.Context, n int) (*messenger.FollowResponse, error)
 }
 
 func (k *keeper) Follow(ctx context.Context, request *messenger.FollowRequest) (*messenger.FollowResponse, error) {
 	k.mutex.Lock()
-	k.asked = append(k.asked, request)
-	n := len(k.asked)
+	k.received = append(k.received, request)
+	n := len(k.received)
 	k.mutex.Unlock()
 	return k.answer(ctx, n)
 }
@@ -38,28 +38,28 @@
 func (k *keeper) requests() []*messenger.FollowRequest {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return append([]*messenger.FollowRequest(nil), k.asked...)
+	return append([]*messenger.FollowRequest(nil), k.received...)
 }
 
-// host remembers what it was told.
+// host counts the calls of Update and Lost for each keeper.
 type host struct {
-	mutex sync.Mutex
-	news  map[netip.AddrPort]int
-	lost  map[netip.AddrPort]int
+	mutex   sync.Mutex
+	updates map[netip.AddrPort]int
+	lost    map[netip.AddrPort]int
 }
 
 func newHost() *host {
-	return &host{news: make(map[netip.AddrPort]int), lost: make(map[netip.AddrPort]int)}
+	return &host{updates: make(map[netip.AddrPort]int), lost: make(map[netip.AddrPort]int)}
 }
 
 func (h *host) Report(netip.AddrPort, bool) *messenger.FollowRequest {
 	return &messenger.FollowRequest{Node: "me"}
 }
 
-func (h *host) News(_ context.Context, k netip.AddrPort, _ *messenger.FollowResponse) {
+func (h *host) Update(_ context.Context, k netip.AddrPort, _ *messenger.FollowResponse) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.news[k]++
+	h.updates[k]++
 }
 
 func (h *host) Lost(k netip.AddrPort, _ error) {
@@ -68,13 +68,13 @@
 	h.lost[k]++
 }
 
-func (h *host) heard(k netip.AddrPort) int {
+func (h *host) updatesFrom(k netip.AddrPort) int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.news[k]
+	return h.updates[k]
 }
 
-func (h *host) losses(k netip.AddrPort) int {
+func (h *host) lossesOf(k netip.AddrPort) int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.lost[k]
@@ -103,7 +103,7 @@
 	return s
 }
 
-func paced(ctx context.Context, response *messenger.FollowResponse) (*messenger.FollowResponse, error) {
+func respondAfterPause(ctx context.Context, response *messenger.FollowResponse) (*messenger.FollowResponse, error) {
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -112,71 +112,71 @@
 	}
 }
 
-// Symptom: a router knows only the keepers that its settings name, and loses the
-// fleet when those are replaced. Cause: it did not learn of the others.
+// Guards against a router that knows only the keepers named in its settings, and loses contact
+// with the fleet when these are replaced, because it does not discover the others.
 func TestAllKeepersAreFoundFromOne(t *testing.T) {
 	group := []string{address(1).String(), address(2).String(), address(3).String(), "no address"}
 	answers := func(ctx context.Context, _ int) (*messenger.FollowResponse, error) {
-		return paced(ctx, &messenger.FollowResponse{Epoch: 5, Next: 9, Keepers: group})
+		return respondAfterPause(ctx, &messenger.FollowResponse{Epoch: 5, Next: 9, Keepers: group})
 	}
 	keepers := map[netip.AddrPort]*keeper{address(1): {answer: answers}, address(2): {answer: answers}, address(3): {answer: answers}}
 	h := newHost()
 	s := run(t, h, keepers, address(3), address(1))
-	require.Eventually(t, func() bool { return h.heard(address(1)) > 2 && h.heard(address(2)) > 2 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return h.updatesFrom(address(1)) > 2 && h.updatesFrom(address(2)) > 2 }, waitTimeout, time.Millisecond)
 	require.Equal(t, 2, s.Answering())
-	require.Zero(t, h.heard(address(3)), "nobody follows itself")
+	require.Zero(t, h.updatesFrom(address(3)), "a keeper does not follow itself")
 	first, second := keepers[address(1)].requests()[0], keepers[address(1)].requests()[1]
-	require.Zero(t, first.GetWaitMs(), "the first answer is wanted at once")
+	require.Zero(t, first.GetWaitMs(), "the first poll is not held")
 	require.EqualValues(t, 5, second.GetEpoch())
 	require.EqualValues(t, 9, second.GetAfter())
 }
 
-// Symptom: a router misses a change for as long as one keeper is silent. Sequence:
-// a connection goes silent without a reset; the poll on it never ends. Cause:
-// waits without a bound, or one keeper asked after the other.
-func TestSilentKeeperHoldsUpNobody(t *testing.T) {
+// Guards against a router that misses changes while one keeper is silent: a connection goes
+// silent without a reset and its poll never ends, because waits are unbounded or keepers are
+// polled sequentially.
+func TestSilentKeeperDelaysNoOther(t *testing.T) {
 	keepers := map[netip.AddrPort]*keeper{
 		address(1): {answer: func(ctx context.Context, _ int) (*messenger.FollowResponse, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}},
 		address(2): {answer: func(ctx context.Context, _ int) (*messenger.FollowResponse, error) {
-			return paced(ctx, &messenger.FollowResponse{})
+			return respondAfterPause(ctx, &messenger.FollowResponse{})
 		}},
 	}
 	h := newHost()
 	s := run(t, h, keepers, netip.AddrPort{}, address(1), address(2))
-	require.Eventually(t, func() bool { return h.heard(address(2)) > 20 }, patience, time.Millisecond)
-	require.Eventually(t, func() bool { return len(keepers[address(1)].requests()) > 1 }, patience, time.Millisecond, "it is asked again")
+	require.Eventually(t, func() bool { return h.updatesFrom(address(2)) > 20 }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return len(keepers[address(1)].requests()) > 1 }, waitTimeout, time.Millisecond, "the silent keeper is polled again")
 	require.Equal(t, 1, s.Answering())
 }
 
-func TestLossAndReturnAreTold(t *testing.T) {
+func TestLossIsReportedOnce(t *testing.T) {
 	keepers := map[netip.AddrPort]*keeper{address(1): {answer: func(ctx context.Context, n int) (*messenger.FollowResponse, error) {
 		if n == 3 || n == 4 {
 			return nil, errDown
 		}
-		return paced(ctx, &messenger.FollowResponse{})
+		return respondAfterPause(ctx, &messenger.FollowResponse{})
 	}}}
 	h := newHost()
 	run(t, h, keepers, netip.AddrPort{}, address(1))
-	require.Eventually(t, func() bool { return h.heard(address(1)) > 5 }, patience, time.Millisecond)
-	require.Equal(t, 1, h.losses(address(1)), "once for the two polls that failed")
+	require.Eventually(t, func() bool { return h.updatesFrom(address(1)) > 5 }, waitTimeout, time.Millisecond)
+	require.Equal(t, 1, h.lossesOf(address(1)), "one loss for two failed polls in a row")
 }
 
-// Symptom: for 0.6 s after a loss of power routers have no configuration. Sequence: all
-// processes start together, a router's first polls find no keeper yet. Cause: the pause
-// between polls doubled as it does for a keeper that is lost.
-func TestFirstPollsFollowOneAnotherQuickly(t *testing.T) {
+// Guards against routers without a configuration for 0.6 s after a power loss: all processes
+// start together, a router's first polls find no keeper yet, and the pause between polls doubles
+// as it does for a lost keeper.
+func TestInitialPollsAreRetriedQuickly(t *testing.T) {
 	tests := map[string]struct {
 		answered bool
 		tries    int
 		want     time.Duration
 	}{
-		"nobody has answered":          {false, 0, FirstPause},
-		"nobody has for long":          {false, FirstTries, MaxPause},
-		"another keeper has answered":  {true, 0, MaxPause},
-		"the last of the first, still": {false, FirstTries - 1, FirstPause},
+		"no keeper has answered":      {false, 0, InitialPause},
+		"no keeper has for long":      {false, InitialTries, MaxPause},
+		"another keeper has answered": {true, 0, MaxPause},
+		"the last initial try":        {false, InitialTries - 1, InitialPause},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -187,23 +187,22 @@
 	}
 }
 
-// Symptom: after a loss of power routers are without a configuration for half a second
-// after their keepers are up. Sequence: a router is up first; what it sends to instances
-// without power is lost, and it waits for each answer as long as for a busy keeper's. Cause:
-// one bound for both.
-func TestFirstPollsAreGivenUpSoon(t *testing.T) {
+// Guards against routers without a configuration for half a second after their keepers are up
+// again after a power loss: a router starts first, its messages to machines without power are
+// lost, and with a single timeout it waits as long for each answer as for a busy keeper's.
+func TestInitialPollsTimeOutSoon(t *testing.T) {
 	tests := map[string]struct {
 		answered bool
 		tries    int
 		want     time.Duration
 	}{
-		"the first":                     {false, 0, firstSlack},
-		"the fifth":                     {false, patienceTries - 1, firstSlack},
-		"keepers may be busy":           {false, patienceTries, 2 * firstSlack},
-		"they may be very busy":         {false, 4 * patienceTries, slack},
-		"nobody has answered for long":  {false, FirstTries, slack},
-		"another keeper has answered":   {true, 0, slack},
-		"another one, after some tries": {true, patienceTries, slack},
+		"the first poll":               {false, 0, initialSlack},
+		"the fifth poll":               {false, slackDoublingTries - 1, initialSlack},
+		"keepers may be busy":          {false, slackDoublingTries, 2 * initialSlack},
+		"they may be very busy":        {false, 4 * slackDoublingTries, slack},
+		"no keeper answered for long":  {false, InitialTries, slack},
+		"another keeper has answered":  {true, 0, slack},
+		"another one after some tries": {true, slackDoublingTries, slack},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/router/internal/conductor/conductor.go
+++ b/router/internal/conductor/conductor.go
@@ -211,8 +211,8 @@
 		c.heartbeatAt = now.Add(c.options.Heartbeat)
 		c.sendHeartbeats(c.detector.Tick(now))
 	}
-	if c.detector.Thawed() != c.handledStalls {
-		c.handledStalls = c.detector.Thawed()
+	if c.detector.Stalls() != c.handledStalls {
+		c.handledStalls = c.detector.Stalls()
 		c.resetAfterStall(now)
 	}
 	if c.detector.Version() != c.version {
--- a/router/internal/conductor/heartbeats.go
+++ b/router/internal/conductor/heartbeats.go
@@ -22,7 +22,7 @@
 		method := c.peers.get(beat.To).membership.Heartbeat
 		call(c, kindHeartbeat, method, beat.Request, func(answer *messenger.HeartbeatResponse, err error) {
 			if err == nil {
-				c.sendHeartbeats(c.detector.Answer(c.clock.Now(), beat, answer))
+				c.sendHeartbeats(c.detector.HandleResponse(c.clock.Now(), beat, answer))
 			}
 		})
 	}
--- a/router/internal/director/connections_test.go
+++ b/router/internal/director/connections_test.go
@@ -76,12 +76,12 @@
 func TestLateRouterPollsLessOften(t *testing.T) {
 	d := &Director{}
 	primary, _ := d.pollWaits(60, 60, 6)
-	require.Equal(t, subscriber.LeastWait, primary)
+	require.Equal(t, subscriber.MinWait, primary)
 	for range 20 {
 		d.pacer.Observe(2 * pacer.OnTimeThreshold)
 	}
 	primary, others := d.pollWaits(60, 60, 6)
-	require.Equal(t, subscriber.LateWait, primary)
+	require.Equal(t, subscriber.MinLateWait, primary)
 	require.Equal(t, subscriber.BriefWaitFor(60, 6), others)
 	primary, _ = d.pollWaits(60, 200, 5)
 	require.Equal(t, subscriber.WaitFor(200, 5), primary, "a long wait in a large fleet is not shortened by lateness")
--- a/router/internal/director/director.go
+++ b/router/internal/director/director.go
@@ -125,7 +125,7 @@
 		},
 	})
 	d.subscriber = subscriber.New(subscriber.Options{
-		Host: d.reader, Clock: clock, Log: log, Dial: d.dial, Wait: subscriber.LeastWait,
+		Host: d.reader, Clock: clock, Log: log, Dial: d.dial, Wait: subscriber.MinWait,
 		Primary: &subscriber.Primary{Name: settings.Name, Zone: settings.Zone},
 	})
 	d.pacer.Starts = &pacer.Rate{Min: settings.Processors * minStartsPerCore, Initial: settings.Processors * startsPerCore}
@@ -230,7 +230,7 @@
 func (d *Director) pollWaits(requests float64, routers, keepers int) (primary, others time.Duration) {
 	primary, others = subscriber.ReportWaitFor(requests, routers, keepers), subscriber.BriefWaitFor(routers, keepers)
 	if d.pacer.Lateness() > pacer.OnTimeThreshold {
-		primary = max(primary, subscriber.LateWait)
+		primary = max(primary, subscriber.MinLateWait)
 	}
 	return primary, others
 }
@@ -309,7 +309,7 @@
 	if err := loader.Decode(d.path, text, &read); err != nil {
 		return err
 	}
-	d.subscriber.Know(read.Platform.seeds()...)
+	d.subscriber.AddKeepers(read.Platform.seeds()...)
 	return nil
 }
 
--- a/router/internal/director/director_test.go
+++ b/router/internal/director/director_test.go
@@ -82,7 +82,7 @@
 	d := New(settings, path, zerolog.Nop(), clock)
 	plan := `{"version":1,"services":[{"name":"desk"}],"routes":[{"name":"r","host":"h","path_prefix":"/","kind":"non_idempotent","timeout_ms":60000,"service":"desk"}]}`
 	d.planning[netip.MustParseAddrPort("127.0.0.1:1")] = stubKeeper{plan: plan}
-	d.reader.News(t.Context(), netip.MustParseAddrPort("127.0.0.1:1"), &messenger.FollowResponse{Plan: 1})
+	d.reader.Update(t.Context(), netip.MustParseAddrPort("127.0.0.1:1"), &messenger.FollowResponse{Plan: 1})
 	started, end := make(chan struct{}), make(chan struct{})
 	endpoint := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Shallotkeel-Response-Stamp", "s")
--- a/router/internal/director/flooded_test.go
+++ b/router/internal/director/flooded_test.go
@@ -47,7 +47,7 @@
 	i.planning[keeper] = stubKeeper{plan: `{"version":1,"services":[` + service + `],
 		"routes":[{"name":"r","host":"h","path_prefix":"/","kind":"idempotent","timeout_ms":1000,"service":"desk"}],
 		"tenants":[{"name":"flood","api_keys":["flood"]}]}`}
-	i.reader.News(t.Context(), keeper, &messenger.FollowResponse{Plan: 1})
+	i.reader.Update(t.Context(), keeper, &messenger.FollowResponse{Plan: 1})
 	return i
 }
 
--- a/router/internal/newsreader/newsreader.go
+++ b/router/internal/newsreader/newsreader.go
@@ -153,8 +153,8 @@
 	return 0
 }
 
-// News applies the update in a keeper's answer to a poll.
-func (r *Reader) News(ctx context.Context, keeper netip.AddrPort, update *messenger.FollowResponse) {
+// Update applies the update in a keeper's answer to a poll.
+func (r *Reader) Update(ctx context.Context, keeper netip.AddrPort, update *messenger.FollowResponse) {
 	r.mutex.Lock()
 	r.answeringKeepers[keeper] = true
 	r.mutex.Unlock()
@@ -280,7 +280,7 @@
 		return
 	}
 	r.droppedAt = now
-	for _, id := range r.list.Drop(now, goneRetention) {
+	for _, id := range r.list.RemoveGone(now, goneRetention) {
 		delete(r.silent, id)
 		delete(r.reportedSilent, id)
 	}
--- a/router/internal/newsreader/newsreader_test.go
+++ b/router/internal/newsreader/newsreader_test.go
@@ -83,7 +83,7 @@
 }
 
 func (b *fixture) update(from byte, update *messenger.FollowResponse) {
-	b.reader.News(b.t.Context(), at(from), update)
+	b.reader.Update(b.t.Context(), at(from), update)
 }
 
 // Guards against a router that returns to an older configuration because a keeper that was cut off
--- a/router/internal/passer/answer.go
+++ b/router/internal/passer/answer.go
@@ -64,7 +64,7 @@
 		_, err = q.writer.Write(a.body)
 	}
 	if err == nil {
-		err = q.end.Whole(http.NewResponseController(q.writer))
+		err = q.end.Complete(http.NewResponseController(q.writer))
 	}
 	if err != nil {
 		q.reason = "the client left: " + err.Error()
@@ -118,7 +118,7 @@
 		q.sends = q.route.Attempts // the rest cannot come from another endpoint
 		return e
 	}
-	if err := q.end.Whole(http.NewResponseController(q.writer)); err != nil {
+	if err := q.end.Complete(http.NewResponseController(q.writer)); err != nil {
 		return &attemptFailure{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
 	}
 	return nil
--- a/router/internal/passer/stream.go
+++ b/router/internal/passer/stream.go
@@ -148,7 +148,7 @@
 	}
 	err := p.sendHead(q, x, unknownLength)
 	if err == nil {
-		err = q.end.Whole(flusher)
+		err = q.end.Complete(flusher)
 	}
 	if err != nil {
 		return &attemptFailure{outcome: balancer.Cancelled, reason: "the client left: " + err.Error()}
--- a/router/internal/relayer/caller.go
+++ b/router/internal/relayer/caller.go
@@ -90,7 +90,7 @@
 	if c.discard {
 		return nil
 	}
-	if err := c.unframedEnd.Whole(c.control); err != nil {
+	if err := c.unframedEnd.Complete(c.control); err != nil {
 		return merry.Errorf("%w: %w", errCaller, err)
 	}
 	return nil
