--- a/keeper/internal/archiver/archiver.go
+++ b/keeper/internal/archiver/archiver.go
@@ -46,13 +46,13 @@
 	if err != nil {
 		return merry.Wrap(err)
 	}
-	return recorder.WriteWhole(files, fileName, body)
+	return recorder.WriteAtomic(files, fileName, body)
 }
 
 // Read returns the listings of the copy. Its errors are ErrStale, recorder.ErrDamaged, lister.ErrWire
 // and, if there is no copy, fs.ErrNotExist.
 func Read(files recorder.FileSystem, now time.Time) ([]lister.Listing, error) {
-	body, err := recorder.ReadWhole(files, fileName)
+	body, err := recorder.ReadChecked(files, fileName)
 	if err != nil {
 		return nil, err
 	}
--- a/keeper/internal/driver/driver.go
+++ b/keeper/internal/driver/driver.go
@@ -405,7 +405,7 @@
 	if err := d.disk.WriteSnapshot(snapshot); err != nil {
 		return err
 	}
-	if err := d.disk.Restart(snapshot.Position); err != nil {
+	if err := d.disk.ResetLog(snapshot.Position); err != nil {
 		return err
 	}
 	for index := range d.waiting {
--- a/keeper/internal/driver/snapshots.go
+++ b/keeper/internal/driver/snapshots.go
@@ -61,7 +61,7 @@
 	}
 	d.counters.Snapshots++
 	d.node.Compacted(written.snapshot.Position)
-	return d.disk.Truncate(written.snapshot.Index)
+	return d.disk.Compact(written.snapshot.Index)
 }
 
 // fullPause is how often a full disk is looked at.
@@ -84,7 +84,7 @@
 		return nil
 	}
 	d.looked = now
-	if err := d.disk.Room(); err != nil {
+	if err := d.disk.CheckSpace(); err != nil {
 		if errors.Is(err, recorder.ErrFull) {
 			return nil
 		}
--- a/keeper/internal/server/keeping.go
+++ b/keeper/internal/server/keeping.go
@@ -282,7 +282,7 @@
 		Quorum: now.status.Quorum, Full: now.diskFull, Claims: uint64(now.claims),
 		DiskBytes: uint64(now.diskBytes), Routers: k.routers.list(k.clock.Now()),
 	}
-	for _, replica := range now.status.Known() {
+	for _, replica := range now.status.KnownMembers() {
 		response.Keepers = append(response.Keepers, keeperToWire(replica))
 	}
 	if !request.GetLocal() {
--- a/keeper/internal/server/leading.go
+++ b/keeper/internal/server/leading.go
@@ -66,7 +66,7 @@
 			return answer, nil
 		}
 		known := classify(err)
-		if !retryable(ctx, known) || s.pause(ctx, s.timing.Heartbeat) != nil {
+		if !retryable(ctx, known) || s.pause(ctx, s.timing.HeartbeatInterval) != nil {
 			return answer, known
 		}
 	}
@@ -100,7 +100,7 @@
 	forward func(context.Context, peerClient) (T, error),
 ) (T, error) {
 	var none T
-	ctx, cancel := context.WithTimeout(ctx, attemptElections*s.timing.Election)
+	ctx, cancel := context.WithTimeout(ctx, attemptElections*s.timing.ElectionTimeout)
 	defer cancel()
 	changed := s.leadershipChanged.next()
 	status := s.view.Load().status
--- a/keeper/internal/server/maintaining.go
+++ b/keeper/internal/server/maintaining.go
@@ -73,10 +73,10 @@
 // whether it still is a member. It is shorter where the group removes silent members
 // automatically, so that a member that comes back rejoins soon.
 func (s *Server) quorumLossTimeout() time.Duration {
-	if s.timing.Retire > 0 {
-		return s.timing.Retire
+	if s.timing.RetireAfter > 0 {
+		return s.timing.RetireAfter
 	}
-	return quorumLossElections * s.timing.Election
+	return quorumLossElections * s.timing.ElectionTimeout
 }
 
 // peerStatus is another keeper's status, with the control address that was asked.
@@ -150,13 +150,13 @@
 		}
 	}
 	now := s.clock.Now()
-	confirmed := m.blankFollowers.observe(now, followers, s.timing.Election)
+	confirmed := m.blankFollowers.observe(now, followers, s.timing.ElectionTimeout)
 	switch {
 	case !blank || !s.isFounder():
 		m.blankSince = time.Time{}
 	case m.blankSince.IsZero():
 		m.blankSince = now
-	case now.Sub(m.blankSince) >= s.timing.Election:
+	case now.Sub(m.blankSince) >= s.timing.ElectionTimeout:
 		s.foundGroup(ctx, status, slices.Concat(answers, confirmed))
 	}
 }
--- a/keeper/internal/server/membership.go
+++ b/keeper/internal/server/membership.go
@@ -66,7 +66,7 @@
 // members returns the group's members known to this keeper, sorted by address.
 func (s *Server) members() []member {
 	var members []member
-	for _, replica := range s.view.Load().status.Known() {
+	for _, replica := range s.view.Load().status.KnownMembers() {
 		zone := s.directory.zoneOf(replica.Address)
 		if replica.Address == s.settings.Address().String() {
 			zone = s.settings.Zone
--- a/keeper/internal/server/peers.go
+++ b/keeper/internal/server/peers.go
@@ -124,7 +124,7 @@
 // addresses that cannot be parsed.
 func (s *Server) memberAddresses() []netip.AddrPort {
 	var addresses []netip.AddrPort
-	for _, replica := range s.view.Load().status.Known() {
+	for _, replica := range s.view.Load().status.KnownMembers() {
 		if address, err := netip.ParseAddrPort(replica.Address); err == nil {
 			addresses = append(addresses, address)
 		}
--- a/keeper/internal/server/server.go
+++ b/keeper/internal/server/server.go
@@ -174,7 +174,7 @@
 	}
 	server.client = dialer.Client(s.Secret, &server.traffic)
 	server.peers.client = server.client
-	server.sender = sender.New(server.client, s.Control.String(), server.timing.Election)
+	server.sender = sender.New(server.client, s.Control.String(), server.timing.ElectionTimeout)
 	server.epoch = uint64(newDiskID())
 	server.pollSlots = make(pollSlots, maxConcurrentPolls)
 	seeds := s.SeedAddresses()
@@ -286,14 +286,14 @@
 // handOver transfers leadership to another keeper if this one leads, and waits until it
 // has ceased to lead or the timeout ends.
 func (s *Server) handOver() {
-	ctx, cancel := context.WithTimeout(context.Background(), handoverElections*s.timing.Election)
+	ctx, cancel := context.WithTimeout(context.Background(), handoverElections*s.timing.ElectionTimeout)
 	defer cancel()
 	transferring, err := callLoop(ctx, s, func(now time.Time, d *driver.Driver) bool { return d.Transfer(now) })
 	if err != nil || !transferring {
 		return
 	}
 	for ctx.Err() == nil && s.view.Load().status.State == replicator.Leader {
-		if s.pause(ctx, s.timing.Heartbeat/ticksPerHeartbeat) != nil {
+		if s.pause(ctx, s.timing.HeartbeatInterval/ticksPerHeartbeat) != nil {
 			return
 		}
 	}
@@ -313,7 +313,7 @@
 // snapshots. It returns the first error of the driver.
 func (s *Server) loop(ctx context.Context, d *driver.Driver) error {
 	defer close(s.stopped)
-	ticker := s.clock.NewTicker(s.timing.Heartbeat / ticksPerHeartbeat)
+	ticker := s.clock.NewTicker(s.timing.HeartbeatInterval / ticksPerHeartbeat)
 	defer ticker.Stop()
 	for {
 		if err := s.commitBatch(d); err != nil {
--- a/keeper/internal/settings/settings.go
+++ b/keeper/internal/settings/settings.go
@@ -125,7 +125,7 @@
 		problem("platform", "the bound on cold endpoints is below 0", "set \"overage\" and \"slack\" of \"cold\" to what the platform allows, or leave them out")
 	}
 	timing := s.ReplicationTiming()
-	if timing.Heartbeat < minHeartbeat || timing.Election < minHeartbeatsPerElection*timing.Heartbeat {
+	if timing.HeartbeatInterval < minHeartbeat || timing.ElectionTimeout < minHeartbeatsPerElection*timing.HeartbeatInterval {
 		problem("election", "the election timeout is too short for the heartbeat", "set it to at least three heartbeats of at least 5ms")
 	}
 	return problems
@@ -143,11 +143,11 @@
 // ReplicationTiming returns the timing of the replication protocol with defaults filled in.
 func (s *Settings) ReplicationTiming() replicator.Timing {
 	timing := replicator.Timing{
-		Heartbeat: s.Timing.Heartbeat.Or(replicator.DefaultHeartbeat),
-		Election:  s.Timing.Election.Or(replicator.DefaultElection),
+		HeartbeatInterval: s.Timing.Heartbeat.Or(replicator.DefaultHeartbeatInterval),
+		ElectionTimeout:   s.Timing.Election.Or(replicator.DefaultElectionTimeout),
 	}
 	if len(s.Seeds) > 0 {
-		timing.Retire = retireAfter
+		timing.RetireAfter = retireAfter
 	}
 	return timing
 }
--- a/keeper/internal/settings/settings_test.go
+++ b/keeper/internal/settings/settings_test.go
@@ -66,6 +66,6 @@
 
 func TestTimingHasDefaults(t *testing.T) {
 	t.Parallel()
-	require.Equal(t, replicator.Timing{Heartbeat: 50 * time.Millisecond, Election: 300 * time.Millisecond},
+	require.Equal(t, replicator.Timing{HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 300 * time.Millisecond},
 		(&settings.Settings{}).ReplicationTiming())
 }
--- a/lib/recorder/whole.go
+++ b/lib/recorder/atomic.go
@@ -6,16 +6,17 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// WriteWhole writes a file with a checksum as one step: a crash leaves the old one or the
-// new one. Its errors are ErrFull and ErrFailed.
-func WriteWhole(files FileSystem, name string, body []byte) error {
+// WriteAtomic replaces a file atomically by one with a checksum: a crash leaves the
+// old or the new file. Its errors are ErrFull, with which the old file remains, and
+// ErrFailed.
+func WriteAtomic(files FileSystem, name string, body []byte) error {
 	temporary := name + ".new"
 	file, err := files.Create(temporary)
 	if err != nil {
 		return merry.Errorf("%w: %v; free space on the disk of the data folder", ErrFull, err)
 	}
 	if _, err := file.Write(appendFrame(nil, 0, 0, body)); err != nil {
-		// What is left is overwritten by the next attempt; removing it only frees space.
+		// The next attempt overwrites the temporary file; its removal only frees space.
 		err = errors.Join(err, file.Close(), files.Remove(temporary))
 		return merry.Errorf("%w: %v; free space on the disk of the data folder", ErrFull, err)
 	}
@@ -32,9 +33,9 @@
 	return nil
 }
 
-// ReadWhole reads a file that WriteWhole wrote. The error of a missing one is
-// fs.ErrNotExist, that of one whose bytes have changed ErrDamaged.
-func ReadWhole(files FileSystem, name string) ([]byte, error) {
+// ReadChecked reads a file that WriteAtomic has written. For a missing file its
+// error is fs.ErrNotExist, for one that does not match its checksum ErrDamaged.
+func ReadChecked(files FileSystem, name string) ([]byte, error) {
 	data, err := files.Read(name)
 	if err != nil {
 		return nil, err
--- a/lib/recorder/filesystem.go
+++ b/lib/recorder/filesystem.go
@@ -11,42 +11,45 @@
 )
 
 // FileSystem is the part of a file system that a Recorder needs: one flat
-// folder. Tests put faults behind it.
+// folder. Tests implement it to inject faults.
 type FileSystem interface {
-	// Create makes an empty file and opens it for appending.
+	// Create creates a file, or empties an existing one, and opens it for appending.
 	Create(name string) (File, error)
 	// Append opens an existing file for appending.
 	Append(name string) (File, error)
-	// Read returns a whole file; the error of a missing one is fs.ErrNotExist.
+	// Read returns the content of a file. For a missing file its error is
+	// fs.ErrNotExist.
 	Read(name string) ([]byte, error)
-	// Rename replaces the new name, if it exists, as one step.
+	// Rename renames a file atomically and replaces an existing file of the new name.
 	Rename(from, to string) error
 	Remove(name string) error
-	// List returns the names of all files in order.
+	// List returns the names of all files in sorted order.
 	List() ([]string, error)
 	// Sync makes creations, renames and removals durable.
 	Sync() error
-	// Free returns the bytes that can still be written.
+	// Free returns the number of bytes that can still be written.
 	Free() (uint64, error)
 }
 
-// File is an open file that is appended to.
+// File is a file that is open for appending.
 type File interface {
 	io.Writer
-	// Sync makes everything written durable. After an error it is not known what is.
+	// Sync makes everything written durable. After an error it is unknown which
+	// part of it is durable.
 	Sync() error
-	// Truncate cuts the file to a size.
+	// Truncate shortens the file to a size in bytes.
 	Truncate(size int64) error
 	Close() error
 }
 
-// Folder is a FileSystem in a folder of the operating system.
+// Folder is a FileSystem in a folder on disk.
 type Folder struct {
 	path string
 	lock *os.File
 }
 
-// lockName is the file whose lock keeps a second process out of the folder.
+// lockName is the name of the file whose lock prevents a second process from using
+// the folder.
 const lockName = "lock"
 
 const (
@@ -54,9 +57,9 @@
 	fileMode   = 0o600
 )
 
-// OpenFolder opens the data folder, makes it if need be, and locks it against
-// other processes until Close. Two keepers on one folder would each overwrite
-// what the other has promised.
+// OpenFolder opens the data folder, creates it if it is missing, and locks it
+// against other processes until Close. Two keepers that share a folder would
+// overwrite each other's acknowledged data. Its error is ErrUnusable.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, merry.Errorf("%w: %v; set \"data\" to a folder that this user may write", ErrUnusable, err)
@@ -72,12 +75,12 @@
 	return &Folder{path: path, lock: lock}, nil
 }
 
-// Close releases the folder.
+// Close releases the lock of the folder.
 func (f *Folder) Close() error {
 	return f.lock.Close()
 }
 
-// Create makes an empty file and opens it for appending.
+// Create creates a file, or empties an existing one, and opens it for appending.
 func (f *Folder) Create(name string) (File, error) {
 	return os.OpenFile(filepath.Join(f.path, name), os.O_CREATE|os.O_TRUNC|os.O_APPEND|os.O_WRONLY, fileMode)
 }
@@ -87,12 +90,12 @@
 	return os.OpenFile(filepath.Join(f.path, name), os.O_APPEND|os.O_WRONLY, fileMode)
 }
 
-// Read returns a whole file.
+// Read returns the content of a file.
 func (f *Folder) Read(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(f.path, name))
 }
 
-// Rename replaces the new name as one step.
+// Rename renames a file atomically and replaces an existing file of the new name.
 func (f *Folder) Rename(from, to string) error {
 	return os.Rename(filepath.Join(f.path, from), filepath.Join(f.path, to))
 }
@@ -102,7 +105,7 @@
 	return os.Remove(filepath.Join(f.path, name))
 }
 
-// List returns the names of all files in order.
+// List returns the names of all regular files in sorted order, except the lock.
 func (f *Folder) List() ([]string, error) {
 	found, err := os.ReadDir(f.path)
 	if err != nil {
@@ -126,7 +129,7 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// Free returns the bytes that this user can still write.
+// Free returns the number of bytes that an unprivileged user can still write.
 func (f *Folder) Free() (uint64, error) {
 	var stat syscall.Statfs_t
 	if err := syscall.Statfs(f.path, &stat); err != nil {
--- a/lib/recorder/frame.go
+++ b/lib/recorder/frame.go
@@ -8,63 +8,65 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// A frame is one batch in a file: what one write and one sync made durable.
+// A frame is a batch in a file: the data that one write and one sync make durable.
+// All numbers are little-endian.
 //
 //	magic   4 bytes
-//	length  4 bytes, of the body
-//	segment 8 bytes, the number of the file
-//	ordinal 4 bytes, the number of the frame in the file
+//	length  4 bytes, size of the body in bytes
+//	segment 8 bytes, number of the file
+//	ordinal 4 bytes, number of the frame in the file
 //	body's checksum    4 bytes
 //	header's checksum  4 bytes
 //	body
 //
-// The segment and the ordinal are there so that a frame which the disk puts in
-// a wrong place is noticed; the header's own checksum so that a flipped bit in
-// the length is not taken for a write that was torn.
+// The segment and the ordinal detect a frame that the disk has written to a wrong
+// place. The header has its own checksum so that a flipped bit in the length is
+// not mistaken for a torn write.
 const (
-	frameMagic  = 0x5ae1106b
-	headerSize  = 28
-	checkedSize = 24
-	// MaxFrame bounds the body of a frame, and with it of a snapshot, in bytes.
-	MaxFrame = 256 << 20
-	// sectorSize is what a disk writes as one step.
+	frameMagic           = 0x5ae1106b
+	headerSize           = 28
+	headerChecksumOffset = 24
+	// MaxFrameBytes is the maximum size of a frame's body, and therefore of a
+	// snapshot, in bytes.
+	MaxFrameBytes = 256 << 20
+	// sectorSize is the number of bytes that a disk writes atomically.
 	sectorSize = 512
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// errTorn and errDamaged are why a frame cannot be read.
+// The reasons why a frame cannot be read.
 var (
-	errTorn    = merry.Sentinel("frame was not written to its end")
-	errDamaged = merry.Sentinel("frame fails its checksum")
+	errTorn    = merry.Sentinel("frame was not written completely")
+	errDamaged = merry.Sentinel("frame does not match its checksum or position")
 )
 
-// appendFrame encodes a frame.
+// appendFrame appends an encoded frame to a buffer.
 func appendFrame(into []byte, segment uint64, ordinal uint32, body []byte) []byte {
 	start := len(into)
 	into = binary.LittleEndian.AppendUint32(into, frameMagic)
 	into = binary.LittleEndian.AppendUint32(into, uint32(len(body)))
 	into = binary.LittleEndian.AppendUint64(into, segment)
 	into = binary.LittleEndian.AppendUint32(into, ordinal)
-	into = binary.LittleEndian.AppendUint32(into, crc32.Checksum(body, table))
-	into = binary.LittleEndian.AppendUint32(into, crc32.Checksum(into[start:], table))
+	into = binary.LittleEndian.AppendUint32(into, crc32.Checksum(body, crcTable))
+	into = binary.LittleEndian.AppendUint32(into, crc32.Checksum(into[start:], crcTable))
 	return append(into, body...)
 }
 
-// readFrame decodes the frame at the start of data, which lies at an offset in
-// its file, and returns its body and size. An errTorn means that the bytes look
-// like the remains of a write that a crash cut off; an errDamaged that they were
-// whole once.
+// readFrame decodes the frame at the start of data and returns its body and size.
+// offset is the position of data in its file. An errTorn means that the bytes may
+// be the remains of a write that a crash interrupted, an errDamaged that the frame
+// was written completely and has changed since.
 func readFrame(data []byte, offset int, segment uint64, ordinal uint32) (body []byte, size int, err error) {
 	if len(data) < headerSize {
 		return nil, 0, errTorn
 	}
 	header := data[:headerSize]
-	if binary.LittleEndian.Uint32(header[checkedSize:]) != crc32.Checksum(header[:checkedSize], table) {
+	if binary.LittleEndian.Uint32(header[headerChecksumOffset:]) != crc32.Checksum(header[:headerChecksumOffset], crcTable) {
 		return nil, 0, tornOrDamaged(header, offset)
 	}
 	length := int(binary.LittleEndian.Uint32(header[4:]))
-	if binary.LittleEndian.Uint32(header) != frameMagic || length > MaxFrame ||
+	if binary.LittleEndian.Uint32(header) != frameMagic || length > MaxFrameBytes ||
 		binary.LittleEndian.Uint64(header[8:]) != segment || binary.LittleEndian.Uint32(header[16:]) != ordinal {
 		return nil, 0, errDamaged
 	}
@@ -72,15 +74,15 @@
 		return nil, 0, errTorn
 	}
 	body = data[headerSize : headerSize+length]
-	if binary.LittleEndian.Uint32(header[20:]) != crc32.Checksum(body, table) {
+	if binary.LittleEndian.Uint32(header[20:]) != crc32.Checksum(body, crcTable) {
 		return nil, 0, tornOrDamaged(data[:headerSize+length], offset)
 	}
 	return body, headerSize + length, nil
 }
 
-// tornOrDamaged tells a torn write from a flipped bit in bytes that are there
-// in full length. A disk writes whole sectors, so a torn write leaves at least
-// one sector's part that was never written and reads as zeros.
+// tornOrDamaged distinguishes a torn write from a flipped bit in data whose length
+// is complete. A disk writes whole sectors, so a torn write leaves at least one
+// part of a sector that was never written and reads as zeros.
 func tornOrDamaged(data []byte, offset int) error {
 	for len(data) > 0 {
 		part := min(sectorSize-offset%sectorSize, len(data))
@@ -93,10 +95,10 @@
 	return errDamaged
 }
 
-// followed tells whether any whole frame lies further on. A frame is only
-// written after the one before it has been synced, so then the one before is
-// damaged, however much it looks torn.
-func followed(data []byte, segment uint64, ordinal uint32) bool {
+// hasLaterFrame reports whether the header of a later frame of the segment follows
+// in data. A frame is written only after its predecessor has been synced, so an
+// unreadable frame before a later one is damaged even if it seems torn.
+func hasLaterFrame(data []byte, segment uint64, ordinal uint32) bool {
 	magic := binary.LittleEndian.AppendUint32(nil, frameMagic)
 	for at := 1; at < len(data); at++ {
 		found := bytes.Index(data[at:], magic)
@@ -104,19 +106,21 @@
 			return false
 		}
 		at += found
-		if laterFrame(data[at:], segment, ordinal) {
+		if isLaterFrame(data[at:], segment, ordinal) {
 			return true
 		}
 	}
 	return false
 }
 
-func laterFrame(data []byte, segment uint64, ordinal uint32) bool {
+// isLaterFrame reports whether data starts with a valid header of the segment whose
+// ordinal is above the given one.
+func isLaterFrame(data []byte, segment uint64, ordinal uint32) bool {
 	if len(data) < headerSize {
 		return false
 	}
 	header := data[:headerSize]
-	return binary.LittleEndian.Uint32(header[checkedSize:]) == crc32.Checksum(header[:checkedSize], table) &&
+	return binary.LittleEndian.Uint32(header[headerChecksumOffset:]) == crc32.Checksum(header[:headerChecksumOffset], crcTable) &&
 		binary.LittleEndian.Uint64(header[8:]) == segment &&
 		binary.LittleEndian.Uint32(header[16:]) > ordinal
 }
--- a/lib/recorder/recorder.go
+++ b/lib/recorder/recorder.go
@@ -1,18 +1,20 @@
-// Package recorder keeps a replica's log, ballot and snapshots in files.
+// Package recorder stores a replica's log, ballot and snapshot in files.
 //
-// The data folder holds the identity of the disk, log segments and one
-// snapshot. Everything that a caller handed to Record is durable when Record
-// returns, and one sync serves the whole batch.
+// The data folder holds the identity of the disk, the segments of the log and one
+// snapshot. A batch is durable when Record returns without error, and takes one
+// sync.
 //
 // Invariants:
 //   - nothing is acknowledged before it has been synced;
-//   - a failed sync is final: what is on disk is then unknown, and the operating
-//     system may report the next sync as good although it dropped the data, so
-//     the recorder refuses everything afterwards and the process must stop;
-//   - a write that a crash cut off is cut away at the next start; damage
-//     anywhere else is an error that names the file and the remedy, because
-//     going on without the damaged part would break promises that were made;
-//   - a full disk refuses a batch as a whole and leaves the log as it was.
+//   - a failed sync is final: the content of the disk is then unknown, and the
+//     operating system may report the next sync as successful although it dropped
+//     the data, so the recorder refuses all further writes and the process must
+//     stop;
+//   - a write that a crash interrupted at the end of the log is truncated at the
+//     next start; damage anywhere else is an error that names the file and the
+//     remedy, because without the damaged part the replica would lose entries and
+//     votes that it has acknowledged;
+//   - a full disk refuses a batch as a whole and leaves the log unchanged.
 package recorder
 
 import (
@@ -29,26 +31,28 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// The kinds of error of a Recorder.
+// The kinds of error that a Recorder returns.
 var (
 	// ErrUnusable means that the data folder cannot be used at all.
 	ErrUnusable = merry.Sentinel("data folder is not usable")
 	// ErrDamaged means that synced data has changed on disk.
 	ErrDamaged = merry.Sentinel("data folder is damaged")
-	// ErrFull means that the disk has no room. Nothing was recorded.
+	// ErrFull means that the disk has not enough free space. Nothing was recorded.
 	ErrFull = merry.Sentinel("disk is full")
 	// ErrFailed means that a write or sync failed. The process must stop.
 	ErrFailed = merry.Sentinel("disk failed")
 )
 
+// remedyJoin is the remedy that errors name for a damaged data folder.
 const remedyJoin = "set the data folder aside and start the keeper with an empty one; it joins as a new member"
 
-// Limits of the files. Zero values mean the defaults.
+// Limits bound the sizes of the files. Zero values mean the defaults.
 type Limits struct {
-	// SegmentBytes is the size from which a new segment is begun.
+	// SegmentBytes is the size of a segment from which the next write starts a new
+	// one.
 	SegmentBytes int64
-	// ReserveBytes must stay free, so that a snapshot can still be written that
-	// lets old segments go.
+	// ReserveBytes is the free space that log writes must leave, so that a snapshot
+	// can still be written and old segments can then be removed.
 	ReserveBytes uint64
 }
 
@@ -71,32 +75,32 @@
 	files    FileSystem
 	limits   Limits
 	identity replicator.ID
-	segments []segment // rising; the last is open
-	file     File
+	segments []segment // in order of number; the last is open
+	file     File      // the open segment
 	ballot   replicator.Ballot
-	last     uint64
-	commit   uint64
-	failed   error
-	buffer   []byte
+	last     uint64 // index of the last entry
+	commit   uint64 // highest index recorded as committed
+	failed   error  // the final error, if a write or sync has failed
+	buffer   []byte // reused by write
 
-	snapshots   sync.Mutex // held while the snapshot file is replaced
-	snapshotted uint64     // the index of the snapshot on disk
+	snapshotLock  sync.Mutex // held while the snapshot file is replaced
+	snapshotIndex uint64     // index of the snapshot on disk
 }
 
-// segment is one file of the log.
+// segment describes one file of the log.
 type segment struct {
-	number  uint64
-	highest uint64 // the highest index that was ever written to it
-	size    int64
-	frames  uint32
+	number   uint64
+	maxIndex uint64 // the highest index that was ever written to it
+	size     int64
+	frames   uint32
 }
 
 func (s segment) name() string {
 	return fmt.Sprintf(segmentPattern, s.number)
 }
 
-// Open reads the data folder. In an empty one it makes a new identity by
-// calling mint.
+// Open reads the data folder and returns the state that it holds. For an empty
+// folder it stores a new identity, which it gets from mint.
 func Open(files FileSystem, limits Limits, mint func() replicator.ID) (*Recorder, replicator.Restored, error) {
 	if limits.SegmentBytes == 0 {
 		limits.SegmentBytes = DefaultSegmentBytes
@@ -105,7 +109,7 @@
 		limits.ReserveBytes = DefaultReserveBytes
 	}
 	r := &Recorder{files: files, limits: limits}
-	if err := r.identify(mint); err != nil {
+	if err := r.loadIdentity(mint); err != nil {
 		return nil, replicator.Restored{}, err
 	}
 	restored, err := r.restore()
@@ -115,17 +119,17 @@
 	return r, restored, nil
 }
 
-// Identity names the disk.
+// Identity returns the identity of the disk.
 func (r *Recorder) Identity() replicator.ID {
 	return r.identity
 }
 
-// Commit returns the highest index that is on disk as known to be committed.
+// Commit returns the highest index that has been recorded as committed.
 func (r *Recorder) Commit() uint64 {
 	return r.commit
 }
 
-// Bytes returns the size of the log on disk.
+// Bytes returns the size of the log on disk in bytes.
 func (r *Recorder) Bytes() int64 {
 	total := int64(0)
 	for _, part := range r.segments {
@@ -134,10 +138,10 @@
 	return total
 }
 
-// Record makes a batch durable: the ballot, if it changed, entries, each of
-// which replaces what stands at its index and behind it, and the index known to
-// be committed. With ErrFull nothing was recorded and the recorder can still be
-// used; every other error is final.
+// Record makes a batch durable: the ballot, unless it is nil, the entries, and the
+// commit index. An entry at an existing index replaces that entry and all later
+// ones. With ErrFull nothing was recorded and the recorder remains usable; every
+// other error is final.
 func (r *Recorder) Record(ballot *replicator.Ballot, entries []replicator.Entry, commit uint64) error {
 	record := &messenger.DiskRecord{Commit: commit}
 	if ballot != nil {
@@ -155,13 +159,14 @@
 	}
 	if len(entries) > 0 {
 		r.last = entries[len(entries)-1].Index
-		open := r.open()
-		open.highest = max(open.highest, r.last)
+		open := r.openSegment()
+		open.maxIndex = max(open.maxIndex, r.last)
 	}
 	return nil
 }
 
-func (r *Recorder) open() *segment {
+// openSegment returns the segment that is appended to.
+func (r *Recorder) openSegment() *segment {
 	return &r.segments[len(r.segments)-1]
 }
 
@@ -174,18 +179,18 @@
 	if err != nil {
 		return r.fail(err)
 	}
-	if err := r.room(len(body)); err != nil {
+	if err := r.checkSpace(len(body)); err != nil {
 		return err
 	}
-	if r.open().size >= r.limits.SegmentBytes {
+	if r.openSegment().size >= r.limits.SegmentBytes {
 		if err := r.roll(); err != nil {
 			return err
 		}
 	}
-	open := r.open()
+	open := r.openSegment()
 	r.buffer = appendFrame(r.buffer[:0], open.number, open.frames, body)
 	if _, err := r.file.Write(r.buffer); err != nil {
-		return r.undo(err)
+		return r.truncateFailedWrite(err)
 	}
 	if err := r.file.Sync(); err != nil {
 		return r.fail(err)
@@ -198,11 +203,13 @@
 	return nil
 }
 
-// maxKeptBuffer bounds the memory that is kept between writes.
+// maxKeptBuffer is the maximum size of the buffer that is kept between writes, in
+// bytes.
 const maxKeptBuffer = 1 << 20
 
-// room refuses a batch while there is still enough room for a snapshot.
-func (r *Recorder) room(size int) error {
+// checkSpace returns ErrFull if a batch of that size would leave less free space
+// than the reserve for a snapshot.
+func (r *Recorder) checkSpace(size int) error {
 	free, err := r.files.Free()
 	if err != nil {
 		return r.fail(err)
@@ -214,10 +221,11 @@
 	return nil
 }
 
-// undo cuts off what a failed write may have left, so that the next batch
-// follows the last good one. If that fails as well, what is on disk is unknown.
-func (r *Recorder) undo(cause error) error {
-	if err := r.file.Truncate(r.open().size); err != nil {
+// truncateFailedWrite removes the bytes that a failed write may have left, so that
+// the next batch follows the last complete one, and returns ErrFull. If that fails
+// as well, the content of the disk is unknown and the error is final.
+func (r *Recorder) truncateFailedWrite(cause error) error {
+	if err := r.file.Truncate(r.openSegment().size); err != nil {
 		return r.fail(err)
 	}
 	if err := r.file.Sync(); err != nil {
@@ -226,20 +234,21 @@
 	return merry.Errorf("%w: %v; free space on the disk of the data folder", ErrFull, cause)
 }
 
+// fail makes an error final and returns it as ErrFailed.
 func (r *Recorder) fail(cause error) error {
 	r.failed = merry.Errorf("%w: %v; replace the disk, or start the keeper again to find out what is on it", ErrFailed, cause)
 	return r.failed
 }
 
-// roll begins a new segment. It starts with the ballot, so that older segments
-// can be removed.
+// roll starts a new segment. Its first frame holds the ballot, so that older
+// segments can be removed.
 func (r *Recorder) roll() error {
 	number := uint64(1)
 	if len(r.segments) > 0 {
-		number = r.open().number + 1
+		number = r.openSegment().number + 1
 	}
-	begun := segment{number: number}
-	file, err := r.files.Create(begun.name())
+	created := segment{number: number}
+	file, err := r.files.Create(created.name())
 	if err != nil {
 		return r.fail(err)
 	}
@@ -249,7 +258,7 @@
 	}
 	frame := appendFrame(nil, number, 0, body)
 	if _, err := file.Write(frame); err != nil {
-		return r.undoRoll(begun, file, err)
+		return r.removeFailedSegment(created, file, err)
 	}
 	if err := file.Sync(); err != nil {
 		return r.fail(err)
@@ -263,31 +272,33 @@
 		}
 	}
 	r.file = file
-	begun.size = int64(len(frame))
-	begun.frames = 1
-	r.segments = append(r.segments, begun)
+	created.size = int64(len(frame))
+	created.frames = 1
+	r.segments = append(r.segments, created)
 	return nil
 }
 
-// undoRoll takes back a segment that could not be begun.
-func (r *Recorder) undoRoll(begun segment, file File, cause error) error {
-	if err := errors.Join(file.Close(), r.files.Remove(begun.name()), r.files.Sync()); err != nil {
+// removeFailedSegment removes a segment whose first frame could not be written, and
+// returns ErrFull.
+func (r *Recorder) removeFailedSegment(created segment, file File, cause error) error {
+	if err := errors.Join(file.Close(), r.files.Remove(created.name()), r.files.Sync()); err != nil {
 		return r.fail(err)
 	}
 	return merry.Errorf("%w: %v; free space on the disk of the data folder", ErrFull, cause)
 }
 
-// Room tells whether batches of ordinary size can be recorded.
-func (r *Recorder) Room() error {
+// CheckSpace returns an error if a batch of typical size cannot be recorded now.
+func (r *Recorder) CheckSpace() error {
 	if r.failed != nil {
 		return r.failed
 	}
-	return r.room(ordinaryBatch)
+	return r.checkSpace(typicalBatchBytes)
 }
 
-const ordinaryBatch = 1 << 20
+// typicalBatchBytes is the size of a batch for which CheckSpace requires space.
+const typicalBatchBytes = 1 << 20
 
-// Close closes the open segment. Nothing is lost without it.
+// Close closes the open segment. Recorded data is durable even without it.
 func (r *Recorder) Close() error {
 	if r.file == nil {
 		return nil
@@ -303,6 +314,8 @@
 	return replicator.Ballot{Term: wire.GetTerm(), Vote: replicator.ID(wire.GetVote())}
 }
 
+// segmentNumber returns the number of the segment with that file name, and false
+// for other files.
 func segmentNumber(name string) (uint64, bool) {
 	digits, found := strings.CutPrefix(name, segmentPrefix)
 	if !found {
--- a/lib/recorder/recorder_test.go
+++ b/lib/recorder/recorder_test.go
@@ -14,8 +14,10 @@
 	"shallotkeel.example/lib/replicator"
 )
 
+// mint returns the identity of a new disk.
 func mint() replicator.ID { return 42 }
 
+// open opens a recorder with small segments.
 func open(files recorder.FileSystem) (*recorder.Recorder, replicator.Restored, error) {
 	return recorder.Open(files, recorder.Limits{SegmentBytes: 400, ReserveBytes: 1}, mint)
 }
@@ -69,20 +71,20 @@
 			},
 			want: replicator.Restored{Entries: append(entries(1, 19, 1), entries(20, 22, 2)...), Commit: 7},
 		},
-		"a snapshot and what follows": {
+		"a snapshot and the entries after it": {
 			record: func(r *recorder.Recorder) error {
-				return errors.Join(recordEach(r, entries(1, 40, 1)), r.WriteSnapshot(snapshot), r.Truncate(30))
+				return errors.Join(recordEach(r, entries(1, 40, 1)), r.WriteSnapshot(snapshot), r.Compact(30))
 			},
 			want: replicator.Restored{Snapshot: snapshot, Entries: entries(31, 40, 1)},
 		},
-		"a snapshot from elsewhere": {
+		"a snapshot from a leader": {
 			record: func(r *recorder.Recorder) error {
 				return errors.Join(recordEach(r, entries(1, 10, 1)), r.WriteSnapshot(snapshot),
-					r.Restart(snapshot.Position), recordEach(r, entries(31, 33, 2)))
+					r.ResetLog(snapshot.Position), recordEach(r, entries(31, 33, 2)))
 			},
 			want: replicator.Restored{Snapshot: snapshot, Entries: entries(31, 33, 2)},
 		},
-		"a snapshot from elsewhere in place of other entries": {
+		"a snapshot from a leader that conflicts with the entries": {
 			record: func(r *recorder.Recorder) error {
 				other := replicator.Snapshot{Position: position(30, 2), State: []byte("state")}
 				return errors.Join(recordEach(r, entries(1, 40, 1)), r.WriteSnapshot(other))
@@ -91,8 +93,8 @@
 		},
 		"an older snapshot that was written late": {
 			record: func(r *recorder.Recorder) error {
-				late := replicator.Snapshot{Position: position(5, 1), State: []byte("late")}
-				return errors.Join(r.WriteSnapshot(snapshot), r.Restart(snapshot.Position), r.WriteSnapshot(late))
+				older := replicator.Snapshot{Position: position(5, 1), State: []byte("late")}
+				return errors.Join(r.WriteSnapshot(snapshot), r.ResetLog(snapshot.Position), r.WriteSnapshot(older))
 			},
 			want: replicator.Restored{Snapshot: snapshot},
 		},
@@ -112,6 +114,7 @@
 	}
 }
 
+// recordEach records each entry in a batch of its own.
 func recordEach(r *recorder.Recorder, entries []replicator.Entry) error {
 	for _, at := range entries {
 		if err := r.Record(nil, []replicator.Entry{at}, 0); err != nil {
@@ -121,7 +124,8 @@
 	return nil
 }
 
-// lastSegment returns the name and the size of the segment that is appended to.
+// lastSegment returns the name and the size in bytes of the segment that is appended
+// to.
 func lastSegment(t *testing.T, files *recorder.Memory) (string, int) {
 	t.Helper()
 	names, err := files.List()
@@ -137,19 +141,19 @@
 	return last, len(data)
 }
 
-// Symptom: a keeper does not start after a crash. Sequence: the process or the
-// machine dies while a batch is written, so that the file ends within it.
+// Guards against a keeper that does not start after a crash, because the process or
+// the machine stopped while a batch was written and the file ends within it.
 func TestTornTailIsCut(t *testing.T) {
 	t.Parallel()
 	files := recorder.NewMemory()
 	r, _ := mustOpen(t, files)
 	require.NoError(t, r.Record(nil, entries(1, 3, 1), 0))
-	_, whole := lastSegment(t, files)
+	_, complete := lastSegment(t, files)
 	require.NoError(t, r.Record(nil, entries(4, 5, 1), 0))
 	name, full := lastSegment(t, files)
 	data, err := files.Read(name)
 	require.NoError(t, err)
-	for size := whole; size < full; size++ {
+	for size := complete; size < full; size++ {
 		torn := copyOf(t, files)
 		torn.Cut(name, size)
 		r, restored := mustOpen(t, torn)
@@ -161,7 +165,7 @@
 	require.Len(t, data, full)
 }
 
-// copyOf returns a folder with the same files, all synced.
+// copyOf returns a copy of a folder in which all files are synced.
 func copyOf(t *testing.T, files *recorder.Memory) *recorder.Memory {
 	t.Helper()
 	clone := recorder.NewMemory()
@@ -180,10 +184,10 @@
 	return clone
 }
 
-// Symptom: accepted changes are gone and nobody was told. Sequence: a bit flips
-// on disk, the keeper starts, takes the damage for a torn write and cuts off
-// what others count on. Every bit of every file is tried, that of the last
-// batch as well, which no whole batch follows.
+// Guards against the silent loss of accepted changes: a bit flips on disk, and the
+// keeper mistakes the damage for a torn write at its start and truncates entries
+// that it has acknowledged. One bit in each byte of every file is flipped,
+// including the last batch, which no complete batch follows.
 func TestFlippedBitIsAnError(t *testing.T) {
 	t.Parallel()
 	files := recorder.NewMemory()
@@ -198,7 +202,7 @@
 		require.NoError(t, err)
 		for at := range data {
 			damaged := copyOf(t, files)
-			damaged.Flip(name, at, uint8(at%8))
+			damaged.FlipBit(name, at, uint8(at%8))
 			_, _, err := open(damaged)
 			require.ErrorIs(t, err, recorder.ErrDamaged, "%s at byte %d", name, at)
 			require.ErrorContains(t, err, "set the data folder aside")
@@ -206,9 +210,9 @@
 	}
 }
 
-// Symptom: the same as above. Sequence: the disk loses a whole sector, which
-// then reads as zeros, as one that was never written does. That another batch
-// follows shows that it was.
+// Guards against the same loss when the disk loses a whole sector, which then reads
+// as zeros, like one that was never written. The batch after it shows that it had
+// been written.
 func TestLostSectorIsAnError(t *testing.T) {
 	t.Parallel()
 	files := recorder.NewMemory()
@@ -223,7 +227,7 @@
 	for at := from; at < to; at++ {
 		for bit := range uint8(8) {
 			if data[at]&(1<<bit) != 0 {
-				files.Flip(name, at, bit)
+				files.FlipBit(name, at, bit)
 			}
 		}
 	}
@@ -251,9 +255,9 @@
 	}
 }
 
-// Symptom: accepted changes are gone after a power cut. Sequence: a sync fails,
-// the keeper tries again, the second sync succeeds because the operating system
-// has dropped the pages, and the keeper acknowledges.
+// Guards against the loss of accepted changes in a power failure: a sync fails, the
+// keeper retries it, and the second sync succeeds because the operating system has
+// dropped the dirty pages, so that the keeper acknowledges data that is not on disk.
 func TestFailedSyncIsFinal(t *testing.T) {
 	t.Parallel()
 	files := recorder.NewMemory()
@@ -262,23 +266,23 @@
 	require.ErrorIs(t, r.Record(nil, entries(1, 1, 1), 0), recorder.ErrFailed)
 	files.FailSyncs = false
 	require.ErrorIs(t, r.Record(nil, entries(2, 2, 1), 0), recorder.ErrFailed)
-	require.ErrorIs(t, r.Truncate(1), recorder.ErrFailed)
+	require.ErrorIs(t, r.Compact(1), recorder.ErrFailed)
 }
 
-// Symptom: a keeper whose disk was full for a moment does not start again.
-// Sequence: the disk fills within a batch, a part of it stays in the log, and
-// the next batch is written behind it.
+// Guards against a keeper that does not restart after its disk was temporarily full:
+// the disk fills up within a batch, a part of the batch remains in the log, and the
+// next batch is written after it.
 func TestFullDiskRefusesWholeBatches(t *testing.T) {
 	t.Parallel()
-	partly := 0
-	for room := range 300 {
+	partial := 0
+	for space := range 300 {
 		files := recorder.NewMemory()
 		r, _ := mustOpen(t, files)
 		require.NoError(t, r.Record(nil, entries(1, 3, 1), 0))
-		_, whole := lastSegment(t, files)
+		_, complete := lastSegment(t, files)
 		identity, err := files.Read("identity")
 		require.NoError(t, err)
-		files.Capacity = int64(whole + len(identity) + room)
+		files.Capacity = int64(complete + len(identity) + space)
 		err = r.Record(nil, entries(4, 9, 1), 0)
 		if err == nil {
 			continue
@@ -286,29 +290,29 @@
 		require.ErrorIs(t, err, recorder.ErrFull)
 		require.ErrorContains(t, err, "free space")
 		if strings.Contains(err.Error(), syscall.ENOSPC.Error()) {
-			partly++
+			partial++
 		}
 		files.Capacity = 0
 		require.NoError(t, r.Record(nil, entries(4, 4, 2), 0))
 		_, restored := mustOpen(t, files)
 		require.Equal(t, append(entries(1, 3, 1), entry(4, 2)), restored.Entries)
 	}
-	require.Positive(t, partly, "some batch must have been written in part")
+	require.Positive(t, partial, "at least one batch must have been written partially")
 }
 
-// Symptom: a keeper that was killed at the wrong moment does not start, or has
-// forgotten what it acknowledged. The process dies at each step of recording,
-// taking snapshots, taking one from elsewhere, and removing segments, and a
-// random part of what was not synced is lost, over and over.
+// Guards against a keeper that does not start, or has lost acknowledged data, after
+// it was killed at an arbitrary moment. In each of several runs the process is
+// killed at a random step of recording, writing snapshots, installing a leader's
+// snapshot, or removing segments, and a random part of the unsynced data is lost.
 func TestKilledAtEveryStep(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(400) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		files := recorder.NewMemory()
-		want := promise{}
-		for life := range 6 {
+		want := acknowledgement{}
+		for run := range 6 {
 			files.FailAfter = random.IntN(60)
-			want.live(files, random, life)
+			want.runUntilFault(files, random, run)
 			files.Crash(random)
 		}
 		r, restored, err := open(files)
@@ -318,14 +322,15 @@
 	}
 }
 
-// promise is what was acknowledged.
-type promise struct {
+// acknowledgement holds the term and the last entry that were acknowledged.
+type acknowledgement struct {
 	term uint64
 	last replicator.Position
 }
 
-// live works until the disk fails.
-func (p *promise) live(files *recorder.Memory, random *rand.Rand, life int) {
+// runUntilFault records random batches and snapshots until the disk fails or some
+// have been written.
+func (p *acknowledgement) runUntilFault(files *recorder.Memory, random *rand.Rand, run int) {
 	r, restored, err := open(files)
 	if err != nil {
 		return
@@ -339,19 +344,19 @@
 			if r.WriteSnapshot(replicator.Snapshot{Position: position(last, termOf(last, restored, p)), State: []byte("s")}) != nil {
 				return
 			}
-			if r.Truncate(last) != nil {
+			if r.Compact(last) != nil {
 				return
 			}
 		case 1:
 			last += 100
-			elsewhere := replicator.Snapshot{Position: position(last, term), State: []byte("e")}
-			if r.WriteSnapshot(elsewhere) != nil || r.Restart(elsewhere.Position) != nil {
+			installed := replicator.Snapshot{Position: position(last, term), State: []byte("e")}
+			if r.WriteSnapshot(installed) != nil || r.ResetLog(installed.Position) != nil {
 				return
 			}
-			p.last = elsewhere.Position
+			p.last = installed.Position
 		default:
 			batch := entries(last+1, last+1+random.Uint64N(3), term)
-			if r.Record(&replicator.Ballot{Term: term, Vote: replicator.ID(life)}, batch, 0) != nil {
+			if r.Record(&replicator.Ballot{Term: term, Vote: replicator.ID(run)}, batch, 0) != nil {
 				return
 			}
 			last = batch[len(batch)-1].Index
@@ -360,8 +365,8 @@
 	}
 }
 
-// termOf returns the term of the last entry, which a snapshot of it must carry.
-func termOf(last uint64, restored replicator.Restored, p *promise) uint64 {
+// termOf returns the term of the last entry, which a snapshot at its index must have.
+func termOf(last uint64, restored replicator.Restored, p *acknowledgement) uint64 {
 	if p.last.Index == last {
 		return p.last.Term
 	}
@@ -371,26 +376,26 @@
 	return restored.Snapshot.Term
 }
 
-// check tells whether everything that was acknowledged is there. More may be
-// there: a batch can be durable although its acknowledgement never came.
-func (p *promise) check(restored replicator.Restored) error {
+// check returns an error if acknowledged data is missing. Other data may be present,
+// because a batch can become durable without being acknowledged.
+func (p *acknowledgement) check(restored replicator.Restored) error {
 	last := restored.Snapshot.Index + uint64(len(restored.Entries))
 	if restored.Ballot.Term < p.term {
-		return fmt.Errorf("term %d was acknowledged and %d is left", p.term, restored.Ballot.Term)
+		return fmt.Errorf("term %d was acknowledged, but the restored term is %d", p.term, restored.Ballot.Term)
 	}
 	if last < p.last.Index {
-		return fmt.Errorf("entry %d was acknowledged and %d is the last", p.last.Index, last)
+		return fmt.Errorf("entry %d was acknowledged, but the last restored entry is %d", p.last.Index, last)
 	}
 	if at := p.last.Index; at > restored.Snapshot.Index {
 		if got := restored.Entries[at-restored.Snapshot.Index-1]; got.Term != p.last.Term {
-			return fmt.Errorf("entry %d was of term %d and is of term %d", at, p.last.Term, got.Term)
+			return fmt.Errorf("entry %d was acknowledged in term %d, but was restored with term %d", at, p.last.Term, got.Term)
 		}
 	}
 	return nil
 }
 
-// FuzzOpen: no content of a log may make a keeper panic or start with entries
-// that have gaps.
+// FuzzOpen guards against a log file whose content makes a keeper panic or start
+// with gaps between the entries.
 func FuzzOpen(f *testing.F) {
 	files := recorder.NewMemory()
 	r, _, err := open(files)
@@ -430,7 +435,7 @@
 	r, _ := mustOpen(t, folder)
 	require.NoError(t, recordEach(r, entries(1, 30, 1)))
 	require.NoError(t, r.WriteSnapshot(replicator.Snapshot{Position: position(20, 1), State: []byte("state")}))
-	require.NoError(t, r.Truncate(20))
+	require.NoError(t, r.Compact(20))
 	require.NoError(t, r.Close())
 	require.NoError(t, folder.Close())
 	folder, err = recorder.OpenFolder(path)
--- a/lib/recorder/restore.go
+++ b/lib/recorder/restore.go
@@ -13,10 +13,11 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// identify reads the identity of the disk, or makes one in an empty folder. A
-// folder that lost its identity but still has a log is damaged: a new identity
-// would let old promises be broken under a new name.
-func (r *Recorder) identify(mint func() replicator.ID) error {
+// loadIdentity reads the identity of the disk, or stores a new one in an empty
+// folder. A folder without identity that still has a log or snapshot is damaged:
+// under a new identity the replica would no longer be bound by the votes and
+// acknowledgements that it gave under the old one.
+func (r *Recorder) loadIdentity(mint func() replicator.ID) error {
 	data, err := r.files.Read(identityName)
 	if err == nil {
 		body, _, err := readFrame(data, 0, 0, 0)
@@ -39,10 +40,10 @@
 		}
 	}
 	r.identity = mint()
-	return WriteWhole(r.files, identityName, binary.LittleEndian.AppendUint64(nil, uint64(r.identity)))
+	return WriteAtomic(r.files, identityName, binary.LittleEndian.AppendUint64(nil, uint64(r.identity)))
 }
 
-// restore reads the snapshot and the segments behind it.
+// restore reads the snapshot and the log segments.
 func (r *Recorder) restore() (replicator.Restored, error) {
 	var restored replicator.Restored
 	snapshot, err := r.ReadSnapshot()
@@ -50,12 +51,12 @@
 		return restored, err
 	}
 	restored.Snapshot = snapshot
-	r.snapshotted = snapshot.Index
+	r.snapshotIndex = snapshot.Index
 	names, err := r.files.List()
 	if err != nil {
 		return restored, merry.Errorf("%w: %v; check the disk", ErrUnusable, err)
 	}
-	replay := &replay{base: snapshot.Position, first: true}
+	replay := &replay{base: snapshot.Position, baseUnknown: true}
 	for _, name := range names {
 		if number, found := segmentNumber(name); found {
 			r.segments = append(r.segments, segment{number: number})
@@ -69,7 +70,7 @@
 			return restored, err
 		}
 	}
-	entries, joined, err := replay.behind(snapshot.Position)
+	entries, contiguous, err := replay.entriesAfter(snapshot.Position)
 	if err != nil {
 		return restored, err
 	}
@@ -82,23 +83,24 @@
 	if len(restored.Entries) > 0 {
 		r.last = restored.Entries[len(restored.Entries)-1].Index
 	}
-	if err := r.resume(); err != nil || joined {
+	if err := r.openLastSegment(); err != nil || contiguous {
 		return restored, err
 	}
-	return restored, r.Restart(snapshot.Position)
+	return restored, r.ResetLog(snapshot.Position)
 }
 
-// resume opens the last segment for appending, or begins the first.
-func (r *Recorder) resume() error {
-	if len(r.segments) == 0 || r.open().frames == 0 {
-		return r.restart()
+// openLastSegment opens the last segment for appending, without a torn frame at its
+// end, or creates a segment if there is none with a complete frame.
+func (r *Recorder) openLastSegment() error {
+	if len(r.segments) == 0 || r.openSegment().frames == 0 {
+		return r.replaceEmptySegment()
 	}
-	file, err := r.files.Append(r.open().name())
+	file, err := r.files.Append(r.openSegment().name())
 	if err != nil {
 		return merry.Errorf("%w: %v; check the disk", ErrUnusable, err)
 	}
 	r.file = file
-	if err := file.Truncate(r.open().size); err != nil {
+	if err := file.Truncate(r.openSegment().size); err != nil {
 		return r.fail(err)
 	}
 	if err := file.Sync(); err != nil {
@@ -107,11 +109,11 @@
 	return nil
 }
 
-// restart begins a segment in place of one that has no whole frame: a crash
-// came while it was begun.
-func (r *Recorder) restart() error {
+// replaceEmptySegment creates a segment in place of the last one if that has no
+// complete frame, because a crash interrupted its creation.
+func (r *Recorder) replaceEmptySegment() error {
 	if len(r.segments) > 0 {
-		empty := r.open().name()
+		empty := r.openSegment().name()
 		r.segments = r.segments[:len(r.segments)-1]
 		if err := r.files.Remove(empty); err != nil {
 			return r.fail(err)
@@ -120,7 +122,7 @@
 	return r.roll()
 }
 
-// readSegment replays one segment. Only the last one may end torn.
+// readSegment replays one segment. Only the last one may end with a torn frame.
 func (r *Recorder) readSegment(part *segment, isLast bool, replay *replay) error {
 	data, err := r.files.Read(part.name())
 	if err != nil {
@@ -129,13 +131,13 @@
 	for int(part.size) < len(data) {
 		rest := data[part.size:]
 		body, size, err := readFrame(rest, int(part.size), part.number, part.frames)
-		if errors.Is(err, errTorn) && isLast && !followed(rest, part.number, part.frames) {
+		if errors.Is(err, errTorn) && isLast && !hasLaterFrame(rest, part.number, part.frames) {
 			return nil
 		}
 		if err != nil {
 			return merry.Errorf("%w: file %s at byte %d: %v; %s", ErrDamaged, part.name(), part.size, err, remedyJoin)
 		}
-		if err := replay.take(part, body); err != nil {
+		if err := replay.applyRecord(part, body); err != nil {
 			return merry.Errorf("%w: file %s at byte %d: %v; %s", ErrDamaged, part.name(), part.size, err, remedyJoin)
 		}
 		part.size += int64(size)
@@ -147,18 +149,19 @@
 	return nil
 }
 
-// replay rebuilds the log from the batches.
+// replay rebuilds the log from the recorded batches.
 type replay struct {
-	ballot  replicator.Ballot
-	commit  uint64
-	base    replicator.Position // where entries begin
-	first   bool                // no entry has been seen: the base is not known
-	entries []replicator.Entry
+	ballot      replicator.Ballot
+	commit      uint64
+	base        replicator.Position // position before the first entry
+	baseUnknown bool                // no entry or start of a log has been replayed
+	entries     []replicator.Entry
 }
 
 var errGap = merry.Sentinel("entries are missing")
 
-func (p *replay) take(part *segment, body []byte) error {
+// applyRecord replays one batch of a segment.
+func (p *replay) applyRecord(part *segment, body []byte) error {
 	var record messenger.DiskRecord
 	if err := proto.Unmarshal(body, &record); err != nil {
 		return err
@@ -169,25 +172,28 @@
 	p.commit = max(p.commit, record.GetCommit())
 	if start := record.GetStart(); start != nil {
 		p.base = replicator.Position{Index: start.GetIndex(), Term: start.GetTerm()}
-		p.first = false
+		p.baseUnknown = false
 		p.entries = nil
-		part.highest = max(part.highest, start.GetIndex())
+		part.maxIndex = max(part.maxIndex, start.GetIndex())
 	}
 	for _, wire := range record.GetEntries() {
 		entry := replicator.EntryFromWire(wire)
-		if err := p.add(entry); err != nil {
+		if err := p.addEntry(entry); err != nil {
 			return err
 		}
-		part.highest = max(part.highest, entry.Index)
+		part.maxIndex = max(part.maxIndex, entry.Index)
 	}
 	return nil
 }
 
-func (p *replay) add(entry replicator.Entry) error {
-	if p.first {
-		// Older segments are gone. Their last term is not known and not needed.
+// addEntry appends an entry, and drops existing entries from its index on. It
+// returns errGap if the entry does not follow the log.
+func (p *replay) addEntry(entry replicator.Entry) error {
+	if p.baseUnknown {
+		// Older segments have been removed. The term of their last entry is unknown
+		// and not needed.
 		p.base = replicator.Position{Index: entry.Index - 1}
-		p.first = false
+		p.baseUnknown = false
 	}
 	next := p.base.Index + uint64(len(p.entries)) + 1
 	switch {
@@ -203,14 +209,15 @@
 	return nil
 }
 
-// behind returns the entries that follow the snapshot, and whether the log joins
-// it. If the log ends before the snapshot, or another entry stands at its
-// position, the snapshot came from a leader and replaced the log, and a crash
-// came before the log was begun anew: the next entry would leave a gap.
-func (p *replay) behind(snapshot replicator.Position) (entries []replicator.Entry, joined bool, err error) {
+// entriesAfter returns the entries that follow the snapshot, and whether the log is
+// contiguous with it. If the log ends before the snapshot, or has an entry of
+// another term at its position, the snapshot came from a leader, and a crash
+// occurred before ResetLog: the next entry would leave a gap in the log. A log that
+// starts after the snapshot with a gap is an ErrDamaged.
+func (p *replay) entriesAfter(snapshot replicator.Position) (entries []replicator.Entry, contiguous bool, err error) {
 	last := p.base.Index + uint64(len(p.entries))
 	switch {
-	case p.first:
+	case p.baseUnknown:
 		return nil, true, nil
 	case last < snapshot.Index:
 		return nil, false, nil
--- a/lib/recorder/snapshot.go
+++ b/lib/recorder/snapshot.go
@@ -12,31 +12,31 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// WriteSnapshot makes a snapshot durable as one step; a crash leaves the old
-// one or the new one. It may run beside Record. With ErrFull the old snapshot
-// is still there. One that is older than the snapshot on disk is not written:
-// the log may already have been begun anew behind the newer one.
+// WriteSnapshot replaces the snapshot on disk atomically: a crash leaves the old or
+// the new one. It may run concurrently with Record. With ErrFull the old snapshot
+// remains. A snapshot that is not newer than the one on disk is not written,
+// because the log may already have been reset to start after that one.
 func (r *Recorder) WriteSnapshot(snapshot replicator.Snapshot) error {
-	r.snapshots.Lock()
-	defer r.snapshots.Unlock()
-	if snapshot.Index <= r.snapshotted {
+	r.snapshotLock.Lock()
+	defer r.snapshotLock.Unlock()
+	if snapshot.Index <= r.snapshotIndex {
 		return nil
 	}
 	body, err := proto.Marshal(replicator.SnapshotToWire(snapshot))
 	if err != nil {
 		return merry.Errorf("%w: %v; report this as a bug", ErrFailed, err)
 	}
-	if len(body) > MaxFrame {
+	if len(body) > MaxFrameBytes {
 		return merry.Errorf("%w: a snapshot of %d bytes is too large; report this as a bug", ErrFailed, len(body))
 	}
-	if err := WriteWhole(r.files, snapshotName, body); err != nil {
+	if err := WriteAtomic(r.files, snapshotName, body); err != nil {
 		return err
 	}
-	r.snapshotted = snapshot.Index
+	r.snapshotIndex = snapshot.Index
 	return nil
 }
 
-// ReadSnapshot returns the snapshot, or a zero one if there is none.
+// ReadSnapshot returns the snapshot on disk, or the zero Snapshot if there is none.
 func (r *Recorder) ReadSnapshot() (replicator.Snapshot, error) {
 	data, err := r.files.Read(snapshotName)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -56,13 +56,14 @@
 	return replicator.SnapshotFromWire(&wire), nil
 }
 
-// Truncate removes the segments that a durable snapshot has made superfluous.
-func (r *Recorder) Truncate(index uint64) error {
+// Compact removes the oldest segments whose entries are all covered by a durable
+// snapshot at an index.
+func (r *Recorder) Compact(index uint64) error {
 	if r.failed != nil {
 		return r.failed
 	}
 	removed := false
-	for len(r.segments) > 1 && r.segments[0].highest <= index {
+	for len(r.segments) > 1 && r.segments[0].maxIndex <= index {
 		if err := r.files.Remove(r.segments[0].name()); err != nil {
 			return r.fail(err)
 		}
@@ -78,15 +79,15 @@
 	return nil
 }
 
-// Restart makes the log begin anew behind a snapshot that came from a leader
-// and that WriteSnapshot has made durable.
-func (r *Recorder) Restart(position replicator.Position) error {
+// ResetLog drops all entries and makes the log start after a snapshot that came from
+// a leader and that WriteSnapshot has made durable.
+func (r *Recorder) ResetLog(position replicator.Position) error {
 	start := &messenger.LogStart{Index: position.Index, Term: position.Term}
 	if err := r.write(&messenger.DiskRecord{Start: start}); err != nil {
 		return err
 	}
 	r.last = position.Index
-	open := r.open()
-	open.highest = max(open.highest, position.Index)
-	return r.Truncate(position.Index)
+	open := r.openSegment()
+	open.maxIndex = max(open.maxIndex, position.Index)
+	return r.Compact(position.Index)
 }
--- a/lib/replicator/codec.go
+++ b/lib/replicator/codec.go
@@ -9,15 +9,15 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// ErrMalformed is the kind of every error of decoding.
+// ErrMalformed is the kind of every decoding error.
 var ErrMalformed = merry.Sentinel("replication data is malformed")
 
-// EncodeGroup encodes a membership.
+// EncodeGroup encodes a membership as the data of a Membership entry.
 func EncodeGroup(group Group) []byte {
 	return marshal(groupToWire(group))
 }
 
-// DecodeGroup decodes a membership.
+// DecodeGroup decodes the data of a Membership entry. Its error is ErrMalformed.
 func DecodeGroup(data []byte) (Group, error) {
 	var wire messenger.ReplicaGroup
 	if err := unmarshal(data, &wire); err != nil {
@@ -26,7 +26,7 @@
 	return groupFromWire(&wire), nil
 }
 
-// EncodeMessages encodes messages to one replica for one call.
+// EncodeMessages encodes messages to one replica as the body of one call.
 func EncodeMessages(messages []Message) []byte {
 	batch := &messenger.AgreementBatch{Messages: make([]*messenger.Agreement, 0, len(messages))}
 	for _, message := range messages {
@@ -35,8 +35,9 @@
 	return marshal(batch)
 }
 
-// DecodeMessages decodes what EncodeMessages made. A message that a Node could
-// not take is an ErrMalformed.
+// DecodeMessages is the inverse of EncodeMessages. A message that a Node could not
+// process, such as an Install without snapshot or an Append whose entries have
+// gaps, is an ErrMalformed.
 func DecodeMessages(data []byte) ([]Message, error) {
 	var batch messenger.AgreementBatch
 	if err := unmarshal(data, &batch); err != nil {
@@ -46,11 +47,11 @@
 	for _, wire := range batch.GetMessages() {
 		message := messageFromWire(wire)
 		if message.Kind == Install && message.Snapshot == nil {
-			return nil, merry.Errorf("%w: an installation without snapshot", ErrMalformed)
+			return nil, merry.Errorf("%w: Install message without snapshot", ErrMalformed)
 		}
 		for i, entry := range message.Entries {
 			if entry.Index != message.Position.Index+1+uint64(i) {
-				return nil, merry.Errorf("%w: entries with gaps", ErrMalformed)
+				return nil, merry.Errorf("%w: entries of a message have gaps", ErrMalformed)
 			}
 		}
 		messages = append(messages, message)
@@ -58,7 +59,7 @@
 	return messages, nil
 }
 
-// EntryToWire converts an entry for the disk and the network.
+// EntryToWire converts an entry to the form that is stored and sent.
 func EntryToWire(entry Entry) *messenger.LogEntry {
 	return &messenger.LogEntry{
 		Index: entry.Index, Term: entry.Term, Kind: uint32(entry.Kind), Data: entry.Data,
@@ -72,7 +73,7 @@
 	}
 }
 
-// SnapshotToWire converts a snapshot for the disk and the network.
+// SnapshotToWire converts a snapshot to the form that is stored and sent.
 func SnapshotToWire(snapshot Snapshot) *messenger.LogSnapshot {
 	return &messenger.LogSnapshot{
 		Index: snapshot.Index, Term: snapshot.Term,
@@ -141,8 +142,8 @@
 	return m
 }
 
-// marshal cannot fail: our messages hold no required fields and their texts
-// are checked where they enter.
+// marshal panics on an error, which cannot occur: the messages have no required
+// fields, and their strings are validated when they enter the process.
 func marshal(message proto.Message) []byte {
 	data, err := proto.Marshal(message)
 	if err != nil {
--- a/lib/replicator/group.go
+++ b/lib/replicator/group.go
@@ -4,16 +4,17 @@
 	"slices"
 )
 
-// Role says what part a replica has in the group.
+// Role is the role of a replica in the group.
 type Role uint8
 
 // The roles.
 const (
-	// Voter counts for elections and commits.
+	// Voter counts toward the majority in elections and commits.
 	Voter Role = iota + 1
-	// Joining receives the log and is promoted to voter once it has caught up.
+	// Joining receives the log as a learner and is promoted to voter once it has
+	// caught up.
 	Joining
-	// Learner receives the log and stays without a vote.
+	// Learner receives the log and never becomes a voter.
 	Learner
 )
 
@@ -25,10 +26,10 @@
 	Role    Role
 }
 
-// Group is the members as of an entry of the log. It is never changed in place.
+// Group is the membership as of a log entry. It is never modified in place.
 type Group []Replica
 
-// Find returns the member with that identity.
+// Find returns the member with that ID.
 func (g Group) Find(id ID) (Replica, bool) {
 	at := slices.IndexFunc(g, func(r Replica) bool { return r.ID == id })
 	if at < 0 {
@@ -37,7 +38,8 @@
 	return g[at], true
 }
 
-// Named returns the members of that name: two while a wiped disk is replaced.
+// Named returns the members with that name. There are two of them while a wiped
+// disk is being replaced.
 func (g Group) Named(name string) []Replica {
 	var found []Replica
 	for _, replica := range g {
@@ -48,12 +50,12 @@
 	return found
 }
 
-func (g Group) votes(id ID) bool {
+func (g Group) isVoter(id ID) bool {
 	replica, found := g.Find(id)
 	return found && replica.Role == Voter
 }
 
-// Voters returns the members that vote.
+// Voters returns the members with the role Voter.
 func (g Group) Voters() []Replica {
 	var voters []Replica
 	for _, replica := range g {
@@ -64,18 +66,18 @@
 	return voters
 }
 
-// quorum is the least number of voters that is a majority.
+// quorum returns the number of voters that form a majority.
 func (g Group) quorum() int {
 	return len(g.Voters())/2 + 1
 }
 
-// with returns a group in which the replica is set.
+// with returns a copy of the group in which the replica is added or replaced.
 func (g Group) with(replica Replica) Group {
 	changed := g.without(replica.ID)
 	return append(changed, replica)
 }
 
-// without returns a group without that member.
+// without returns a copy of the group without that member.
 func (g Group) without(id ID) Group {
 	changed := make(Group, 0, len(g)+1)
 	for _, replica := range g {
@@ -86,8 +88,9 @@
 	return changed
 }
 
-// agreed returns the highest value that a majority of the voters has reached.
-func agreed[T any](g Group, of func(ID) T, compare func(a, b T) int) T {
+// quorumValue returns the highest value that a majority of the voters has reached,
+// where of returns the value of one voter. Without voters it returns the zero value.
+func quorumValue[T any](g Group, of func(ID) T, compare func(a, b T) int) T {
 	values := make([]T, 0, len(g))
 	for _, replica := range g {
 		if replica.Role == Voter {
--- a/lib/replicator/journal.go
+++ b/lib/replicator/journal.go
@@ -1,12 +1,13 @@
 package replicator
 
-// journal is the part of the log that is held in memory: everything behind the
-// base. Entries at and before the base are known to be committed.
+// journal is the part of the log that is held in memory: all entries after base.
+// Entries up to and including base are committed and covered by a snapshot.
 type journal struct {
 	base    Position
 	entries []Entry
 }
 
+// last returns the position of the last entry, or base if there is none.
 func (j *journal) last() Position {
 	if len(j.entries) == 0 {
 		return j.base
@@ -14,7 +15,8 @@
 	return j.entries[len(j.entries)-1].position()
 }
 
-// term returns the term of the entry at an index, if it is known.
+// term returns the term of the entry at an index, and false if the index is before
+// base or after the last entry.
 func (j *journal) term(index uint64) (uint64, bool) {
 	switch {
 	case index == j.base.Index:
@@ -25,15 +27,17 @@
 	return j.entries[index-j.base.Index-1].Term, true
 }
 
-// matches tells whether the entry at a position is in the log.
+// matches reports whether the log holds an entry with that index and term.
 func (j *journal) matches(position Position) bool {
 	term, known := j.term(position.Index)
 	return known && term == position.Term
 }
 
-// from returns entries from an index on, at most that many, and at most that
-// many bytes unless the first alone is larger. The slice must not be changed.
-func (j *journal) from(index uint64, entries, bytes int) []Entry {
+// entriesFrom returns the entries from an index on, limited to a number of entries
+// and to a number of bytes of data. It returns at least one entry, even if that
+// exceeds the bytes, and nil if the index is not in memory. The caller must not
+// modify the slice.
+func (j *journal) entriesFrom(index uint64, entries, bytes int) []Entry {
 	if index <= j.base.Index || index > j.last().Index {
 		return nil
 	}
@@ -48,8 +52,8 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// between returns the entries behind one index up to and including another.
-func (j *journal) between(after, upTo uint64) []Entry {
+// entriesBetween returns the entries after one index, up to and including another.
+func (j *journal) entriesBetween(after, upTo uint64) []Entry {
 	if upTo <= after || after < j.base.Index {
 		return nil
 	}
@@ -60,27 +64,29 @@
 	j.entries = append(j.entries, entry)
 }
 
-// cut drops the entries from an index on. The rest is copied when something
-// is appended, because messages still share the array.
-func (j *journal) cut(index uint64) {
+// truncateFrom drops the entries from an index on. It limits the capacity of the
+// slice, so that the next append copies the remaining entries: queued messages
+// still share the array.
+func (j *journal) truncateFrom(index uint64) {
 	keep := index - j.base.Index - 1
 	j.entries = j.entries[:keep:keep]
 }
 
-// conflict returns the highest index, at most the given one, at which a log
-// with another entry there may still agree: the end of the previous term. It
-// skips a whole term in one round trip (section 5.3 of the paper).
-func (j *journal) conflict(index uint64) uint64 {
+// conflictHint returns the highest index, at most the given one, at which this log
+// may match a log that has a different entry at the given index. That is the last
+// entry of the previous term, so that one round trip skips a whole term (section
+// 5.3 of the paper).
+func (j *journal) conflictHint(index uint64) uint64 {
 	if index > j.last().Index {
 		return j.last().Index
 	}
-	wrong, known := j.term(index)
+	conflictTerm, known := j.term(index)
 	if !known {
 		return j.base.Index
 	}
 	for index > j.base.Index {
 		term, _ := j.term(index)
-		if term != wrong {
+		if term != conflictTerm {
 			break
 		}
 		index--
@@ -88,8 +94,8 @@
 	return index
 }
 
-// compact moves the base to an index but keeps that many bytes of entries
-// before it for followers that are a little behind.
+// compact drops the entries up to an index, except the latest of them up to keep
+// bytes, which slow followers may still need. It moves base accordingly.
 func (j *journal) compact(index uint64, keep int) {
 	size := 0
 	for index > j.base.Index {
@@ -104,15 +110,15 @@
 	}
 	term, _ := j.term(index)
 	kept := j.entries[index-j.base.Index:]
-	// The copy lets the old array go.
+	// The copy releases the old array.
 	j.entries = append(make([]Entry, 0, len(kept)), kept...)
 	j.base = Position{Index: index, Term: term}
 }
 
-// entryOverhead is the memory of an entry besides its data, in bytes.
+// entryOverhead is the memory that an entry takes besides its data, in bytes.
 const entryOverhead = 48
 
-// reset makes the log empty behind a snapshot.
+// reset empties the log and makes it start after a snapshot at base.
 func (j *journal) reset(base Position) {
 	j.base = base
 	j.entries = nil
--- a/lib/replicator/leader.go
+++ b/lib/replicator/leader.go
@@ -8,44 +8,46 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// peer is what a leader knows of another replica.
+// peer is the replication progress of another replica, as tracked by the leader.
 type peer struct {
-	match uint64 // the last entry that is surely synced there
-	next  uint64 // the first entry to send
-	// streaming means that entries are sent ahead of their acknowledgement. It
-	// is left at the first rejection or silence, when next is only a guess.
-	streaming bool
-	asked     bool          // a probe is under way; the next one waits for the heartbeat
-	stamp     time.Duration // sent at: of the newest message that was answered
-	installed time.Time     // until then an installation is under way
-	target    uint64        // the index that it leads to
-	seen      time.Time     // when the last answer came
+	match uint64 // index of the last entry known to be synced on the peer
+	next  uint64 // index of the next entry to send
+	// streaming means that entries are pipelined ahead of their acknowledgement.
+	// It ends with a rejection, a snapshot transfer or an election timeout without
+	// reply, when next is only a guess, and resumes once a reply confirms it.
+	streaming       bool
+	probing         bool          // a probe is in flight; the next is sent with a heartbeat
+	ackedStamp      time.Duration // Stamp of the latest message that the peer has answered
+	installDeadline time.Time     // end of the snapshot transfer in progress; zero if there is none
+	installIndex    uint64        // index of the snapshot being transferred
+	lastReply       time.Time     // when the last reply arrived
 }
 
-// leaseShare is the part of the election timeout that the lease lasts. The
-// rest allows for clocks that run at slightly different rates.
+// The lease lasts leaseNumerator/leaseDenominator of the election timeout. The
+// remainder allows for clocks that run at slightly different rates.
 const (
-	leaseShare    = 9
-	leaseShareOf  = 10
-	installRounds = 20 // an installation may take that many election timeouts
+	leaseNumerator          = 9
+	leaseDenominator        = 10
+	installElectionTimeouts = 20 // timeout of a snapshot transfer, in election timeouts
 )
 
+// becomeLeader starts this node's leadership of the current term.
 func (n *Node) becomeLeader(now time.Time) {
 	n.state = Leader
 	n.leader = n.id
-	n.since = now
-	n.granted = nil
+	n.leaderSince = now
+	n.votesGranted = nil
 	n.transfer = transfer{}
-	n.pending = 0
+	n.pendingBytes = 0
 	n.peers = make(map[ID]*peer)
 	n.syncPeers()
-	// A leader may only commit entries of its own term by counting replicas
-	// (section 5.4.2 of the paper), so it needs one at once.
-	n.push(Entry{Index: n.journal.last().Index + 1, Term: n.ballot.Term, Kind: Empty})
-	n.heartbeat(now)
+	// A leader may commit only entries of its own term by counting replicas
+	// (section 5.4.2 of the paper), so it appends one at once.
+	n.appendEntry(Entry{Index: n.journal.last().Index + 1, Term: n.ballot.Term, Kind: NoOp})
+	n.sendHeartbeats(now)
 }
 
-// syncPeers follows the membership in force.
+// syncPeers adds and removes peers to match the membership in force.
 func (n *Node) syncPeers() {
 	group := n.Group()
 	for id := range n.peers {
@@ -60,89 +62,96 @@
 	}
 }
 
+// tickLeader processes the leader's timers.
 func (n *Node) tickLeader(now time.Time) {
-	if now.Sub(n.since) > n.timing.Election && n.quorumHeard(now) > n.timing.Election {
-		// Cut off silently: callers must hear of it, and the others will elect.
+	if now.Sub(n.leaderSince) > n.timing.ElectionTimeout && n.quorumContactAge(now) > n.timing.ElectionTimeout {
+		// This leader has lost contact with a majority. It steps down, so that
+		// callers get an error, while the other voters elect a new leader.
 		n.becomeFollower(now, n.ballot.Term, 0)
 		return
 	}
-	if n.transfer.to != 0 && now.After(n.transfer.deadline) {
+	if n.transfer.target != 0 && now.After(n.transfer.deadline) {
 		n.abandonTransfer(now)
 		return
 	}
-	if now.Sub(n.beat) >= n.timing.Heartbeat {
-		n.heartbeat(now)
+	if now.Sub(n.lastHeartbeat) >= n.timing.HeartbeatInterval {
+		n.sendHeartbeats(now)
 	}
-	n.manage(now)
+	n.manageMembership(now)
 }
 
-// quorumHeard returns how long ago the messages were sent that a majority,
-// this node included, has answered last.
-func (n *Node) quorumHeard(now time.Time) time.Duration {
+// quorumContactAge returns the time since this leader sent the latest message
+// that a majority of the voters, including itself, has answered.
+func (n *Node) quorumContactAge(now time.Time) time.Duration {
 	since := now.Sub(n.epoch)
-	stamp := agreed(n.Group(), func(id ID) time.Duration {
+	stamp := quorumValue(n.Group(), func(id ID) time.Duration {
 		if id == n.id {
 			return since
 		}
 		if p, found := n.peers[id]; found {
-			return p.stamp
+			return p.ackedStamp
 		}
 		return 0
 	}, cmp.Compare)
 	return since - stamp
 }
 
-// Lease tells whether no other replica can have become leader. Followers vote
-// for no one within an election timeout of hearing this leader, and the lease
-// counts from when the message was sent that they answered.
-func (n *Node) Lease(now time.Time) bool {
+// HasLease reports whether this node is the leader and no other replica can have
+// become leader. Followers grant no vote within an election timeout after a
+// message from this leader, and the lease starts when the message that a majority
+// answered was sent.
+func (n *Node) HasLease(now time.Time) bool {
 	if n.state != Leader || n.transfer.sent {
 		return false
 	}
-	return n.quorumHeard(now) < n.timing.Election*leaseShare/leaseShareOf
+	return n.quorumContactAge(now) < n.timing.ElectionTimeout*leaseNumerator/leaseDenominator
 }
 
-// Propose appends commands to the log and returns where the first one stands.
-// With an error nothing was appended.
+// Propose appends commands to the log and returns the position of the first one.
+// Its errors are ErrNotLeader, ErrNoQuorum and ErrBusy; with each of them nothing
+// was appended.
 func (n *Node) Propose(now time.Time, commands [][]byte) (Position, error) {
 	if n.state != Leader {
 		return Position{}, merry.Errorf("%w; ask the leader", ErrNotLeader)
 	}
-	if n.transfer.to != 0 {
+	if n.transfer.target != 0 {
 		return Position{}, merry.Errorf("%w: it is handing over; ask again", ErrNotLeader)
 	}
-	fresh := now.Sub(n.since) < n.timing.Election
-	if !fresh && !n.Lease(now) {
+	fresh := now.Sub(n.leaderSince) < n.timing.ElectionTimeout
+	if !fresh && !n.HasLease(now) {
 		return Position{}, merry.Errorf("%w answers; ask again when the network is whole", ErrNoQuorum)
 	}
 	size := 0
 	for _, command := range commands {
 		size += len(command) + entryOverhead
 	}
-	if n.pending > 0 && n.pending+size > n.limits.PendingBytes {
+	if n.pendingBytes > 0 && n.pendingBytes+size > n.limits.PendingBytes {
 		return Position{}, merry.Errorf("%w; ask again later", ErrBusy)
 	}
-	n.pending += size
+	n.pendingBytes += size
 	first := n.journal.last().Index + 1
 	for i, command := range commands {
-		n.push(Entry{Index: first + uint64(i), Term: n.ballot.Term, Data: command})
+		n.appendEntry(Entry{Index: first + uint64(i), Term: n.ballot.Term, Data: command})
 	}
 	return Position{Index: first, Term: n.ballot.Term}, nil
 }
 
-func (n *Node) heartbeat(now time.Time) {
-	n.beat = now
+// sendHeartbeats sends a message to every peer. It also allows the next probe, and
+// stops streaming to peers that have not replied for an election timeout.
+func (n *Node) sendHeartbeats(now time.Time) {
+	n.lastHeartbeat = now
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		p.asked = false
-		if now.Sub(p.seen) > n.timing.Election {
+		p.probing = false
+		if now.Sub(p.lastReply) > n.timing.ElectionTimeout {
 			p.streaming = false
 		}
-		n.sendTo(now, id, p, true)
+		n.sendAppend(now, id, p, true)
 	}
 }
 
-// replicate sends to every follower what it has not been sent yet.
+// replicate sends the entries that have not been sent yet to every peer in
+// streaming mode, up to its window.
 func (n *Node) replicate(now time.Time) {
 	if n.state != Leader {
 		return
@@ -150,12 +159,12 @@
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
 		for p.streaming && p.next <= n.journal.last().Index && p.next-p.match <= uint64(n.limits.Window) {
-			n.sendTo(now, id, p, false)
+			n.sendAppend(now, id, p, false)
 		}
 	}
 }
 
-// peerIDs lists the peers in a fixed order, so that a run can be repeated.
+// peerIDs returns the peers in a fixed order, so that runs are reproducible.
 func (n *Node) peerIDs() []ID {
 	ids := make([]ID, 0, len(n.peers))
 	for id := range n.peers {
@@ -165,9 +174,10 @@
 	return ids
 }
 
-// sendTo sends one Append, or an Install if the follower needs entries that
-// are no longer in the log.
-func (n *Node) sendTo(now time.Time, id ID, p *peer, beat bool) {
+// sendAppend sends one Append, or an Install if the follower needs entries that
+// are no longer in memory. To a peer that is not streaming, it sends an Append
+// without entries, and only if heartbeat is true.
+func (n *Node) sendAppend(now time.Time, id ID, p *peer, heartbeat bool) {
 	message := Message{Kind: Append, To: id, Term: n.ballot.Term, Stamp: now.Sub(n.epoch)}
 	if p.next <= n.journal.base.Index {
 		n.sendInstall(now, p, message)
@@ -179,32 +189,33 @@
 	switch {
 	case p.streaming:
 		if p.next-p.match <= uint64(n.limits.Window) {
-			message.Entries = n.journal.from(p.next, n.limits.BatchEntries, n.limits.BatchBytes)
+			message.Entries = n.journal.entriesFrom(p.next, n.limits.BatchEntries, n.limits.BatchBytes)
 			p.next += uint64(len(message.Entries))
 		}
-	case !beat:
+	case !heartbeat:
 		return
 	}
 	n.sendEarly(message)
 }
 
-// sendInstall starts an installation, or only beats while one is under way:
-// position zero matches every log.
+// sendInstall starts a snapshot transfer. While one is in progress it sends only a
+// heartbeat, whose position zero matches every log.
 func (n *Node) sendInstall(now time.Time, p *peer, message Message) {
-	if now.Before(p.installed) {
+	if now.Before(p.installDeadline) {
 		n.sendEarly(message)
 		return
 	}
 	p.streaming = false
-	p.installed = now.Add(installRounds * n.timing.Election)
-	p.target = n.saved.Index
+	p.installDeadline = now.Add(installElectionTimeouts * n.timing.ElectionTimeout)
+	p.installIndex = n.snapshotPosition.Index
 	message.Kind = Install
-	message.Snapshot = &Snapshot{Position: n.saved, Group: n.GroupAt(n.saved.Index)}
+	message.Snapshot = &Snapshot{Position: n.snapshotPosition, Group: n.GroupAt(n.snapshotPosition.Index)}
 	n.sendEarly(message)
 }
 
-// acknowledged takes a follower's answer.
-func (n *Node) acknowledged(now time.Time, m Message) {
+// handleAppendReply updates the progress of a peer from its reply to an Append or
+// Install, and advances the commit index.
+func (n *Node) handleAppendReply(now time.Time, m Message) {
 	if m.Term > n.ballot.Term {
 		n.becomeFollower(now, m.Term, 0)
 		return
@@ -213,47 +224,48 @@
 	if n.state != Leader || m.Term != n.ballot.Term || !found {
 		return
 	}
-	p.seen = now
-	p.stamp = max(p.stamp, m.Stamp)
+	p.lastReply = now
+	p.ackedStamp = max(p.ackedStamp, m.Stamp)
 	if m.Reject {
-		n.rejected(now, m, p)
+		n.handleRejection(now, m, p)
 		return
 	}
 	if m.Position.Index > p.match {
 		p.match = m.Position.Index
-		n.advance(now)
+		n.advanceCommit(now)
 	}
-	if p.match >= p.target {
-		p.installed = time.Time{}
+	if p.match >= p.installIndex {
+		p.installDeadline = time.Time{}
 	}
 	p.next = max(p.next, p.match+1)
 	if !p.streaming && p.next > n.journal.base.Index && m.Position.Index+1 >= p.next {
 		p.streaming = true
 	}
-	n.handOver()
-	n.manage(now)
+	n.sendTimeoutNow()
+	n.manageMembership(now)
 }
 
-// rejected steps back to where the logs may agree, but not behind what the
-// follower has acknowledged: its answer skips a whole term, of which it may have
-// acknowledged a part.
-func (n *Node) rejected(now time.Time, m Message, p *peer) {
+// handleRejection moves next back to the entry after the last one that may match,
+// but not before the entries that the follower has acknowledged: the hint in the
+// reply skips a whole term, of which the follower may have acknowledged a part.
+func (n *Node) handleRejection(now time.Time, m Message, p *peer) {
 	next := max(m.Position.Index, p.match) + 1
 	if next >= p.next {
 		return
 	}
 	p.streaming = false
 	p.next = next
-	if !p.asked {
-		p.asked = true
-		n.sendTo(now, m.From, p, true)
+	if !p.probing {
+		p.probing = true
+		n.sendAppend(now, m.From, p, true)
 	}
 }
 
-// advance commits what a majority has synced. Entries of earlier terms are
-// only committed along with one of the own term.
-func (n *Node) advance(now time.Time) {
-	reached := agreed(n.Group(), func(id ID) uint64 {
+// advanceCommit advances the commit index to the last entry that a majority of the
+// voters has synced. Entries of earlier terms are committed only along with an
+// entry of the current term.
+func (n *Node) advanceCommit(now time.Time) {
+	reached := quorumValue(n.Group(), func(id ID) uint64 {
 		if id == n.id {
 			return n.stable
 		}
@@ -266,11 +278,11 @@
 	if reached <= n.commit || !known || term != n.ballot.Term {
 		return
 	}
-	for _, entry := range n.journal.between(n.commit, reached) {
+	for _, entry := range n.journal.entriesBetween(n.commit, reached) {
 		if entry.Kind == Command && entry.Term == n.ballot.Term {
-			n.pending = max(0, n.pending-len(entry.Data)-entryOverhead)
+			n.pendingBytes = max(0, n.pendingBytes-len(entry.Data)-entryOverhead)
 		}
 	}
 	n.commit = reached
-	n.manage(now)
+	n.manageMembership(now)
 }
--- a/lib/replicator/node_test.go
+++ b/lib/replicator/node_test.go
@@ -10,226 +10,228 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// trio is a whole network of three members, or more, without any faults but
-// those that a test causes.
-func trio(t *testing.T, size int) *world {
+// reliableCluster returns a cluster of the given size with a leader, without any
+// faults but those that a test causes.
+func reliableCluster(t *testing.T, size int) *cluster {
 	t.Helper()
-	w := newWorld(7, size)
-	w.lossy = false
-	w.run(2 * time.Second)
-	require.NoError(t, w.problem)
-	require.NotNil(t, w.leader())
-	return w
+	c := newCluster(7, size)
+	c.lossy = false
+	c.run(2 * time.Second)
+	require.NoError(t, c.failure)
+	require.NotNil(t, c.leader())
+	return c
 }
 
-func (w *world) run(length time.Duration) {
-	for end := w.now.Add(length); w.now.Before(end); {
-		w.pass(10 * time.Millisecond)
+// run lets the cluster work for a time.
+func (c *cluster) run(length time.Duration) {
+	for end := c.now.Add(length); c.now.Before(end); {
+		c.advance(10 * time.Millisecond)
 	}
 }
 
-// isolate cuts a member off in both directions.
-func (w *world) isolate(m *member) {
-	for id := range w.members {
-		w.cut[[2]replicator.ID{m.id, id}] = true
-		w.cut[[2]replicator.ID{id, m.id}] = true
+// isolate drops all messages from and to a member.
+func (c *cluster) isolate(m *member) {
+	for id := range c.members {
+		c.cutLinks[[2]replicator.ID{m.id, id}] = true
+		c.cutLinks[[2]replicator.ID{id, m.id}] = true
 	}
 }
 
-func (w *world) other(than *member) *member {
-	for _, id := range w.ids() {
-		if m := w.members[id]; m != than && m.node != nil {
+// memberExcept returns the running member with the lowest ID, except the given one.
+func (c *cluster) memberExcept(than *member) *member {
+	for _, id := range c.ids() {
+		if m := c.members[id]; m != than && m.node != nil {
 			return m
 		}
 	}
 	return nil
 }
 
-// Symptom: a leader that was cut off silently goes on answering as if it led.
-// Sequence: the leader is cut off in both directions, no connection breaks, the
-// others elect. Cause: without a count of answers nothing tells it.
+// Guards against a partitioned leader that still acts as the leader after the
+// other members have elected a new one. No connection breaks, so only the missing
+// replies show the leader that it has lost its quorum.
 func TestIsolatedLeaderStepsDown(t *testing.T) {
 	t.Parallel()
-	w := trio(t, 3)
-	old := w.leader()
-	w.isolate(old)
-	w.run(election)
-	require.False(t, old.node.Lease(w.now), "the lease must end before another may lead")
-	w.run(election)
-	require.Equal(t, replicator.Follower, old.node.Status(w.now).State)
-	_, err := old.node.Propose(w.now, [][]byte{nil})
+	c := reliableCluster(t, 3)
+	old := c.leader()
+	c.isolate(old)
+	c.run(electionTimeout)
+	require.False(t, old.node.HasLease(c.now), "the lease must end before another may lead")
+	c.run(electionTimeout)
+	require.Equal(t, replicator.Follower, old.node.Status(c.now).State)
+	_, err := old.node.Propose(c.now, [][]byte{nil})
 	require.ErrorIs(t, err, replicator.ErrNotLeader)
-	w.run(2 * time.Second)
-	require.NotEqual(t, old.id, w.leader().id)
-	require.NoError(t, w.problem)
+	c.run(2 * time.Second)
+	require.NotEqual(t, old.id, c.leader().id)
+	require.NoError(t, c.failure)
 }
 
-// Symptom: a working leader is deposed whenever a member returns that had been
-// cut off. Sequence: a follower hears nothing, campaigns again and again, and
-// comes back with a higher term. Cause: no pre-vote.
-func TestReturningMemberDeposesNoOne(t *testing.T) {
+// Guards against a partitioned follower that deposes a working leader when it
+// returns. Without pre-vote it would campaign repeatedly and come back with a
+// higher term.
+func TestReturningMemberDoesNotDeposeLeader(t *testing.T) {
 	t.Parallel()
-	w := trio(t, 3)
-	leader := w.leader()
-	term := leader.node.Status(w.now).Term
-	away := w.other(leader)
-	w.isolate(away)
-	w.run(5 * time.Second)
-	clear(w.cut)
-	w.run(time.Second)
-	require.Equal(t, leader, w.leader())
-	require.Equal(t, term, leader.node.Status(w.now).Term)
+	c := reliableCluster(t, 3)
+	leader := c.leader()
+	term := leader.node.Status(c.now).Term
+	away := c.memberExcept(leader)
+	c.isolate(away)
+	c.run(5 * time.Second)
+	clear(c.cutLinks)
+	c.run(time.Second)
+	require.Equal(t, leader, c.leader())
+	require.Equal(t, term, leader.node.Status(c.now).Term)
 }
 
-// Symptom: two leaders believe in their leases. Sequence: a follower crashes
-// right after it answered the leader, starts again, and at once helps another
-// to be elected. Cause: it no longer knows that it had just heard the leader.
-func TestRestartedMemberHoldsItsVote(t *testing.T) {
+// Guards against two leaders with a lease at the same time. A follower that
+// restarts right after it replied to the leader no longer knows of that reply, and
+// must not vote for another candidate before the leader's lease has expired.
+func TestRestartedMemberWithholdsItsVote(t *testing.T) {
 	t.Parallel()
-	w := trio(t, 3)
-	leader := w.leader()
-	voter := w.other(leader)
-	w.crash(voter)
-	w.start(voter)
-	term := voter.node.Status(w.now).Term
-	voter.node.Step(w.now, replicator.Message{
+	c := reliableCluster(t, 3)
+	leader := c.leader()
+	voter := c.memberExcept(leader)
+	c.crash(voter)
+	c.start(voter)
+	term := voter.node.Status(c.now).Term
+	voter.node.Step(c.now, replicator.Message{
 		Kind: replicator.Vote, From: leader.id + 100, To: voter.id, Term: term + 1,
 		Position: replicator.Position{Index: 1000, Term: term},
 	})
-	require.True(t, voter.node.Actions(w.now).Empty())
-	require.Equal(t, term, voter.node.Status(w.now).Term)
+	require.True(t, voter.node.Actions(c.now).Empty())
+	require.Equal(t, term, voter.node.Status(c.now).Term)
 }
 
-// Symptom: an accepted change is gone. Sequence: a voter's disk is wiped, the
-// voter answers a candidate that lacks the change, and their two votes are a
-// majority. Cause: the wiped disk votes in the name of the old one.
+// Guards against the loss of an accepted change. If a wiped disk voted under the
+// identity of the old one, its vote and that of a candidate that lacks the change
+// would be a majority.
 func TestWipedDiskDoesNotVote(t *testing.T) {
 	t.Parallel()
-	w := trio(t, 3)
-	old := w.other(w.leader())
-	delete(w.members, old.id)
-	fresh := w.add(old.name)
-	w.start(fresh)
-	fresh.node.Step(w.now, replicator.Message{
+	c := reliableCluster(t, 3)
+	old := c.memberExcept(c.leader())
+	delete(c.members, old.id)
+	fresh := c.add(old.name)
+	c.start(fresh)
+	fresh.node.Step(c.now, replicator.Message{
 		Kind: replicator.Vote, From: 3, To: old.id, Term: 100, Transfer: true,
 		Position: replicator.Position{Index: 1000, Term: 99},
 	})
-	require.True(t, fresh.node.Actions(w.now).Empty())
+	require.True(t, fresh.node.Actions(c.now).Empty())
 	for range 100 {
-		w.now = w.now.Add(election)
-		fresh.node.Tick(w.now)
-		require.True(t, fresh.node.Actions(w.now).Empty(), "it must not campaign either")
+		c.now = c.now.Add(electionTimeout)
+		fresh.node.Tick(c.now)
+		require.True(t, fresh.node.Actions(c.now).Empty(), "it must not campaign either")
 	}
 }
 
-// Symptom: an accepted change is gone after a second disk was lost, right after
-// the first was repaired. Sequence: a disk is wiped, its keeper joins anew and
-// is promoted, then another voter's disk is lost. Cause: a promotion before the
-// newcomer has everything.
+// Guards against the loss of an accepted change when a second disk is lost right
+// after the first was replaced: a disk is wiped, its keeper joins again and is
+// promoted, then another voter's disk is lost. The promotion must wait until the
+// newcomer has every committed entry.
 func TestSecondLossRightAfterRepair(t *testing.T) {
 	t.Parallel()
-	w := trio(t, 3)
+	c := reliableCluster(t, 3)
 	for range 50 {
-		w.propose(w.leader())
-		w.run(20 * time.Millisecond)
+		c.propose(c.leader())
+		c.run(20 * time.Millisecond)
 	}
-	accepted := len(w.accepted) + len(w.granted)
+	accepted := len(c.accepted) + len(c.granted)
 	require.Positive(t, accepted)
-	first := w.other(w.leader())
-	w.wipe(first)
-	fresh := w.members[w.nextID]
-	for !w.repaired() {
-		committed := w.leader().node.Status(w.now).Commit
-		w.pass(time.Millisecond)
-		w.rejoin()
-		if replica, _ := w.leader().node.Group().Find(fresh.id); replica.Role == replicator.Voter {
-			require.GreaterOrEqual(t, fresh.disk.last(), committed, "promoted before it had everything")
+	first := c.memberExcept(c.leader())
+	c.wipe(first)
+	fresh := c.members[c.nextID]
+	for !c.repaired() {
+		committed := c.leader().node.Status(c.now).Commit
+		c.advance(time.Millisecond)
+		c.rejoin()
+		if replica, _ := c.leader().node.Group().Find(fresh.id); replica.Role == replicator.Voter {
+			require.GreaterOrEqual(t, fresh.disk.last(), committed, "promoted before it had every committed entry")
 		}
 	}
-	second := w.members[1+first.id%3]
-	if w.members[second.id] != w.leader() {
-		second = w.leader()
+	second := c.members[1+first.id%3]
+	if c.members[second.id] != c.leader() {
+		second = c.leader()
 	}
-	w.wipe(second)
-	require.NotContains(t, w.members, second.id)
-	w.settle()
-	require.NoError(t, w.problem)
+	c.wipe(second)
+	require.NotContains(t, c.members, second.id)
+	c.heal()
+	require.NoError(t, c.failure)
 }
 
-func (w *world) repaired() bool {
-	leader := w.leader()
+// repaired reports whether the committed membership consists of three voters that
+// all have their disks.
+func (c *cluster) repaired() bool {
+	leader := c.leader()
 	if leader == nil {
 		return false
 	}
-	for _, replica := range leader.node.Status(w.now).Settled {
-		if w.lost[replica.ID] || replica.Role != replicator.Voter {
+	for _, replica := range leader.node.Status(c.now).CommittedGroup {
+		if c.lostDisks[replica.ID] || replica.Role != replicator.Voter {
 			return false
 		}
 	}
-	return len(leader.node.Status(w.now).Settled) == 3
+	return len(leader.node.Status(c.now).CommittedGroup) == 3
 }
 
-// Symptom: a fourth keeper makes a degraded group unable to work. Sequence: one
-// of three is dead, a fourth joins and is promoted, now three of four are
-// needed, and the newcomer fails.
+// Guards against a fourth keeper that makes a degraded group unavailable: one of
+// three members is down and a fourth is promoted, so that the majority is three of
+// four; then the newcomer fails.
 func TestNewcomerIsNotPromotedIntoDependence(t *testing.T) {
 	t.Parallel()
-	w := trio(t, 3)
-	w.crash(w.other(w.leader()))
-	w.run(time.Second)
-	fourth := w.add("fourth")
-	w.start(fourth)
-	w.rejoin()
-	w.run(3 * time.Second)
-	replica, found := w.leader().node.Group().Find(fourth.id)
+	c := reliableCluster(t, 3)
+	c.crash(c.memberExcept(c.leader()))
+	c.run(time.Second)
+	fourth := c.add("fourth")
+	c.start(fourth)
+	c.rejoin()
+	c.run(3 * time.Second)
+	replica, found := c.leader().node.Group().Find(fourth.id)
 	require.True(t, found)
 	require.Equal(t, replicator.Joining, replica.Role)
-	require.Equal(t, w.leader().applied, fourth.applied, "it has the log all the same")
+	require.Equal(t, c.leader().applied, fourth.applied, "the learner must still receive the log")
 }
 
-// Symptom: a planned stop costs an election timeout. Cause: the leader goes
-// without handing over.
+// Guards against a planned stop of the leader that costs an election timeout,
+// because the leadership is not transferred.
 func TestTransferIsFasterThanAnElection(t *testing.T) {
 	t.Parallel()
-	w := trio(t, 3)
-	old := w.leader()
-	require.True(t, old.node.Transfer(w.now))
-	w.flush(old)
-	start := w.now
-	for w.leader() == nil || w.leader() == old {
-		w.pass(time.Millisecond)
-		require.Less(t, w.now.Sub(start), election)
+	c := reliableCluster(t, 3)
+	old := c.leader()
+	require.True(t, old.node.Transfer(c.now))
+	c.flush(old)
+	start := c.now
+	for c.leader() == nil || c.leader() == old {
+		c.advance(time.Millisecond)
+		require.Less(t, c.now.Sub(start), electionTimeout)
 	}
-	require.NoError(t, w.problem)
+	require.NoError(t, c.failure)
 }
 
-// Symptom: after a handover that seemed to fail, two leaders believe in their
-// leases. Sequence: the leader tells its successor to campaign, the message is
-// late, the leader takes its lease up again, then the message arrives and the
-// others vote in spite of the lease. Cause: a lease that was given up is not
-// given back.
-func TestLateHandoverFindsNoLease(t *testing.T) {
+// Guards against two leaders with a lease after a leadership transfer that timed
+// out. If the leader resumed its lease while TimeoutNow is delayed, the message
+// could still arrive and the other members would vote in spite of the lease.
+func TestSentTransferEndsLease(t *testing.T) {
 	t.Parallel()
-	w := trio(t, 3)
-	old := w.leader()
-	term := old.node.Status(w.now).Term
-	require.True(t, old.node.Transfer(w.now))
-	late := old.node.Actions(w.now).Messages
-	old.node.Synced(w.now)
+	c := reliableCluster(t, 3)
+	old := c.leader()
+	term := old.node.Status(c.now).Term
+	require.True(t, old.node.Transfer(c.now))
+	late := old.node.Actions(c.now).Messages
+	old.node.Synced(c.now)
 	for range 60 {
-		w.pass(10 * time.Millisecond)
-		require.False(t, old.node.Lease(w.now) && old.node.Status(w.now).Term == term)
+		c.advance(10 * time.Millisecond)
+		require.False(t, old.node.HasLease(c.now) && old.node.Status(c.now).Term == term)
 	}
-	w.sendAll(old, late)
-	w.run(2 * time.Second)
-	require.NoError(t, w.problem)
-	require.NotNil(t, w.leader())
+	c.sendAll(old, late)
+	c.run(2 * time.Second)
+	require.NoError(t, c.failure)
+	require.NotNil(t, c.leader())
 }
 
-// Symptom: an entry that was committed is replaced (figure 8 of the paper).
-// Sequence: a new leader counts replicas of an entry of an earlier term, says
-// that it is committed, and crashes before an entry of its own term is there to
-// keep a candidate without it from winning.
+// Guards against the replacement of a committed entry (figure 8 of the paper). If
+// a new leader committed an entry of an earlier term by counting its replicas and
+// then crashed, a candidate without that entry could win, because no entry of the
+// new term prevents it.
 func TestEntriesOfEarlierTermsAreNotCommittedByCounting(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(0, 0)
@@ -260,27 +262,26 @@
 	require.EqualValues(t, 3, node.Status(now).Commit)
 }
 
-// Symptom: an accepted change is gone after a handover. Sequence: a member that
-// lacks the change is asked to campaign, and a voter helps it although its own
-// log is longer.
+// Guards against the loss of an accepted change in a leadership transfer: a member
+// that lacks the change campaigns, and a voter whose log is longer must reject it.
 func TestVoteComparesLogs(t *testing.T) {
 	t.Parallel()
-	w := trio(t, 3)
-	leader := w.leader()
-	voter := w.other(leader)
-	status := voter.node.Status(w.now)
-	voter.node.Step(w.now, replicator.Message{
+	c := reliableCluster(t, 3)
+	leader := c.leader()
+	voter := c.memberExcept(leader)
+	status := voter.node.Status(c.now)
+	voter.node.Step(c.now, replicator.Message{
 		Kind: replicator.Vote, From: leader.id, To: voter.id, Term: status.Term + 1, Transfer: true,
 		Position: replicator.Position{Index: status.Last.Index - 1, Term: status.Last.Term},
 	})
-	replies := voter.node.Actions(w.now).Messages
+	replies := voter.node.Actions(c.now).Messages
 	require.Len(t, replies, 1)
 	require.True(t, replies[0].Reject)
 }
 
-// Symptom: a group has two leaders of one term. Sequence: a lone voter votes for
-// itself, leads and sends at once, and crashes before its vote is on disk; in
-// its next life it leads the same term again with other entries.
+// Guards against two leaders in one term. If a lone voter became leader and sent
+// messages before its own vote is durable, it could crash, restart, and lead the
+// same term again with other entries.
 func TestLoneVoterLeadsOnlyOnceItsVoteIsDurable(t *testing.T) {
 	t.Parallel()
 	founding := replicator.Founding(1, replicator.Ballot{}, replicator.Group{{ID: 1, Role: replicator.Voter}})
@@ -296,14 +297,15 @@
 	require.Equal(t, replicator.Leader, node.Status(now).State)
 }
 
-// TestSeeds walks the seeds in which the walk once found a fault.
-func TestSeeds(t *testing.T) {
+// TestRegressionSeeds repeats the random walks that need a particular sequence of
+// events to reach a fault.
+func TestRegressionSeeds(t *testing.T) {
 	t.Parallel()
 	tests := map[string]uint64{
-		// Symptom: a follower never catches up. Sequence: it acknowledges a part of a
-		// term, then rejects what follows with the start of that term, which the
-		// leader takes for old news.
-		"a rejection that skips behind the acknowledged": 18823,
+		// Guards against a follower that never catches up: it acknowledges a part of
+		// a term, then rejects the following entries with a hint at the start of that
+		// term, which the leader ignores as stale.
+		"a rejection with a hint before the acknowledged entries": 18823,
 	}
 	for name, seed := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -314,51 +316,52 @@
 	}
 }
 
-// Symptom: the memory of a leader without quorum grows until it is killed.
+// Guards against unbounded memory growth in a leader that has no quorum and cannot
+// commit its proposals.
 func TestProposalsAreBounded(t *testing.T) {
 	t.Parallel()
-	w := trio(t, 3)
-	leader := w.leader()
+	c := reliableCluster(t, 3)
+	leader := c.leader()
 	big := make([]byte, 1<<20)
 	var err error
 	for range 100 {
-		if _, err = leader.node.Propose(w.now, [][]byte{big}); err != nil {
+		if _, err = leader.node.Propose(c.now, [][]byte{big}); err != nil {
 			break
 		}
 	}
 	require.ErrorIs(t, err, replicator.ErrBusy)
 }
 
-func TestMembershipIsGuarded(t *testing.T) {
+func TestInvalidMembershipChangeIsRefused(t *testing.T) {
 	t.Parallel()
-	tests := map[string]func(w *world, leader *member) error{
-		"a follower cannot change it": func(w *world, leader *member) error {
-			_, err := w.other(leader).node.Remove(w.now, leader.id)
+	tests := map[string]func(c *cluster, leader *member) error{
+		"a follower cannot change it": func(c *cluster, leader *member) error {
+			_, err := c.memberExcept(leader).node.Remove(c.now, leader.id)
 			return err
 		},
-		"an unknown member cannot be removed": func(w *world, leader *member) error {
-			_, err := leader.node.Remove(w.now, 99)
+		"an unknown member cannot be removed": func(c *cluster, leader *member) error {
+			_, err := leader.node.Remove(c.now, 99)
 			return err
 		},
-		"a second change waits for the first": func(_ *world, leader *member) error {
+		"a second change waits for the first": func(_ *cluster, leader *member) error {
 			_, err := leader.node.Join(replicator.Replica{ID: 99, Name: "x"})
 			require.NoError(t, err)
 			_, err = leader.node.Join(replicator.Replica{ID: 98, Name: "y"})
 			return err
 		},
-		"a working member cannot be removed while another is down": func(w *world, leader *member) error {
-			w.crash(w.other(leader))
-			w.run(2 * election)
-			_, err := leader.node.Remove(w.now, w.other(leader).id)
+		"a working member cannot be removed while another is down": func(c *cluster, leader *member) error {
+			c.crash(c.memberExcept(leader))
+			c.run(2 * electionTimeout)
+			_, err := leader.node.Remove(c.now, c.memberExcept(leader).id)
 			return err
 		},
-		"a new leader waits until it has committed something": func(w *world, leader *member) error {
-			w.crash(leader)
+		"a new leader must first commit an entry of its term": func(c *cluster, leader *member) error {
+			c.crash(leader)
 			var next *member
 			for next == nil {
-				w.pass(time.Millisecond)
-				for _, m := range w.members {
-					if m.node != nil && m.node.Status(w.now).State == replicator.Leader {
+				c.advance(time.Millisecond)
+				for _, m := range c.members {
+					if m.node != nil && m.node.Status(c.now).State == replicator.Leader {
 						next = m
 					}
 				}
@@ -366,7 +369,7 @@
 			_, err := next.node.Join(replicator.Replica{ID: 99, Name: "x"})
 			return err
 		},
-		"a replica without identity cannot join": func(_ *world, leader *member) error {
+		"a replica without identity cannot join": func(_ *cluster, leader *member) error {
 			_, err := leader.node.Join(replicator.Replica{Name: "x"})
 			return err
 		},
@@ -374,18 +377,18 @@
 	for name, refused := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := trio(t, 3)
-			require.Error(t, refused(w, w.leader()))
+			c := reliableCluster(t, 3)
+			require.Error(t, refused(c, c.leader()))
 		})
 	}
 }
 
-func TestDecodeRefusesWhatANodeCannotTake(t *testing.T) {
+func TestDecodeRefusesInvalidMessages(t *testing.T) {
 	t.Parallel()
 	tests := map[string][]byte{
-		"no protobuf":               []byte("\xff\xff"),
-		"entries with gaps":         replicator.EncodeMessages([]replicator.Message{{Kind: replicator.Append, Entries: []replicator.Entry{{Index: 7}}}}),
-		"installation of a nothing": replicator.EncodeMessages([]replicator.Message{{Kind: replicator.Install}}),
+		"no protobuf":              []byte("\xff\xff"),
+		"entries with gaps":        replicator.EncodeMessages([]replicator.Message{{Kind: replicator.Append, Entries: []replicator.Entry{{Index: 7}}}}),
+		"install without snapshot": replicator.EncodeMessages([]replicator.Message{{Kind: replicator.Install}}),
 	}
 	for name, data := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/lib/replicator/retire_test.go
+++ b/lib/replicator/retire_test.go
@@ -9,78 +9,79 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-const retire = 2 * election
+const retireAfter = 2 * electionTimeout
 
-func retiring(t *testing.T, size int) *world {
+// retiringCluster returns a cluster with a leader, without random faults, whose
+// leaders remove voters that are silent for retireAfter.
+func retiringCluster(t *testing.T, size int) *cluster {
 	t.Helper()
-	w := newRetiringWorld(7, size, retire)
-	w.lossy = false
-	w.run(2 * time.Second)
-	require.NotNil(t, w.leader())
-	return w
+	c := newRetiringCluster(7, size, retireAfter)
+	c.lossy = false
+	c.run(2 * time.Second)
+	require.NotNil(t, c.leader())
+	return c
 }
 
-func (w *world) voters() int {
-	return len(w.leader().node.Group().Voters())
+func (c *cluster) voterCount() int {
+	return len(c.leader().node.Group().Voters())
 }
 
-// Symptom: after an instance was replaced by another at a new address, the loss
-// of one more stops the group for good. Sequence: one of three dies and never
-// returns, a newcomer of another name joins, later another one is lost. Cause:
-// the dead member counts for every majority, so that the newcomer is never
-// promoted.
+// Guards against a group that stops permanently with the next loss after an
+// instance was replaced by another at a new address: one of three members never
+// returns, a newcomer of another name joins, and later another member is lost. If
+// the silent member still counted toward every majority, the newcomer would never
+// be promoted.
 func TestNewcomerReplacesSilentVoter(t *testing.T) {
 	t.Parallel()
-	w := retiring(t, 3)
-	dead := w.other(w.leader())
-	w.crash(dead)
-	w.run(time.Second)
-	require.Equal(t, 3, w.voters(), "three with one silent stay three")
-	fresh := w.add("fourth")
-	w.start(fresh)
-	w.rejoin()
-	w.run(time.Second)
-	replica, found := w.leader().node.Group().Find(fresh.id)
+	c := retiringCluster(t, 3)
+	dead := c.memberExcept(c.leader())
+	c.crash(dead)
+	c.run(time.Second)
+	require.Equal(t, 3, c.voterCount(), "a group of three keeps its silent voter")
+	fresh := c.add("fourth")
+	c.start(fresh)
+	c.rejoin()
+	c.run(time.Second)
+	replica, found := c.leader().node.Group().Find(fresh.id)
 	require.True(t, found)
 	require.Equal(t, replicator.Voter, replica.Role)
-	require.Equal(t, 3, w.voters())
-	_, found = w.leader().node.Group().Find(dead.id)
-	require.False(t, found, "the dead one counts no longer")
-	w.crash(w.other(w.leader()))
-	w.run(2 * time.Second)
-	require.NotNil(t, w.leader(), "the group bears the next loss")
-	require.NoError(t, w.problem)
+	require.Equal(t, 3, c.voterCount())
+	_, found = c.leader().node.Group().Find(dead.id)
+	require.False(t, found, "the silent voter must be removed")
+	c.crash(c.memberExcept(c.leader()))
+	c.run(2 * time.Second)
+	require.NotNil(t, c.leader(), "the group must tolerate the next loss")
+	require.NoError(t, c.failure)
 }
 
-// Symptom: a group of four that has lost one stops with the next. Cause: of four,
-// three are needed, of three only two.
+// Guards against a group of four that has lost one member and stops with the next
+// loss: a majority of four is three, a majority of three only two.
 func TestEvenGroupRetiresSilentVoter(t *testing.T) {
 	t.Parallel()
-	w := retiring(t, 4)
-	w.crash(w.other(w.leader()))
-	w.run(2 * time.Second)
-	require.Equal(t, 3, w.voters())
-	w.crash(w.other(w.leader()))
-	w.run(2 * time.Second)
-	require.NotNil(t, w.leader())
-	require.Equal(t, 3, w.voters(), "a group of three never shrinks")
-	require.NoError(t, w.problem)
+	c := retiringCluster(t, 4)
+	c.crash(c.memberExcept(c.leader()))
+	c.run(2 * time.Second)
+	require.Equal(t, 3, c.voterCount())
+	c.crash(c.memberExcept(c.leader()))
+	c.run(2 * time.Second)
+	require.NotNil(t, c.leader())
+	require.Equal(t, 3, c.voterCount(), "a group of three must not shrink")
+	require.NoError(t, c.failure)
 }
 
-// Symptom: an instance that was cut off for some seconds stays out of the group.
-// Sequence: it is removed as silent, and is back with its disk. Cause: a removed
-// member was never let in again.
+// Guards against an instance that is never readmitted: it is partitioned for some
+// seconds, removed as a silent voter, and then returns with its disk.
 func TestRetiredVoterComesBack(t *testing.T) {
 	t.Parallel()
-	w := retiring(t, 4)
-	away := w.other(w.leader())
-	w.isolate(away)
-	w.run(2 * time.Second)
-	require.Equal(t, 3, w.voters())
-	clear(w.cut)
-	w.run(time.Second)
-	w.rejoin()
-	w.run(time.Second)
-	require.Equal(t, 4, w.voters())
-	require.NoError(t, w.problem)
+	c := retiringCluster(t, 4)
+	away := c.memberExcept(c.leader())
+	c.isolate(away)
+	c.run(2 * time.Second)
+	require.Equal(t, 3, c.voterCount())
+	clear(c.cutLinks)
+	c.run(time.Second)
+	c.rejoin()
+	c.run(time.Second)
+	require.Equal(t, 4, c.voterCount())
+	require.NoError(t, c.failure)
 }
--- a/lib/replicator/walk_test.go
+++ b/lib/replicator/walk_test.go
@@ -21,16 +21,17 @@
 )
 
 const (
-	// seedsEnv sets how many seeds are walked: SHALLOTKEEL_SEEDS=1000000 for a night.
+	// seedsEnv sets the number of seeds; SHALLOTKEEL_SEEDS=1000000 takes a night.
 	seedsEnv     = "SHALLOTKEEL_SEEDS"
 	firstSeedEnv = "SHALLOTKEEL_FIRST_SEED"
 	seedsInCI    = 2000
-	stepsOfWalk  = 250
-	// settleTime is how long a whole network may take until everything is
-	// repaired and every member has everything.
-	settleTime = 20 * time.Second
+	stepsPerWalk = 250
+	// convergenceTimeout is the maximum time without faults until the group is
+	// repaired and all members have the complete log.
+	convergenceTimeout = 20 * time.Second
 )
 
+// fromEnv returns the number in an environment variable, or the default.
 func fromEnv(t *testing.T, name string, standard int) int {
 	text := os.Getenv(name)
 	if text == "" {
@@ -41,11 +42,11 @@
 	return number
 }
 
-// TestRandomWalk: the symptoms would be two leaders of a term, an accepted
-// change or claim that is lost or counted twice, or a group that does not
-// recover. The events are any sequence of lost, repeated, late and reordered
-// messages, one-way cuts, crashes at every step between deciding and sending,
-// restarts with what was synced, lost disks, and changes of membership.
+// TestRandomWalk guards against two leaders in one term, an accepted change or
+// claim that is lost or counted twice, and a group that does not recover. Each seed
+// produces a random sequence of lost, duplicated, delayed and reordered messages,
+// one-way partitions, crashes at every step between deciding and sending, restarts
+// with the synced state, lost disks, and membership changes.
 func TestRandomWalk(t *testing.T) {
 	t.Parallel()
 	seeds := fromEnv(t, seedsEnv, seedsInCI)
@@ -69,155 +70,160 @@
 	}
 	group.Wait()
 	t.Logf("%d seeds, %d accepted changes and claims", seeds, proved.Load())
-	// A walk in which nothing is accepted would prove nothing.
+	// Walks in which no proposal is accepted would prove nothing.
 	require.Greater(t, proved.Load(), int64(seeds))
 }
 
+// walk runs the random walk of a seed and returns the number of accepted changes
+// and granted claims. The seed determines the size of the group and whether silent
+// voters are removed.
 func walk(seed uint64) (accepted int, err error) {
-	w := newRetiringWorld(seed, 1+2*int(seed%3), time.Duration(seed/3%2)*2*election)
-	for range stepsOfWalk {
-		w.act()
-		if w.problem != nil {
-			return 0, w.problem
+	c := newRetiringCluster(seed, 1+2*int(seed%3), time.Duration(seed/3%2)*2*electionTimeout)
+	for range stepsPerWalk {
+		c.randomStep()
+		if c.failure != nil {
+			return 0, c.failure
 		}
 	}
-	w.settle()
-	return len(w.granted) + len(w.accepted), w.problem
+	c.heal()
+	return len(c.granted) + len(c.accepted), c.failure
 }
 
-// act lets one random thing happen.
-func (w *world) act() {
-	w.pass(time.Duration(w.random.Int64N(int64(40 * time.Millisecond))))
-	m := w.pick()
-	switch w.random.IntN(40) {
+// randomStep lets a random time pass and causes one random event.
+func (c *cluster) randomStep() {
+	c.advance(time.Duration(c.random.Int64N(int64(40 * time.Millisecond))))
+	m := c.pick()
+	switch c.random.IntN(40) {
 	case 0:
-		w.crash(m)
+		c.crash(m)
 	case 1, 2, 3:
 		if m.node == nil {
-			w.start(m)
+			c.start(m)
 		}
 	case 4:
-		other := w.pick()
-		w.cut[[2]replicator.ID{m.id, other.id}] = true
+		other := c.pick()
+		c.cutLinks[[2]replicator.ID{m.id, other.id}] = true
 	case 5, 6:
-		clear(w.cut)
+		clear(c.cutLinks)
 	case 7:
-		w.wipe(m)
+		c.wipe(m)
 	case 8:
-		w.alter(m)
+		c.changeMembership(m)
 	case 9:
 		if m.node != nil {
-			m.node.Transfer(w.now)
+			m.node.Transfer(c.now)
 		}
 	case 10:
-		w.freeze(m)
+		c.freeze(m)
 	case 11, 12:
-		w.rejoin()
+		c.rejoin()
 	case 13:
-		w.lossy = !w.lossy
+		c.lossy = !c.lossy
 	default:
-		for range w.random.IntN(6) {
-			w.propose(m)
+		for range c.random.IntN(6) {
+			c.propose(m)
 		}
 	}
 	if m.node != nil {
-		w.flush(m)
+		c.flush(m)
 	}
 }
 
-// freeze lets all others go on for a while: nothing reaches the member and its
-// clock stands, as after SIGSTOP. Then everything reaches it at once.
-func (w *world) freeze(m *member) {
+// freeze suspends a member for a random time, as SIGSTOP does: it gets no messages
+// and no ticks while the other members continue. Then all delayed messages reach
+// it at once.
+func (c *cluster) freeze(m *member) {
 	if m.node == nil {
 		return
 	}
 	m.frozen = true
-	for range w.random.IntN(20) {
-		w.pass(time.Duration(w.random.Int64N(int64(40 * time.Millisecond))))
+	for range c.random.IntN(20) {
+		c.advance(time.Duration(c.random.Int64N(int64(40 * time.Millisecond))))
 	}
 	m.frozen = false
 }
 
-// wipe loses a member's disk and starts it with an empty one, unless more disks
-// than a minority of some membership would then be gone.
-func (w *world) wipe(m *member) {
-	if len(w.committed) == 0 {
-		return // the group would have to be founded again
+// wipe replaces a member's disk by an empty one, unless more than a minority of the
+// disks of some possible membership would then be lost.
+func (c *cluster) wipe(m *member) {
+	if len(c.committed) == 0 {
+		return // nothing is committed, so the group would have to be founded again
 	}
-	w.lost[m.id] = true
-	for _, group := range w.groupsInForce() {
-		if !w.bearable(group) {
-			delete(w.lost, m.id)
+	c.lostDisks[m.id] = true
+	for _, group := range c.possibleGroups() {
+		if !c.isTolerable(group) {
+			delete(c.lostDisks, m.id)
 			return
 		}
 	}
-	delete(w.members, m.id)
-	w.start(w.add(m.name))
+	delete(c.members, m.id)
+	c.start(c.add(m.name))
 }
 
-// groupsInForce lists the last committed membership and every later one that
-// some disk holds or some message carries.
-func (w *world) groupsInForce() []replicator.Group {
-	groups := []replicator.Group{w.group}
+// possibleGroups returns the last committed membership and every later one that
+// is on some disk or in some message.
+func (c *cluster) possibleGroups() []replicator.Group {
+	groups := []replicator.Group{c.group}
 	add := func(entries []replicator.Entry) {
 		for _, entry := range entries {
-			if entry.Kind == replicator.Membership && entry.Index > w.groupIndex {
-				groups = append(groups, w.decode(entry))
+			if entry.Kind == replicator.Membership && entry.Index > c.groupIndex {
+				groups = append(groups, c.decode(entry))
 			}
 		}
 	}
-	for _, m := range w.members {
+	for _, m := range c.members {
 		add(m.disk.entries)
 	}
-	for _, at := range w.network {
+	for _, at := range c.network {
 		add(at.message.Entries)
 	}
 	return groups
 }
 
-// bearable tells whether at most a minority of the voters is lost. A joining
-// member counts as if it were one, because it may be promoted at any moment, but
-// once with the voter whose name it takes over. Two voters bear no loss, and a
-// lone voter's newcomer makes two.
-func (w *world) bearable(group replicator.Group) bool {
+// isTolerable reports whether at most a minority of the voters has lost its disk. A
+// joining member counts as a voter, because it may be promoted at any moment, but
+// only once together with the voter of the same name, which it replaces. Two voters
+// tolerate no loss, and a lone voter becomes two with the first newcomer.
+func (c *cluster) isTolerable(group replicator.Group) bool {
 	voters := len(group.Voters())
-	gone := make(map[string]bool)
+	lostNames := make(map[string]bool)
 	for _, replica := range group {
-		if replica.Role != replicator.Learner && w.lost[replica.ID] {
-			gone[replica.Name] = true
+		if replica.Role != replicator.Learner && c.lostDisks[replica.ID] {
+			lostNames[replica.Name] = true
 		}
 	}
-	return len(gone) <= (voters-1)/2
+	return len(lostNames) <= (voters-1)/2
 }
 
-// alter adds a keeper or removes one, as operators do.
-func (w *world) alter(m *member) {
-	leader := w.leader()
+// changeMembership adds or removes a keeper, as operators do.
+func (c *cluster) changeMembership(m *member) {
+	leader := c.leader()
 	switch {
 	case leader == nil:
-	case w.random.IntN(2) == 0 && len(w.members) < 6:
-		w.start(w.add(fmt.Sprint("extra-", w.nextID)))
-	case w.bearable(slices.DeleteFunc(slices.Clone(leader.node.Group()), func(r replicator.Replica) bool { return r.ID == m.id })):
-		// An operator who removes a working keeper while another has just lost its
-		// disk leaves a group that nothing can repair; the walk doesn't do that.
-		_, _ = leader.node.Remove(w.now, m.id) // refused now and then, as it should be
-		w.flush(leader)
+	case c.random.IntN(2) == 0 && len(c.members) < 6:
+		c.start(c.add(fmt.Sprint("extra-", c.nextID)))
+	case c.isTolerable(slices.DeleteFunc(slices.Clone(leader.node.Group()), func(r replicator.Replica) bool { return r.ID == m.id })):
+		// The removal of a working keeper right after another has lost its disk
+		// leaves a group that cannot be repaired, so the walk does not do that.
+		_, _ = leader.node.Remove(c.now, m.id) // the leader may refuse the removal
+		c.flush(leader)
 	}
 }
 
-// rejoin lets newcomers ask the leader to add them. Every third stays a learner.
-func (w *world) rejoin() {
-	leader := w.leader()
+// rejoin lets newcomers, and members that were removed as silent, ask the leader to
+// add them. Every third extra keeper joins as a permanent learner.
+func (c *cluster) rejoin() {
+	leader := c.leader()
 	if leader == nil {
 		return
 	}
-	for _, id := range w.ids() {
-		m := w.members[id]
+	for _, id := range c.ids() {
+		m := c.members[id]
 		if m.node == nil {
 			continue
 		}
 		_, listed := leader.node.Group().Find(id)
-		retired := w.retire > 0 && !listed
+		retired := c.retire > 0 && !listed
 		if !m.node.Newcomer() && !retired {
 			continue
 		}
@@ -225,76 +231,78 @@
 		if strings.HasPrefix(m.name, "extra") && id%3 == 0 {
 			role = replicator.Learner
 		}
-		_, _ = leader.node.Join(replicator.Replica{ID: id, Name: m.name, Role: role}) // tried again later
+		_, _ = leader.node.Join(replicator.Replica{ID: id, Name: m.name, Role: role}) // if refused, a later call retries
 	}
-	w.flush(leader)
+	c.flush(leader)
 }
 
-// settle heals everything and checks that the group repairs itself and that
-// nothing that was answered is missing.
-func (w *world) settle() {
-	w.lossy = false
-	clear(w.cut)
-	for _, m := range w.members {
+// heal ends all faults and checks that the group recovers, that all members reach
+// the same state, and that no acknowledged change or claim is lost.
+func (c *cluster) heal() {
+	c.lossy = false
+	clear(c.cutLinks)
+	for _, m := range c.members {
 		if m.node == nil {
-			w.start(m)
+			c.start(m)
 		}
 	}
-	for end := w.now.Add(settleTime); w.now.Before(end) && w.problem == nil; {
-		w.pass(20 * time.Millisecond)
-		w.renew()
-		w.rejoin()
-		if w.whole() {
-			w.checkStates(w.leader())
-			w.checkAnswers(w.leader())
+	for end := c.now.Add(convergenceTimeout); c.now.Before(end) && c.failure == nil; {
+		c.advance(20 * time.Millisecond)
+		c.replaceRemoved()
+		c.rejoin()
+		if c.converged() {
+			c.checkStates(c.leader())
+			c.checkAnswers(c.leader())
 			return
 		}
 	}
-	w.fail("the group did not recover within %s:%s", settleTime, w.describe())
+	c.fail("the group did not recover within %s:%s", convergenceTimeout, c.describe())
 }
 
-func (w *world) describe() string {
+// describe returns the status of all members, for failure messages.
+func (c *cluster) describe() string {
 	var text strings.Builder
-	for _, id := range w.ids() {
-		m := w.members[id]
+	for _, id := range c.ids() {
+		m := c.members[id]
 		fmt.Fprintf(&text, "\n%d %s applied %d", id, m.name, m.applied)
 		if m.node != nil {
-			fmt.Fprintf(&text, ": %+v", m.node.Status(w.now))
+			fmt.Fprintf(&text, ": %+v", m.node.Status(c.now))
 		}
 	}
 	return text.String()
 }
 
-// renew gives members that were removed an empty disk, as operators do who want
-// them back.
-func (w *world) renew() {
-	leader := w.leader()
+// replaceRemoved gives removed members an empty disk, as operators do to add them
+// again.
+func (c *cluster) replaceRemoved() {
+	leader := c.leader()
 	if leader == nil {
 		return
 	}
-	known := leader.node.Status(w.now)
-	for _, id := range w.ids() {
-		m := w.members[id]
-		_, listed := known.Known().Find(id)
-		informed := len(known.Settled) > 0 && known.Commit >= m.node.Status(w.now).Commit
+	known := leader.node.Status(c.now)
+	for _, id := range c.ids() {
+		m := c.members[id]
+		_, listed := known.KnownMembers().Find(id)
+		informed := len(known.CommittedGroup) > 0 && known.Commit >= m.node.Status(c.now).Commit
 		if informed && !listed && !m.node.Newcomer() {
-			delete(w.members, id)
-			w.start(w.add(m.name))
+			delete(c.members, id)
+			c.start(c.add(m.name))
 		}
 	}
 }
 
-// whole tells whether there is a leader and all of its group has everything.
-func (w *world) whole() bool {
-	leader := w.leader()
-	if leader == nil || leader.applied < leader.node.Status(w.now).Last.Index {
+// converged reports whether there is a leader and all members of its group have
+// applied the complete log.
+func (c *cluster) converged() bool {
+	leader := c.leader()
+	if leader == nil || leader.applied < leader.node.Status(c.now).Last.Index {
 		return false
 	}
 	for _, replica := range leader.node.Group() {
-		if w.lost[replica.ID] && replica.Role != replicator.Voter {
-			continue // a learner whose disk was lost is removed by operators
+		if c.lostDisks[replica.ID] && replica.Role != replicator.Voter {
+			continue // operators remove a learner whose disk was lost
 		}
-		m, found := w.members[replica.ID]
+		m, found := c.members[replica.ID]
 		if !found || replica.Role == replicator.Joining || m.applied != leader.applied {
 			return false
 		}
@@ -302,29 +310,31 @@
 	return true
 }
 
-// checkStates checks that the members of the group have reached the same state.
-func (w *world) checkStates(leader *member) {
+// checkStates checks that all members of the group have the same state.
+func (c *cluster) checkStates(leader *member) {
 	want := string(leader.state.encode())
 	for _, replica := range leader.node.Group() {
-		if m, found := w.members[replica.ID]; found && string(m.state.encode()) != want {
-			w.fail("members %d and %d differ at entry %d", m.id, leader.id, m.applied)
+		if m, found := c.members[replica.ID]; found && string(m.state.encode()) != want {
+			c.fail("members %d and %d differ at entry %d", m.id, leader.id, m.applied)
 		}
 	}
 }
 
-func (w *world) checkAnswers(leader *member) {
-	for id, revision := range w.accepted {
+// checkAnswers checks that every acknowledged change and claim is still in the
+// leader's state: a resend of it gets the same answer.
+func (c *cluster) checkAnswers(leader *member) {
+	for id, revision := range c.accepted {
 		again := leader.state.configuration.Check(describer.Change{ID: id})
 		if !again.Resent || again.Revision != revision {
-			w.fail("change %s was accepted as revision %d and is now %+v", id, revision, again)
+			c.fail("change %s was accepted as revision %d and is now %+v", id, revision, again)
 		}
 	}
-	for key, owner := range w.granted {
+	for key, owner := range c.granted {
 		results := leader.state.claims.Claim(0, claimer.Policy{}, []*messenger.ClaimEntry{
 			{Workspace: "club", Key: key, Owner: owner + " again"},
 		})
 		if results[0].GetOutcome() != messenger.ClaimOutcome_CLAIM_SPENT {
-			w.fail("key %s was granted and is now %s", key, results[0].GetOutcome())
+			c.fail("key %s was granted and is now %s", key, results[0].GetOutcome())
 		}
 	}
 }
