--- a/bench/internal/demo/demo.go
+++ b/bench/internal/demo/demo.go
@@ -67,7 +67,7 @@
 		fmt.Fprintf(out, "demo: failed: %v\n", err)
 		return false
 	}
-	d := &run{options: options, out: out, folder: folder, recorder: &caller.Recorder{Keep: true}}
+	d := &run{options: options, out: out, folder: folder, recorder: &caller.Recorder{KeepResults: true}}
 	err = d.all()
 	if d.fleet != nil {
 		d.fleet.Close()
@@ -211,7 +211,7 @@
 
 func (d *run) load(loads []caller.Load, seed uint64, lasts time.Duration) {
 	driver := caller.Driver{
-		Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Patience: patience},
+		Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Timeout: patience},
 		Targets: d.fleet.Targets(), Loads: loads, Seed: seed, Recorder: d.recorder, MaxOutstanding: maxInFlight,
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), lasts)
--- a/bench/internal/demo/trace.go
+++ b/bench/internal/demo/trace.go
@@ -46,7 +46,7 @@
 		caller.Mix{Stream: 1, Models: d.deployment.Models, Bound: 16, Prompt: 600}, demoSeed+backlogSeed)
 	request := planner.Next()
 	request.Traceparent = fmt.Sprintf("00-%s-%016x-01", id, random.Uint64())
-	c := caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Patience: patience}
+	c := caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Timeout: patience}
 	result := c.Call(context.Background(), d.fleet.Targets()[0], request)
 	d.recorder.Add(result)
 	if result.Ending != caller.Answered {
--- a/bench/internal/faults/bed.go
+++ b/bench/internal/faults/bed.go
@@ -74,7 +74,7 @@
 		return nil, merry.Errorf("%w: %v; free some disk", ErrCell, err)
 	}
 	b := &bed{
-		ctx: ctx, folder: folder, recorder: &caller.Recorder{Keep: true}, network: &relay.Network{}, client: caller.NewClient(),
+		ctx: ctx, folder: folder, recorder: &caller.Recorder{KeepResults: true}, network: &relay.Network{}, client: caller.NewClient(),
 	}
 	if b.deployment, err = launcher.ReadDeployment(options.Example); err != nil {
 		return b, err
@@ -218,7 +218,7 @@
 }
 
 func (b *bed) caller() *caller.Caller {
-	return &caller.Caller{Client: b.client, Clock: clockwork.NewRealClock(), Patience: patience}
+	return &caller.Caller{Client: b.client, Clock: clockwork.NewRealClock(), Timeout: patience}
 }
 
 // call makes one call to a router and records it.
--- a/bench/internal/faults/flood.go
+++ b/bench/internal/faults/flood.go
@@ -47,7 +47,7 @@
 
 // measured runs a load and sums it up by itself.
 func (b *bed) measured(loads []caller.Load) caller.Summary {
-	recorder := &caller.Recorder{Keep: true}
+	recorder := &caller.Recorder{KeepResults: true}
 	b.sendTo(recorder, loads, floodTime)
 	b.sleep(floodTime)
 	b.sleep(time.Second)
--- a/bench/internal/measurer/site.go
+++ b/bench/internal/measurer/site.go
@@ -136,7 +136,7 @@
 func (s *site) drive(loads []caller.Load, targets []string, seed uint64, lasts time.Duration, direct bool) caller.Summary {
 	recorder := &caller.Recorder{}
 	driver := caller.Driver{
-		Caller:  &caller.Caller{Client: s.client, Clock: clockwork.NewRealClock(), Patience: patience, Direct: direct},
+		Caller:  &caller.Caller{Client: s.client, Clock: clockwork.NewRealClock(), Timeout: patience, Direct: direct},
 		Targets: targets, Loads: loads, Seed: seed, Recorder: recorder, MaxOutstanding: 4096,
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, lasts)
--- a/bench/internal/policy/traffic.go
+++ b/bench/internal/policy/traffic.go
@@ -37,12 +37,12 @@
 	}
 	for _, row := range offer.Totals {
 		request.Totals = append(request.Totals, &messenger.Total{
-			Workspace: names.Put(row.Workspace), Charged: row.Charged, Lifted: row.Lifted, Forgiven: row.Forgiven,
+			Workspace: names.Intern(row.Workspace), Charged: row.Charged, Lifted: row.Lifted, Forgiven: row.Forgiven,
 		})
 	}
 	for _, row := range offer.Demand {
 		request.Demand = append(request.Demand, &messenger.Demand{
-			Workspace: names.Put(row.Workspace), Model: names.Put(row.Model), Waiting: uint32(row.Waiting),
+			Workspace: names.Intern(row.Workspace), Model: names.Intern(row.Model), Waiting: uint32(row.Waiting),
 		})
 	}
 	request.Names = names.Take()
@@ -57,8 +57,8 @@
 			Id: l.ID, Incarnation: l.Incarnation, LeaseMs: uint32(l.Lease.Milliseconds()), TermMs: uint32(l.Term.Milliseconds()),
 		}
 		if l.Endpoint != "" {
-			message.Workspace, message.Model = names.Put(l.Workspace), names.Put(l.Model)
-			message.Endpoint, message.Address = names.Put(l.Endpoint), names.Put(l.Address.String())
+			message.Workspace, message.Model = names.Intern(l.Workspace), names.Intern(l.Model)
+			message.Endpoint, message.Address = names.Intern(l.Endpoint), names.Intern(l.Address.String())
 		}
 		response.Loans = append(response.Loans, message)
 	}
--- a/lib/announcer/announcer.go
+++ b/lib/announcer/announcer.go
@@ -1,12 +1,12 @@
-// Package announcer is the endpoint side of announcing: it tells the routers
-// of its availability zone what the endpoint is, again and again, and
+// Package announcer is the endpoint's side of service registration: it announces
+// the endpoint to a router of its availability zone at regular intervals and
 // withdraws it when the endpoint stops.
 //
 // Invariants: an announcement is repeated every third of its time to live, so
-// that two lost ones in a row do not end the lease; the router that answered
-// last is asked first, and the others follow at once when it does not, because
-// a router that restarts must not cost the endpoint its lease; cache events
-// that reached no router are kept, up to MaxPending of each kind.
+// that the lease survives the loss of two announcements in a row; the router
+// that answered last is tried first, and if it fails the others are tried at
+// once, so that the restart of a router does not end the endpoint's lease; cache
+// events that reached no router are kept, up to MaxPending of each kind.
 package announcer
 
 import (
@@ -23,20 +23,21 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// ErrAnnounce is the kind of every error of an announcement or withdrawal.
+// ErrAnnounce is wrapped by every error of an announcement or withdrawal.
 var ErrAnnounce = merry.Sentinel("no router took the announcement")
 
-// MaxPending bounds the cache events of each kind that wait for a router. The
-// oldest are dropped first: a gap only costs a router a cache hit.
+// MaxPending bounds the cache events of each kind (cached, evicted) that no
+// router has accepted yet. The oldest are dropped first: a dropped event at most
+// costs a cache hit.
 const MaxPending = 1024
 
-// renewals is how many announcements fit into one time to live.
-const renewals = 3
+// announcementsPerTTL is the number of announcements in one time to live.
+const announcementsPerTTL = 3
 
-// maxAnswer bounds what is read of a router's error answer.
-const maxAnswer = 512
+// maxErrorBytes bounds the part of a router's error response that is read.
+const maxErrorBytes = 512
 
-// Announcement is what an endpoint tells of itself.
+// Announcement is the state of an endpoint as sent to a router.
 type Announcement struct {
 	Incarnation uint64            `json:"incarnation"`
 	Service     string            `json:"service"`
@@ -44,20 +45,21 @@
 	Labels      map[string]string `json:"labels,omitempty"`
 	Models      []string          `json:"models,omitempty"`
 	Slots       int               `json:"slots"`
-	TTL         int64             `json:"ttl_ms"`
-	Load        int               `json:"load"`
-	Cached      Hashes            `json:"cached,omitempty"`
-	Evicted     Hashes            `json:"evicted,omitempty"`
+	TTLMS       int64             `json:"ttl_ms"`
+	Load        int               `json:"load"`              // running requests, as last measured by the endpoint
+	Cached      Hashes            `json:"cached,omitempty"`  // prefixes added to the cache
+	Evicted     Hashes            `json:"evicted,omitempty"` // prefixes evicted from the cache
 	Leaving     bool              `json:"leaving,omitempty"`
-	Fenced      bool              `json:"fenced,omitempty"`
-	Loaded      []string          `json:"loaded,omitempty"`
-	Fence       uint64            `json:"fence,omitempty"`
+	Fenced      bool              `json:"fenced,omitempty"` // the endpoint refuses orders with an outdated fencing number
+	Loaded      []string          `json:"loaded,omitempty"` // models that are loaded now
+	Fence       uint64            `json:"fence,omitempty"`  // highest fencing number that the endpoint has received
 }
 
-// Hashes are prefix hashes, written as decimal texts because JSON numbers lose digits.
+// Hashes are prefix hashes. They are encoded as decimal strings, because JSON
+// numbers lose digits of 64-bit values.
 type Hashes []uint64
 
-// MarshalJSON writes the hashes as texts.
+// MarshalJSON encodes the hashes as decimal strings.
 func (h Hashes) MarshalJSON() ([]byte, error) {
 	texts := make([]string, 0, len(h))
 	for _, hash := range h {
@@ -66,31 +68,31 @@
 	return json.Marshal(texts)
 }
 
-// Announcer announces one endpoint. Its methods are called by one goroutine.
+// Announcer announces one endpoint. It is not safe for concurrent use.
 type Announcer struct {
 	ID      string
 	Routers []netip.AddrPort // public addresses of the availability zone's routers
-	Token   string           // the endpoints' token
+	Token   string           // bearer token that authorises announcing for the service
 	Client  *http.Client
 	Clock   clockwork.Clock
-	// Describe returns the endpoint's present state, with the cache events
-	// since the last call.
+	// Describe returns the endpoint's current state, with the cache events
+	// since the previous call.
 	Describe func() Announcement
-	// Changed is called when announcing starts to fail (with the error) and
-	// when it works again (with nil).
-	Changed func(error)
-
-	last    int // index of the router that answered last
-	cached  Hashes
-	evicted Hashes
-	failing bool
+	// OnChange, if set, is called by Run with the error when announcements begin
+	// to fail, and with nil when they succeed again.
+	OnChange func(error)
+
+	current        int // index of the router to try first: the one that answered last
+	pendingCached  Hashes
+	pendingEvicted Hashes
+	failing        bool
 }
 
-// Run announces at once and then every third of the time to live, until the
-// context ends.
+// Run sends an announcement at once and then every third of the time to live,
+// until the context is done.
 func (a *Announcer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := a.round(ctx)
+		pause := a.announceOnce(ctx)
 		select {
 		case <-ctx.Done():
 		case <-a.Clock.After(pause):
@@ -98,72 +100,83 @@
 	}
 }
 
-func (a *Announcer) round(ctx context.Context) time.Duration {
-	announcement := a.collect()
+// announceOnce sends one announcement and returns the pause until the next.
+func (a *Announcer) announceOnce(ctx context.Context) time.Duration {
+	announcement := a.describeWithPending()
 	err := a.Announce(ctx, announcement)
 	if err == nil {
-		a.cached, a.evicted = nil, nil
+		a.pendingCached, a.pendingEvicted = nil, nil
 	}
-	a.report(ctx, err)
-	return time.Duration(announcement.TTL) * time.Millisecond / renewals
+	a.reportChange(ctx, err)
+	return time.Duration(announcement.TTLMS) * time.Millisecond / announcementsPerTTL
 }
 
-// report tells changes only, because an endpoint whose routers are all away
-// would otherwise write a line for every attempt.
-func (a *Announcer) report(ctx context.Context, err error) {
+// reportChange calls OnChange only on a transition between success and failure:
+// an endpoint whose routers are all unreachable would otherwise log a line for
+// every attempt.
+func (a *Announcer) reportChange(ctx context.Context, err error) {
 	failing := err != nil
 	if failing == a.failing || ctx.Err() != nil {
 		return
 	}
 	a.failing = failing
-	if a.Changed != nil {
-		a.Changed(err)
+	if a.OnChange != nil {
+		a.OnChange(err)
 	}
 }
 
-func (a *Announcer) collect() Announcement {
+// describeWithPending returns the endpoint's current state with all cache events
+// that no router has accepted yet.
+func (a *Announcer) describeWithPending() Announcement {
 	announcement := a.Describe()
-	a.cached = newest(append(a.cached, announcement.Cached...))
-	a.evicted = newest(append(a.evicted, announcement.Evicted...))
-	announcement.Cached, announcement.Evicted = a.cached, a.evicted
+	a.pendingCached = newest(append(a.pendingCached, announcement.Cached...))
+	a.pendingEvicted = newest(append(a.pendingEvicted, announcement.Evicted...))
+	announcement.Cached, announcement.Evicted = a.pendingCached, a.pendingEvicted
 	return announcement
 }
 
+// newest returns the last MaxPending hashes.
 func newest(hashes Hashes) Hashes {
 	return hashes[max(0, len(hashes)-MaxPending):]
 }
 
-// Announce tells one router, trying each in turn until one takes it.
+// Announce sends the announcement to one router, trying each in turn until one
+// accepts it. Errors wrap ErrAnnounce.
 func (a *Announcer) Announce(ctx context.Context, announcement Announcement) error {
 	body, err := json.Marshal(announcement)
 	if err != nil {
 		return merry.Errorf("%w: %v; correct the endpoint's settings", ErrAnnounce, err)
 	}
-	ttl := time.Duration(announcement.TTL) * time.Millisecond
-	return a.try(ctx, http.MethodPost, "/v1/endpoints/"+a.ID, body, ttl/(2*renewals))
+	ttl := time.Duration(announcement.TTLMS) * time.Millisecond
+	return a.sendToAny(ctx, http.MethodPost, "/v1/endpoints/"+a.ID, body, ttl/(2*announcementsPerTTL))
 }
 
-// Withdraw ends the endpoint's lease at once.
+// Withdraw ends the endpoint's lease at once. The timeout applies to each router
+// that is tried. Errors wrap ErrAnnounce.
 func (a *Announcer) Withdraw(ctx context.Context, incarnation uint64, timeout time.Duration) error {
 	path := "/v1/endpoints/" + a.ID + "?incarnation=" + strconv.FormatUint(incarnation, 10)
-	return a.try(ctx, http.MethodDelete, path, nil, timeout)
+	return a.sendToAny(ctx, http.MethodDelete, path, nil, timeout)
 }
 
-func (a *Announcer) try(ctx context.Context, method, path string, body []byte, timeout time.Duration) error {
+// sendToAny sends a request to one router after another, beginning with the
+// current one, until one accepts it or ctx is done.
+func (a *Announcer) sendToAny(ctx context.Context, method, path string, body []byte, timeout time.Duration) error {
 	err := merry.Errorf("%w: no routers are set; name the zone's routers in the settings", ErrAnnounce)
 	for range a.Routers {
-		if err = a.send(ctx, method, path, body, timeout); err == nil || ctx.Err() != nil {
+		if err = a.sendToCurrent(ctx, method, path, body, timeout); err == nil || ctx.Err() != nil {
 			return err
 		}
-		a.last = (a.last + 1) % len(a.Routers)
+		a.current = (a.current + 1) % len(a.Routers)
 	}
 	return err
 }
 
-func (a *Announcer) send(ctx context.Context, method, path string, body []byte, timeout time.Duration) error {
+// sendToCurrent sends a request to the current router. A status other than 2xx
+// is an error.
+func (a *Announcer) sendToCurrent(ctx context.Context, method, path string, body []byte, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	router := a.Routers[a.last]
+	router := a.Routers[a.current]
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+router.String()+path, bytes.NewReader(body))
 	if err != nil {
 		return merry.Errorf("%w: %v; correct the endpoint's name", ErrAnnounce, err)
@@ -175,9 +188,9 @@
 		return merry.Errorf("%w: %v; check that a router of the zone runs", ErrAnnounce, err)
 	}
 	defer response.Body.Close()
-	said, _ := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	answer, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	if response.StatusCode/100 != 2 {
-		return merry.Errorf("%w: %s said %s: %s", ErrAnnounce, router, response.Status, said)
+		return merry.Errorf("%w: %s said %s: %s", ErrAnnounce, router, response.Status, answer)
 	}
 	return nil
 }
--- a/lib/announcer/announcer_test.go
+++ b/lib/announcer/announcer_test.go
@@ -16,7 +16,7 @@
 	"shallotkeel.example/lib/announcer"
 )
 
-// router is a fake router that records what it is told.
+// router is a fake router that records the requests it receives.
 type router struct {
 	*httptest.Server
 	status int
@@ -46,14 +46,14 @@
 
 func describe(cached ...uint64) func() announcer.Announcement {
 	return func() announcer.Announcement {
-		return announcer.Announcement{Incarnation: 7, Service: "modelli", Slots: 2, TTL: 3000, Cached: cached}
+		return announcer.Announcement{Incarnation: 7, Service: "modelli", Slots: 2, TTLMS: 3000, Cached: cached}
 	}
 }
 
-// A router that restarts answers nothing for a while. If the endpoint waited
-// for its next round it would lose its lease after three, so the next router
-// is told at once.
-func TestAnnounceGoesToTheNextRouterAtOnce(t *testing.T) {
+// Guards against the loss of a lease while a router restarts and does not answer:
+// an endpoint that waited for its next announcement would lose its lease after
+// three, so it tries the next router at once.
+func TestAnnounceTriesTheNextRouterAtOnce(t *testing.T) {
 	broken, good := newRouter(t, http.StatusServiceUnavailable), newRouter(t, http.StatusNoContent)
 	a := announcer.Announcer{
 		ID: "m1", Token: "secret", Client: http.DefaultClient, Clock: clockwork.NewFakeClock(),
@@ -65,26 +65,26 @@
 
 	require.NoError(t, a.Withdraw(t.Context(), 7, time.Second))
 	require.Equal(t, "DELETE /v1/endpoints/m1?incarnation=7 Bearer secret", <-good.paths)
-	require.Len(t, broken.paths, 1, "the router that answered last is asked first")
+	require.Len(t, broken.paths, 1, "the router that answered last is tried first")
 }
 
-func TestAnnounceNamesTheRemedyWhenNoRouterIsThere(t *testing.T) {
+func TestAnnounceNamesTheRemedyWithoutRouters(t *testing.T) {
 	a := announcer.Announcer{ID: "m1", Client: http.DefaultClient, Describe: describe()}
 	err := a.Announce(t.Context(), a.Describe())
 	require.ErrorIs(t, err, announcer.ErrAnnounce)
 	require.ErrorContains(t, err, "name the zone's routers")
 }
 
-// Cache events of a round that reached no router must be told in the next
-// round: engines publish each once, so the router would never learn of them.
+// Guards against the loss of cache events in announcements that reach no router:
+// engines publish each event once, so the next announcement must repeat it.
 func TestRunRepeatsAndKeepsUndeliveredEvents(t *testing.T) {
-	good := newRouter(t, http.StatusServiceUnavailable)
+	fake := newRouter(t, http.StatusServiceUnavailable)
 	clock := clockwork.NewFakeClock()
 	states := make(chan error, 4)
 	events := [][]uint64{{18446744073709551615}, nil, nil}
 	a := announcer.Announcer{
-		ID: "m1", Client: http.DefaultClient, Clock: clock, Routers: []netip.AddrPort{good.address()},
-		Changed: func(err error) { states <- err },
+		ID: "m1", Client: http.DefaultClient, Clock: clock, Routers: []netip.AddrPort{fake.address()},
+		OnChange: func(err error) { states <- err },
 	}
 	a.Describe = func() announcer.Announcement {
 		announcement := describe(events[0]...)()
@@ -95,16 +95,16 @@
 	done := make(chan struct{})
 	go func() { a.Run(ctx); close(done) }()
 
-	require.Equal(t, []any{"18446744073709551615"}, (<-good.bodies)["cached"])
+	require.Equal(t, []any{"18446744073709551615"}, (<-fake.bodies)["cached"])
 	require.ErrorIs(t, <-states, announcer.ErrAnnounce)
 	require.NoError(t, clock.BlockUntilContext(ctx, 1))
-	good.status = http.StatusNoContent
+	fake.status = http.StatusNoContent
 	clock.Advance(time.Second)
-	require.Equal(t, []any{"18446744073709551615"}, (<-good.bodies)["cached"])
+	require.Equal(t, []any{"18446744073709551615"}, (<-fake.bodies)["cached"])
 	require.NoError(t, <-states)
 	require.NoError(t, clock.BlockUntilContext(ctx, 1))
 	clock.Advance(time.Second)
-	require.NotContains(t, <-good.bodies, "cached")
+	require.NotContains(t, <-fake.bodies, "cached")
 	cancel()
 	<-done
 }
--- a/lib/answerer/answerer.go
+++ b/lib/answerer/answerer.go
@@ -1,6 +1,6 @@
-// Package answerer defines what the stand-in engines and services must answer,
-// as a pure function of the request, so that a caller can check every answer
-// byte for byte and a resumed stream joins seamlessly.
+// Package answerer computes the answers of the stand-in engines and services as
+// a pure function of the request, so that a caller can verify every answer byte
+// for byte and a resumed stream continues without a gap or a repetition.
 package answerer
 
 import (
@@ -11,12 +11,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultBound is how many tokens an answer has at most where the request sets
-// no max_tokens.
-const DefaultBound = 64
+// DefaultMaxTokens is the maximum number of tokens in the answer to a request
+// that does not set max_tokens.
+const DefaultMaxTokens = 64
 
-// prefixBytes is the part of a prompt that Prefix hashes. Prompts of one task
-// share a long instruction at the front, which is what engines cache.
+// prefixBytes is the length of the part of a prompt that PrefixHash hashes.
+// Prompts of one task begin with the same long instruction, whose prefill engines
+// cache.
 const prefixBytes = 256
 
 // Message is one message of a chat completion.
@@ -25,7 +26,7 @@
 	Content string `json:"content"`
 }
 
-// Prompt joins messages into the one text that an answer is a function of.
+// Prompt joins messages into the prompt that determines the answer.
 func Prompt(messages []Message) string {
 	var prompt strings.Builder
 	for _, message := range messages {
@@ -35,17 +36,17 @@
 	return prompt.String()
 }
 
-// Prefix returns the hash of the first bytes of a model's prompt, by which
-// engines report what they have cached and routers ask for it. It is 0, no
-// prefix, for prompts that are too short to be worth caching.
-func Prefix(model, prompt string) uint64 {
+// PrefixHash returns the hash of the model and the first bytes of a prompt.
+// Engines report cached prefixes by this hash, and routers look them up by it. It
+// is 0 (no prefix) for prompts that are too short to be worth caching.
+func PrefixHash(model, prompt string) uint64 {
 	if len(prompt) < prefixBytes {
 		return 0
 	}
 	return xxhash.Sum64String(model + "\x02" + prompt[:prefixBytes])
 }
 
-// Token returns the i-th token, counted from 0, of a model's answer to a prompt.
+// Token returns token i, counted from 0, of a model's answer to a prompt.
 func Token(model, prompt string, i int) string {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model + "\x00" + prompt + "\x00")
@@ -57,27 +58,27 @@
 	return hex.EncodeToString(sum[:2]) + " "
 }
 
-// Length returns how many tokens a model's answer to a prompt has: between a
-// quarter of and the whole of the bound, decided by the prompt's hash.
-func Length(model, prompt string, bound int) int {
-	if bound <= 1 {
-		return max(bound, 0)
+// Length returns the number of tokens in a model's answer to a prompt: between a
+// quarter of maxTokens and maxTokens, depending on the hash of model and prompt.
+func Length(model, prompt string, maxTokens int) int {
+	if maxTokens <= 1 {
+		return max(maxTokens, 0)
 	}
-	least := (bound + 3) / 4
+	minTokens := (maxTokens + 3) / 4
 	hash := xxhash.Sum64String(model + "\x01" + prompt)
-	return least + int(hash%uint64(bound-least+1))
+	return minTokens + int(hash%uint64(maxTokens-minTokens+1))
 }
 
-// Text returns the whole answer to a prompt.
-func Text(model, prompt string, bound int) string {
+// Text returns the complete answer of a model to a prompt.
+func Text(model, prompt string, maxTokens int) string {
 	var text strings.Builder
-	for i := range Length(model, prompt, bound) {
+	for i := range Length(model, prompt, maxTokens) {
 		text.WriteString(Token(model, prompt, i))
 	}
 	return text.String()
 }
 
-// Plain returns a plain service's answer to a call.
+// Plain returns the answer of a plain (not a model) service to a call.
 func Plain(method, path string, body []byte) string {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(method + "\x00" + path + "\x00")
--- a/lib/answerer/answerer_test.go
+++ b/lib/answerer/answerer_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAnswersAreDecidedByTheRequest(t *testing.T) {
+func TestAnswersDependOnTheRequestOnly(t *testing.T) {
 	text := Text("m", "hello", 40)
 	require.Equal(t, text, Text("m", "hello", 40))
 	require.NotEqual(t, text, Text("m", "hello!", 40))
--- a/lib/caller/caller.go
+++ b/lib/caller/caller.go
@@ -16,60 +16,62 @@
 	"shallotkeel.example/lib/retrier"
 )
 
-// Ending says how a call ended for its caller.
+// Ending is the outcome of a call as seen by its caller.
 type Ending string
 
 // The endings of a call.
 const (
-	Answered Ending = "answered" // whole, and what the request must yield
-	Wrong    Ending = "wrong"    // ended cleanly, but is not what the request must yield
-	Cut      Ending = "cut"      // cut short, and visibly so
-	NotRun   Ending = "not-run"  // refused; no endpoint started it
-	Unknown  Ending = "unknown"  // failed; it may have run
-	Invalid  Ending = "invalid"  // refused for what the request itself is
+	Answered Ending = "answered" // the answer is complete and equals the expected answer
+	Wrong    Ending = "wrong"    // the answer ended cleanly but differs from the expected answer
+	Cut      Ending = "cut"      // the answer was truncated, and the connection shows it
+	NotRun   Ending = "not-run"  // refused; no endpoint started the request
+	Unknown  Ending = "unknown"  // failed; the request may have run
+	Invalid  Ending = "invalid"  // refused because the request itself is invalid
 	Lost     Ending = "lost"     // the connection failed before any answer began
-	Missing  Ending = "missing"  // no final answer within the caller's patience
-	Unsent   Ending = "unsent"   // no connection was made, so nothing was sent
+	Missing  Ending = "missing"  // no complete answer within the caller's timeout
+	Unsent   Ending = "unsent"   // no connection was established, so nothing was sent
 )
 
-// maxAnswer bounds what is read of an answer.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds the part of an answer that is read.
+const maxAnswerBytes = 16 << 20
 
-// Result is what became of one call.
+// Result describes one call and its ending.
 type Result struct {
 	Request   Request
-	Target    string
+	Target    string // base URL
 	Ending    Ending
-	Status    int
-	Code      string // of a typed error
-	ID        string // X-Request-Id
-	Key       string // Idempotency-Key that the router minted or echoed
+	Status    int    // HTTP status, 0 without an answer
+	Code      string // code of a typed error
+	ID        string // X-Request-Id of the answer
+	Key       string // Idempotency-Key that the router generated or echoed
 	Trace     string // Traceparent of the answer
-	Got       string // the answer, for one that is wrong
+	Got       string // the answer received, if the ending is Wrong
 	Error     string
-	Retry     time.Duration // Retry-After, 0 if none
+	Retry     time.Duration // from Retry-After or a typed error, 0 if none
 	Started   time.Time
-	First     time.Duration // until the first token or byte, 0 if none came
-	Took      time.Duration
-	Gaps      []time.Duration // between tokens, of a stream
+	First     time.Duration   // from Started to the first token or byte, 0 if none was received
+	Took      time.Duration   // from Started to the ending
+	Gaps      []time.Duration // between consecutive tokens of a stream
 	Tokens    int
-	Repeated  bool // a resend of an earlier request
-	Attempted int  // how often the closed loop has sent it, counted from 1
+	Repeated  bool // the call resends an earlier request
+	Attempted int  // number of the closed loop's attempt, counted from 1
 }
 
-// Caller makes calls. Patience bounds each.
+// Caller sends requests and verifies their answers.
 type Caller struct {
-	Client   *http.Client
-	Clock    clockwork.Clock
-	Patience time.Duration
-	// Direct calls go to an endpoint, which says no outcome.
+	Client  *http.Client
+	Clock   clockwork.Clock
+	Timeout time.Duration // of each call, including the time to read the answer
+	// Direct is set if calls go to an endpoint rather than a router. Endpoints
+	// send no X-Outcome header.
 	Direct bool
 }
 
-// Call sends a request to a router's base URL and follows its answer.
+// Call sends a request to target, the base URL of a router or endpoint, and reads
+// and verifies the answer.
 func (c *Caller) Call(ctx context.Context, target string, request Request) Result {
 	result := Result{Request: request, Target: target, Started: c.Clock.Now()}
-	bounded, cancel := context.WithTimeout(ctx, c.Patience)
+	bounded, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	q, err := request.HTTP(target)
 	if err != nil {
@@ -78,21 +80,22 @@
 	}
 	response, err := c.Client.Do(q.WithContext(bounded))
 	if err != nil {
-		result.end(c.Clock, failed(bounded, broken(err)), err)
+		result.finish(c.Clock, timeoutOr(bounded, connectionFailure(err)), err)
 		return result
 	}
 	defer response.Body.Close()
-	result.head(response)
+	result.readHeader(response)
 	if response.StatusCode/100 != 2 {
-		c.refused(&result, response)
+		c.readError(&result, response)
 		return result
 	}
-	c.follow(bounded, &result, response)
+	c.readAnswer(bounded, &result, response)
 	return result
 }
 
-// broken tells a connection that was never made from one that broke.
-func broken(err error) Ending {
+// connectionFailure returns Unsent if the connection was never established, and
+// Lost if it broke.
+func connectionFailure(err error) Ending {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return Unsent
@@ -100,15 +103,17 @@
 	return Lost
 }
 
-// failed tells a connection that broke from a caller that lost patience.
-func failed(ctx context.Context, broken Ending) Ending {
+// timeoutOr returns Missing if the call's timeout has expired, and otherwise the
+// given ending.
+func timeoutOr(ctx context.Context, otherwise Ending) Ending {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return Missing
 	}
-	return broken
+	return otherwise
 }
 
-func (r *Result) end(clock clockwork.Clock, ending Ending, err error) {
+// finish sets the ending, the duration and the error, if any.
+func (r *Result) finish(clock clockwork.Clock, ending Ending, err error) {
 	r.Ending = ending
 	r.Took = clock.Since(r.Started)
 	if err != nil {
@@ -116,13 +121,14 @@
 	}
 }
 
-func (r *Result) head(response *http.Response) {
+// readHeader copies the status and the header fields of an answer to the result.
+func (r *Result) readHeader(response *http.Response) {
 	r.Status = response.StatusCode
 	r.ID = response.Header.Get("X-Request-Id")
 	r.Key = response.Header.Get("Idempotency-Key")
 	r.Trace = response.Header.Get("Traceparent")
 	if after := response.Header.Get("Retry-After"); after != "" {
-		retry, err := retrier.After(after)
+		retry, err := retrier.ParseRetryAfter(after)
 		if err != nil {
 			r.Error = err.Error()
 		}
@@ -130,8 +136,8 @@
 	}
 }
 
-// refusal is the body of a typed error.
-type refusal struct {
+// errorAnswer is the body of a typed error answer.
+type errorAnswer struct {
 	Error struct {
 		Type    string `json:"type"`
 		Code    string `json:"code"`
@@ -140,11 +146,11 @@
 	} `json:"error"`
 }
 
-// refused reads a typed error. The header says the outcome; an error without
-// one is held against the router as unknown.
-func (c *Caller) refused(result *Result, response *http.Response) {
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
-	var body refusal
+// readError reads a typed error answer. The X-Outcome header states the outcome;
+// an error without it counts as Unknown, because the router owes that header.
+func (c *Caller) readError(result *Result, response *http.Response) {
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	var body errorAnswer
 	_ = json.Unmarshal(text, &body)
 	result.Code, result.Error = body.Error.Code, body.Error.Message
 	if body.Error.RetryMS > 0 {
@@ -160,35 +166,39 @@
 	result.Ending, result.Took = ending, c.Clock.Since(result.Started)
 }
 
-func (c *Caller) follow(ctx context.Context, result *Result, response *http.Response) {
+// readAnswer reads a successful answer and compares it with the expected one. An
+// answer from a router must also have X-Outcome: answered.
+func (c *Caller) readAnswer(ctx context.Context, result *Result, response *http.Response) {
 	var got string
 	var err error
 	if result.Request.Kind == Stream {
-		got, err = c.stream(result, response.Body)
+		got, err = c.readStream(result, response.Body)
 	} else {
-		got, err = c.whole(result, response.Body)
+		got, err = c.readWhole(result, response.Body)
 	}
 	ending := Answered
 	switch {
-	case errors.Is(err, errUnclean):
+	case errors.Is(err, errIncomplete):
 		ending = Wrong
 	case err != nil:
-		ending = failed(ctx, Cut)
+		ending = timeoutOr(ctx, Cut)
 	case got != result.Request.Want(), !c.Direct && response.Header.Get("X-Outcome") != string(Answered):
 		ending = Wrong
 	}
-	result.end(c.Clock, ending, err)
+	result.finish(c.Clock, ending, err)
 	if ending == Wrong {
 		result.Got = got
 	}
 }
 
-// errUnclean marks an answer that ended cleanly without being whole, which no
-// caller could tell from a whole one.
-var errUnclean = errors.New("the answer ended cleanly but is not whole")
+// errIncomplete marks an answer that ended cleanly although it is incomplete. The
+// connection gives a caller no sign that part of such an answer is missing.
+var errIncomplete = errors.New("answer ended cleanly but is incomplete")
 
-func (c *Caller) whole(result *Result, body io.Reader) (string, error) {
-	reader := bufio.NewReader(io.LimitReader(body, maxAnswer))
+// readWhole reads an answer that is not streamed: a plain service's answer or a
+// chat completion, of which it returns the content.
+func (c *Caller) readWhole(result *Result, body io.Reader) (string, error) {
+	reader := bufio.NewReader(io.LimitReader(body, maxAnswerBytes))
 	if _, err := reader.Peek(1); err == nil {
 		result.First = c.Clock.Since(result.Started)
 	}
@@ -207,15 +217,17 @@
 		} `json:"usage"`
 	}
 	if json.Unmarshal(text, &completion) != nil || len(completion.Choices) != 1 {
-		return string(text), errUnclean
+		return string(text), errIncomplete
 	}
 	result.Tokens = completion.Usage.Tokens
 	return completion.Choices[0].Message.Content, nil
 }
 
-func (c *Caller) stream(result *Result, body io.Reader) (string, error) {
+// readStream reads a stream of server-sent events and returns the concatenated
+// tokens. A stream that ends cleanly without [DONE] is incomplete.
+func (c *Caller) readStream(result *Result, body io.Reader) (string, error) {
 	var text strings.Builder
-	scanner := bufio.NewScanner(io.LimitReader(body, maxAnswer))
+	scanner := bufio.NewScanner(io.LimitReader(body, maxAnswerBytes))
 	done := false
 	var last time.Time
 	for scanner.Scan() {
@@ -227,24 +239,25 @@
 			done = true
 			continue
 		}
-		token := content(data)
+		token := deltaContent(data)
 		if token == "" {
 			continue
 		}
-		last = c.took(result, last)
+		last = c.recordToken(result, last)
 		text.WriteString(token)
 	}
 	if err := scanner.Err(); err != nil {
 		return text.String(), err
 	}
 	if !done {
-		return text.String(), errUnclean
+		return text.String(), errIncomplete
 	}
 	return text.String(), nil
 }
 
-// took notes the arrival of a token.
-func (c *Caller) took(result *Result, last time.Time) time.Time {
+// recordToken records the arrival of a token and returns its time. The time of
+// the previous token is last.
+func (c *Caller) recordToken(result *Result, last time.Time) time.Time {
 	now := c.Clock.Now()
 	result.Tokens++
 	if result.First == 0 {
@@ -255,7 +268,9 @@
 	return now
 }
 
-func content(data string) string {
+// deltaContent returns the content of a chat completion chunk, or the empty
+// string if it has none or cannot be decoded.
+func deltaContent(data string) string {
 	var event struct {
 		Choices []struct {
 			Delta struct {
--- a/lib/caller/caller_test.go
+++ b/lib/caller/caller_test.go
@@ -24,7 +24,8 @@
 	plain  = caller.Request{Workspace: "w", Token: "t", Kind: caller.Plain, Service: "s", Method: http.MethodGet, Path: "/x?y=1"}
 )
 
-// events returns a streamed answer with the tokens of the request.
+// events returns a streamed answer with the first tokens that the request must
+// yield, followed by end.
 func events(tokens int, end string) string {
 	var text strings.Builder
 	for i := range tokens {
@@ -67,20 +68,20 @@
 		want    caller.Ending
 		retry   time.Duration
 	}{
-		"whole stream":                       {request: stream, handler: answered(events(length, "data: [DONE]\n\n")), want: caller.Answered},
-		"stream of another request":          {request: stream, handler: answered(events(length+1, "data: [DONE]\n\n")), want: caller.Wrong},
-		"stream that lacks its last token":   {request: stream, handler: answered(events(length-1, "data: [DONE]\n\n")), want: caller.Wrong},
-		"stream cut silently":                {request: stream, handler: answered(events(length, "")), want: caller.Wrong},
-		"stream cut visibly":                 {request: stream, handler: cut(events(1, "")), want: caller.Cut},
-		"whole answer":                       {request: whole, handler: answered(completion), want: caller.Answered},
-		"another's whole answer":             {request: whole, handler: answered(strings.Replace(completion, text, "x", 1)), want: caller.Wrong},
-		"whole answer cut visibly":           {request: whole, handler: cut(completion[:9]), want: caller.Cut},
-		"plain answer":                       {request: plain, handler: answered(answerer.Plain("GET", "/x?y=1", nil)), want: caller.Answered},
-		"plain answer that lost the query":   {request: plain, handler: answered(answerer.Plain("GET", "/x", nil)), want: caller.Wrong},
-		"refused as not run":                 {request: plain, handler: refused("not-run", "not_run", "queue_full"), want: caller.NotRun, retry: 1500 * time.Millisecond},
-		"failed and may have run":            {request: plain, handler: refused("unknown", "unknown", "endpoint_failed"), want: caller.Unknown, retry: 1500 * time.Millisecond},
-		"refused without saying the outcome": {request: plain, handler: refused("", "not_run", "queue_full"), want: caller.Unknown, retry: 1500 * time.Millisecond},
-		"answer without its outcome": {
+		"complete stream":                          {request: stream, handler: answered(events(length, "data: [DONE]\n\n")), want: caller.Answered},
+		"stream of another request":                {request: stream, handler: answered(events(length+1, "data: [DONE]\n\n")), want: caller.Wrong},
+		"stream without its last token":            {request: stream, handler: answered(events(length-1, "data: [DONE]\n\n")), want: caller.Wrong},
+		"stream ended cleanly without [DONE]":      {request: stream, handler: answered(events(length, "")), want: caller.Wrong},
+		"stream cut by the connection":             {request: stream, handler: cut(events(1, "")), want: caller.Cut},
+		"complete answer":                          {request: whole, handler: answered(completion), want: caller.Answered},
+		"complete answer to another request":       {request: whole, handler: answered(strings.Replace(completion, text, "x", 1)), want: caller.Wrong},
+		"answer cut by the connection":             {request: whole, handler: cut(completion[:9]), want: caller.Cut},
+		"plain answer":                             {request: plain, handler: answered(answerer.Plain("GET", "/x?y=1", nil)), want: caller.Answered},
+		"plain answer to a path without its query": {request: plain, handler: answered(answerer.Plain("GET", "/x", nil)), want: caller.Wrong},
+		"refused as not run":                       {request: plain, handler: refused("not-run", "not_run", "queue_full"), want: caller.NotRun, retry: 1500 * time.Millisecond},
+		"failed and may have run":                  {request: plain, handler: refused("unknown", "unknown", "endpoint_failed"), want: caller.Unknown, retry: 1500 * time.Millisecond},
+		"refused without X-Outcome":                {request: plain, handler: refused("", "not_run", "queue_full"), want: caller.Unknown, retry: 1500 * time.Millisecond},
+		"answer without X-Outcome": {
 			request: plain, want: caller.Wrong,
 			handler: func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = io.WriteString(w, answerer.Plain("GET", "/x?y=1", nil))
@@ -90,8 +91,8 @@
 			request: plain, want: caller.Missing,
 			handler: func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 		},
-		"nobody listens": {request: plain, want: caller.Unsent},
-		"connection that breaks before an answer": {
+		"no listener": {request: plain, want: caller.Unsent},
+		"connection broken before an answer": {
 			request: plain, want: caller.Lost,
 			handler: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		},
@@ -103,7 +104,7 @@
 			if test.handler == nil {
 				server.Close()
 			}
-			c := caller.Caller{Client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, Clock: clockwork.NewRealClock(), Patience: time.Second}
+			c := caller.Caller{Client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, Clock: clockwork.NewRealClock(), Timeout: time.Second}
 			result := c.Call(t.Context(), server.URL, test.request)
 			require.Equal(t, test.want, result.Ending, result.Error)
 			require.Equal(t, test.retry, result.Retry)
@@ -111,9 +112,9 @@
 	}
 }
 
-// Two runs with one seed must send the same requests, or figures of two
-// versions could not be compared.
-func TestPlannerIsDecidedByItsSeed(t *testing.T) {
+// Guards against runs with the same seed that send different requests: their
+// figures could not be compared between two versions.
+func TestPlannerDependsOnItsSeedOnly(t *testing.T) {
 	mix := caller.Mix{Stream: 1, Whole: 1, Plain: 1, Once: 1, Models: []string{"a", "b"}, Service: "s", Bound: 16, Prompt: 400}
 	draw := func(workspace string, seed uint64) (requests []caller.Request) {
 		p := caller.NewPlanner(workspace, "t", mix, seed)
@@ -129,14 +130,14 @@
 	for _, request := range draw("w", 1) {
 		kinds[request.Kind]++
 		require.Equal(t, request.Once, request.Key != "")
-		require.False(t, request.Once && keys[request.Key], "an idempotency key came twice")
+		require.False(t, request.Once && keys[request.Key], "an idempotency key was drawn twice")
 		keys[request.Key] = true
 	}
 	require.Len(t, kinds, 3)
 }
 
-func TestOpenLoopSendsAtItsRateWhateverIsAnswered(t *testing.T) {
-	const rate, lasts, step = 200, 500 * time.Millisecond, time.Millisecond
+func TestOpenLoopSendsAtItsRateRegardlessOfAnswers(t *testing.T) {
+	const rate, duration, step = 200, 500 * time.Millisecond, time.Millisecond
 	var arrived atomic.Int64
 	gate := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -147,9 +148,9 @@
 	}))
 	defer server.Close()
 	clock := clockwork.NewFakeClock()
-	recorder := &caller.Recorder{Keep: true}
+	recorder := &caller.Recorder{KeepResults: true}
 	d := caller.Driver{
-		Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clock, Patience: 30 * time.Second},
+		Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clock, Timeout: 30 * time.Second},
 		Targets: []string{server.URL}, Seed: 1, Recorder: recorder, MaxOutstanding: 1000,
 		Loads: []caller.Load{{Workspace: "w", PerSecond: rate, Mix: caller.Mix{Plain: 1, Once: 1, Service: "s"}}},
 	}
@@ -157,27 +158,28 @@
 	defer cancel()
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
-	for range lasts / step {
-		require.NoError(t, clock.BlockUntilContext(ctx, 1), "the loop waits for its next arrival")
+	for range duration / step {
+		require.NoError(t, clock.BlockUntilContext(ctx, 1), "the open loop waits for its next arrival")
 		clock.Advance(step)
 	}
 	require.NoError(t, clock.BlockUntilContext(ctx, 1))
 	cancel()
-	require.Eventually(t, func() bool { return arrived.Load() > rate*int64(lasts)/int64(time.Second)-40 }, 30*time.Second, time.Millisecond,
+	require.Eventually(t, func() bool { return arrived.Load() > rate*int64(duration)/int64(time.Second)-40 }, 30*time.Second, time.Millisecond,
 		"an open loop does not wait for answers")
 	close(gate)
 	<-ended
 	summary := recorder.Summary()
-	require.InDelta(t, rate*lasts.Seconds(), summary.Requests, 40)
+	require.InDelta(t, rate*duration.Seconds(), summary.Requests, 40)
 	require.Equal(t, summary.Requests, summary.Endings[caller.Answered])
-	results, whole := recorder.Results()
-	require.True(t, whole)
+	results, complete := recorder.Results()
+	require.True(t, complete)
 	require.Len(t, results, summary.Requests)
 	require.Zero(t, d.Dropped())
 }
 
-// A closed loop that came back at once would turn a refusal into a flood.
-func TestClosedLoopComesBackWhenItWasTold(t *testing.T) {
+// Guards against a closed loop that retries at once and so turns a refusal into a
+// flood of requests.
+func TestClosedLoopWaitsForRetryAfter(t *testing.T) {
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
@@ -186,7 +188,7 @@
 	defer server.Close()
 	recorder := &caller.Recorder{}
 	d := caller.Driver{
-		Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Patience: time.Second},
+		Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Timeout: time.Second},
 		Targets: []string{server.URL}, Recorder: recorder,
 		Loads: []caller.Load{{Workspace: "w", Backlog: 3, Mix: caller.Mix{Once: 1, Service: "s"}}},
 	}
@@ -197,8 +199,9 @@
 	require.Equal(t, map[caller.Ending]int{caller.NotRun: 3}, recorder.Summary().Endings)
 }
 
-// A router that has gone takes no connection. The platform's balancer then
-// sends to the next one, and the request must not count as lost.
+// Guards against counting a request as lost when a router has stopped and accepts
+// no connection: the platform's load balancer then sends to the next router. A
+// request that may have been sent is not sent again.
 func TestDriverTriesTheNextTargetOnlyWhenNothingWasSent(t *testing.T) {
 	gone := httptest.NewServer(http.NotFoundHandler())
 	gone.Close()
@@ -213,15 +216,15 @@
 		ready   func(string) bool
 		want    caller.Ending
 	}{
-		"gone, then good":       {targets: []string{gone.URL, good.URL}, want: caller.Answered},
-		"all gone":              {targets: []string{gone.URL}, want: caller.Unsent},
-		"broken, good is ready": {targets: []string{broken.URL, good.URL}, ready: func(t string) bool { return t == good.URL }, want: caller.Answered},
+		"unreachable, then good":          {targets: []string{gone.URL, good.URL}, want: caller.Answered},
+		"all unreachable":                 {targets: []string{gone.URL}, want: caller.Unsent},
+		"broken but not ready, then good": {targets: []string{broken.URL, good.URL}, ready: func(t string) bool { return t == good.URL }, want: caller.Answered},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			recorder := &caller.Recorder{}
 			d := caller.Driver{
-				Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Patience: time.Second},
+				Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Timeout: time.Second},
 				Targets: test.targets, Ready: test.ready, Recorder: recorder, MaxOutstanding: 100,
 				Loads: []caller.Load{{Workspace: "w", PerSecond: 100, Mix: caller.Mix{Plain: 1, Service: "s"}}},
 			}
--- a/lib/caller/planner.go
+++ b/lib/caller/planner.go
@@ -10,57 +10,59 @@
 	"github.com/google/uuid"
 )
 
-// Mix is what a workspace sends. The parts are relative to one another.
+// Mix is the composition of a workspace's requests. Stream, Whole, Plain and Once
+// are relative weights.
 type Mix struct {
 	Stream float64 `json:"stream"`
 	Whole  float64 `json:"whole"`
-	Plain  float64 `json:"plain"` // repeatable plain calls
-	Once   float64 `json:"once"`  // plain calls that may not be repeated
+	Plain  float64 `json:"plain"` // repeatable calls of the plain service
+	Once   float64 `json:"once"`  // calls of the plain service that must not be repeated
 	Models []string
-	// Service is the plain service.
+	// Service is the name of the plain service.
 	Service string
-	// Bound is the largest max_tokens; each request draws its own between a
-	// quarter of it and all of it.
+	// Bound is the maximum of max_tokens. Each request draws its max_tokens
+	// between a quarter of Bound and Bound.
 	Bound int
-	// Prompt is the length of prompts in bytes. Half of them share their first
-	// part with the workspace's other prompts.
+	// Prompt is the approximate length of prompts in bytes. One half of the
+	// prompts begin with the same prefix, half of the length.
 	Prompt int
 }
 
-// Planner draws a workspace's requests and the pauses between them. It is
-// pure but for its seeded random source, so a run can be repeated.
+// Planner draws a workspace's requests and the pauses between them. Its only
+// state is a seeded random source and a counter, so a run can be repeated.
 type Planner struct {
-	Workspace string
-	Token     string
-	Mix       Mix
-	random    *rand.Rand
-	number    int
-	shared    string
+	Workspace    string
+	Token        string
+	Mix          Mix
+	random       *rand.Rand
+	number       int
+	sharedPrefix string
 }
 
-// NewPlanner returns a planner whose draws depend on the seed and the
-// workspace only.
+// NewPlanner returns a planner whose draws depend only on the workspace, the mix
+// and the seed.
 func NewPlanner(workspace, token string, mix Mix, seed uint64) *Planner {
-	random := rand.New(rand.NewPCG(seed, uint64(len(workspace))<<32^sum(workspace)))
+	random := rand.New(rand.NewPCG(seed, uint64(len(workspace))<<32^nameHash(workspace)))
 	p := &Planner{Workspace: workspace, Token: token, Mix: mix, random: random}
-	p.shared = p.words(mix.Prompt / 2)
+	p.sharedPrefix = p.words(mix.Prompt / 2)
 	return p
 }
 
-func sum(text string) uint64 {
-	var total uint64
-	for _, r := range text {
-		total = total*31 + uint64(r)
+// nameHash returns a hash of a workspace name, for seeds that differ by workspace.
+func nameHash(name string) uint64 {
+	var hash uint64
+	for _, r := range name {
+		hash = hash*31 + uint64(r)
 	}
-	return total
+	return hash
 }
 
-// Pause draws the time until the next request of a Poisson process.
+// Pause draws the time until the next arrival of a Poisson process.
 func (p *Planner) Pause(perSecond float64) time.Duration {
 	return time.Duration(p.random.ExpFloat64() / perSecond * float64(time.Second))
 }
 
-// Next draws a request.
+// Next draws the next request.
 func (p *Planner) Next() Request {
 	p.number++
 	request := Request{Workspace: p.Workspace, Token: p.Token}
@@ -83,11 +85,11 @@
 	request.Kind = kind
 	request.Model = p.Mix.Models[p.random.IntN(len(p.Mix.Models))]
 	request.Bound = p.Mix.Bound/4 + 1 + p.random.IntN(max(1, p.Mix.Bound*3/4))
-	front := p.shared
+	prefix := p.sharedPrefix
 	if p.random.IntN(2) == 0 {
-		front = p.words(len(p.shared))
+		prefix = p.words(len(p.sharedPrefix))
 	}
-	request.Prompt = front + fmt.Sprintf("%s %d ", p.Workspace, p.number) + p.words(p.Mix.Prompt/2)
+	request.Prompt = prefix + fmt.Sprintf("%s %d ", p.Workspace, p.number) + p.words(p.Mix.Prompt/2)
 	return request
 }
 
@@ -111,6 +113,7 @@
 
 var vocabulary = []string{"cottage", "lake", "august", "swap", "keys", "garden", "valley", "summer", "family", "terrace"}
 
+// words draws a text of at least the given number of bytes.
 func (p *Planner) words(bytes int) string {
 	var text strings.Builder
 	for text.Len() < bytes {
--- a/lib/caller/recorder.go
+++ b/lib/caller/recorder.go
@@ -10,34 +10,36 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of the histograms, in microseconds.
+// Range of the histograms, in microseconds, their precision in decimal digits,
+// and bounds of the results that are kept.
 const (
-	leastMicros     = 1
-	mostMicros      = int64(10 * time.Minute / time.Microsecond)
-	significant     = 3
-	maxKeptResults  = 200_000
-	maxKeptFailures = 64
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
+	maxKeptResults    = 200_000
+	maxKeptFailures   = 64
 )
 
-// Recorder sums results up. Its zero value is ready to use.
+// Recorder aggregates results. The zero value is ready to use, and all methods
+// are safe for concurrent use.
 type Recorder struct {
-	// Keep keeps every result (up to maxKeptResults), for checks against what
-	// endpoints executed.
-	Keep bool
+	// KeepResults makes the recorder keep every result, up to maxKeptResults, for
+	// comparison with the endpoints' record of executions.
+	KeepResults bool
 
 	lock       sync.Mutex
 	endings    map[Ending]int
 	codes      map[string]int
-	workspaces map[string]*Service
+	workspaces map[string]*WorkspaceSummary
 	first      *hdrhistogram.Histogram
-	between    *hdrhistogram.Histogram
-	kept       []Result
+	tokenGaps  *hdrhistogram.Histogram
+	results    []Result
 	failures   []Result
 	overflow   bool
 }
 
-// Service is what one workspace received.
-type Service struct {
+// WorkspaceSummary summarises the results of one workspace.
+type WorkspaceSummary struct {
 	Requests int     `json:"requests"`
 	Answered int     `json:"answered"`
 	Tokens   int     `json:"tokens"`
@@ -45,7 +47,8 @@
 	first    *hdrhistogram.Histogram
 }
 
-// Quantiles of a duration, in milliseconds.
+// Quantiles are the quantiles of a duration in milliseconds, and the number of
+// values.
 type Quantiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
@@ -53,73 +56,75 @@
 	N   int64   `json:"n"`
 }
 
-// Summary is what a run saw.
+// Summary summarises the results of a run.
 type Summary struct {
-	Requests   int                 `json:"requests"`
-	Endings    map[Ending]int      `json:"endings"`
-	Codes      map[string]int      `json:"codes,omitempty"`
-	First      Quantiles           `json:"first_token"`
-	Between    Quantiles           `json:"between_tokens"`
-	Tokens     int                 `json:"tokens"`
-	Workspaces map[string]*Service `json:"workspaces"`
+	Requests   int                          `json:"requests"`
+	Endings    map[Ending]int               `json:"endings"`
+	Codes      map[string]int               `json:"codes,omitempty"`
+	First      Quantiles                    `json:"first_token"`
+	Between    Quantiles                    `json:"between_tokens"`
+	Tokens     int                          `json:"tokens"`
+	Workspaces map[string]*WorkspaceSummary `json:"workspaces"`
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastMicros, mostMicros, significant)
+	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
 }
 
-// Add takes a result.
+// Add records a result.
 func (r *Recorder) Add(result Result) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.prepare()
+	r.initialize()
 	r.endings[result.Ending]++
 	if result.Code != "" {
 		r.codes[result.Code]++
 	}
-	r.service(result)
+	r.addToWorkspace(result)
 	if result.First > 0 && result.Request.Kind == Stream {
-		record(r.first, result.First)
+		recordClamped(r.first, result.First)
 	}
 	for _, gap := range result.Gaps {
-		record(r.between, gap)
+		recordClamped(r.tokenGaps, gap)
 	}
 	result.Gaps = nil
-	r.keep(result)
+	r.keepResult(result)
 }
 
-func (r *Recorder) prepare() {
+func (r *Recorder) initialize() {
 	if r.endings != nil {
 		return
 	}
 	r.endings, r.codes = make(map[Ending]int), make(map[string]int)
-	r.workspaces = make(map[string]*Service)
-	r.first, r.between = newHistogram(), newHistogram()
+	r.workspaces = make(map[string]*WorkspaceSummary)
+	r.first, r.tokenGaps = newHistogram(), newHistogram()
 }
 
-func (r *Recorder) service(result Result) {
-	service, known := r.workspaces[result.Request.Workspace]
+func (r *Recorder) addToWorkspace(result Result) {
+	workspace, known := r.workspaces[result.Request.Workspace]
 	if !known {
-		service = &Service{first: newHistogram()}
-		r.workspaces[result.Request.Workspace] = service
+		workspace = &WorkspaceSummary{first: newHistogram()}
+		r.workspaces[result.Request.Workspace] = workspace
 	}
-	service.Requests++
-	service.Tokens += result.Tokens
+	workspace.Requests++
+	workspace.Tokens += result.Tokens
 	if result.Ending == Answered {
-		service.Answered++
+		workspace.Answered++
 	}
 	if result.First > 0 {
-		record(service.first, result.First)
+		recordClamped(workspace.first, result.First)
 	}
 }
 
-// record leaves out what is beyond the range: ten minutes is past every
-// caller's patience.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(leastMicros, min(d.Microseconds(), mostMicros)))
+// recordClamped records a duration, clamped to the histogram's range. Its upper
+// end, ten minutes, exceeds every caller's timeout.
+func recordClamped(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(max(minMicros, min(d.Microseconds(), maxMicros)))
 }
 
-func (r *Recorder) keep(result Result) {
+// keepResult keeps a result if it is a failure or KeepResults is set, within the
+// bounds.
+func (r *Recorder) keepResult(result Result) {
 	switch result.Ending {
 	case Answered, NotRun:
 	default:
@@ -127,51 +132,54 @@
 			r.failures = append(r.failures, result)
 		}
 	}
-	if !r.Keep {
+	if !r.KeepResults {
 		return
 	}
-	if len(r.kept) >= maxKeptResults {
+	if len(r.results) >= maxKeptResults {
 		r.overflow = true
 		return
 	}
 	if !result.Request.Once {
-		// What may be sent again is kept whole.
+		// Only requests marked Once keep their prompt and body, because checks
+		// resend them.
 		result.Request.Prompt, result.Request.Body = "", ""
 	}
-	r.kept = append(r.kept, result)
+	r.results = append(r.results, result)
 }
 
-// Results returns the kept results, and false if there were more than are kept.
+// Results returns the kept results, and reports whether all results were kept,
+// i.e. there were no more than maxKeptResults.
 func (r *Recorder) Results() ([]Result, bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return slices.Clone(r.kept), !r.overflow
+	return slices.Clone(r.results), !r.overflow
 }
 
-// Failures returns some of the results that are neither answered nor refused.
+// Failures returns the first results, up to maxKeptFailures, that are neither
+// Answered nor NotRun.
 func (r *Recorder) Failures() []Result {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return slices.Clone(r.failures)
 }
 
-// Summary sums up what came so far.
+// Summary summarises the results added so far.
 func (r *Recorder) Summary() Summary {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.prepare()
+	r.initialize()
 	summary := Summary{
-		Endings: maps.Clone(r.endings), Codes: maps.Clone(r.codes), Workspaces: make(map[string]*Service),
-		First: quantiles(r.first), Between: quantiles(r.between),
+		Endings: maps.Clone(r.endings), Codes: maps.Clone(r.codes), Workspaces: make(map[string]*WorkspaceSummary),
+		First: quantiles(r.first), Between: quantiles(r.tokenGaps),
 	}
 	for _, n := range r.endings {
 		summary.Requests += n
 	}
-	for name, service := range r.workspaces {
-		told := *service
-		told.FirstP95 = quantiles(service.first).P95
-		summary.Tokens += service.Tokens
-		summary.Workspaces[name] = &told
+	for name, workspace := range r.workspaces {
+		copied := *workspace
+		copied.FirstP95 = quantiles(workspace.first).P95
+		summary.Tokens += workspace.Tokens
+		summary.Workspaces[name] = &copied
 	}
 	return summary
 }
@@ -183,7 +191,7 @@
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99), N: h.TotalCount()}
 }
 
-// Names returns the workspaces, most tokens first.
+// Names returns the names of the workspaces, in descending order of tokens.
 func (s Summary) Names() []string {
 	names := slices.Collect(maps.Keys(s.Workspaces))
 	slices.SortFunc(names, func(a, b string) int {
--- a/lib/caller/request.go
+++ b/lib/caller/request.go
@@ -1,11 +1,11 @@
-// Package caller sends requests to routers as callers do, checks every answer
-// byte for byte against what its own request must yield, and sums up what it
-// saw.
+// Package caller generates load on routers. It sends requests as clients do,
+// compares every answer byte for byte with the expected one, and summarises the
+// results.
 //
-// Invariants: every call has exactly one ending; an answer that ends cleanly
-// and differs from what its request must yield is wrong, never cut; a cut is
-// counted as visible only when the connection says so. Which requests are sent
-// when depends on the seed alone.
+// Invariants: every call has exactly one ending; an answer that ends cleanly but
+// differs from the expected answer is Wrong, never Cut; an answer is Cut only if
+// the connection shows the truncation. The requests and their planned times
+// depend on the seed alone.
 package caller
 
 import (
@@ -16,13 +16,13 @@
 	"shallotkeel.example/lib/answerer"
 )
 
-// Kind is a kind of request.
+// Kind is the kind of a request.
 type Kind string
 
 // The kinds of request.
 const (
 	Stream Kind = "stream" // a streamed chat completion
-	Whole  Kind = "whole"  // a chat completion that is answered at once
+	Whole  Kind = "whole"  // a chat completion that is not streamed
 	Plain  Kind = "plain"  // a call to a plain service
 )
 
@@ -31,21 +31,21 @@
 	Workspace string
 	Token     string
 	Kind      Kind
-	// Model, Prompt and Bound are a chat completion's.
+	// Model, Prompt and Bound (max_tokens) belong to chat completions.
 	Model  string
 	Prompt string
 	Bound  int
-	// Service, Method, Path and Body are a plain call's. The path starts with
-	// a slash.
+	// Service, Method, Path and Body belong to calls of plain services. Path
+	// begins with a slash.
 	Service string
 	Method  string
 	Path    string
 	Body    string
-	// Key is the Idempotency-Key, if any.
+	// Key is sent as Idempotency-Key unless empty.
 	Key string
-	// Once marks the request as not repeatable.
+	// Once marks the request as not repeatable (X-Not-Repeatable).
 	Once bool
-	// Traceparent is sent if it is set.
+	// Traceparent is sent as the header of this name unless empty.
 	Traceparent string
 }
 
@@ -53,7 +53,8 @@
 	return []answerer.Message{{Role: "user", Content: r.Prompt}}
 }
 
-// Want returns what the answer must be.
+// Want returns the expected answer: the content of a chat completion or the body
+// of a plain answer.
 func (r Request) Want() string {
 	if r.Kind == Plain {
 		return answerer.Plain(r.Method, r.Path, []byte(r.Body))
@@ -61,8 +62,8 @@
 	return answerer.Text(r.Model, answerer.Prompt(r.messages()), r.Bound)
 }
 
-// method, path and body as a router takes them.
-func (r Request) call() (method, path, body string) {
+// httpParts returns the method, path and body of the request as sent to a router.
+func (r Request) httpParts() (method, path, body string) {
 	if r.Kind == Plain {
 		return r.Method, "/v1/services/" + r.Service + r.Path, r.Body
 	}
@@ -73,14 +74,15 @@
 		Stream    bool               `json:"stream"`
 	}{r.Model, r.messages(), r.Bound, r.Kind == Stream})
 	if err != nil {
-		return "", "", "" // a struct of texts and numbers always encodes
+		return "", "", "" // cannot happen: a struct of strings and numbers can be encoded
 	}
 	return http.MethodPost, "/v1/chat/completions", string(text)
 }
 
-// HTTP returns the request as it is sent to a router, without a context.
+// HTTP returns the request to a router with the given base URL. It has no
+// context.
 func (r Request) HTTP(base string) (*http.Request, error) {
-	method, path, body := r.call()
+	method, path, body := r.httpParts()
 	request, err := http.NewRequest(method, base+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/lib/enlister/codec.go
+++ b/lib/enlister/codec.go
@@ -23,11 +23,11 @@
 
 func encodeTicket(w *interner.Writer, t *scheduler.Ticket, waited time.Duration) *messenger.Ticket {
 	encoded := &messenger.Ticket{
-		Seq: t.Seq, Workspace: w.Put(t.Workspace), Model: w.Put(t.Model), Hint: t.Hint,
+		Seq: t.Seq, Workspace: w.Intern(t.Workspace), Model: w.Intern(t.Model), Hint: t.Hint,
 		Prefix: t.Prefix, Prompt: t.Prompt, WaitedMs: milliseconds(waited), Alone: t.Alone,
 	}
 	for _, endpoint := range t.Avoid {
-		encoded.Avoid = append(encoded.Avoid, w.Put(endpoint))
+		encoded.Avoid = append(encoded.Avoid, w.Intern(endpoint))
 	}
 	return encoded
 }
--- a/lib/enlister/enlister.go
+++ b/lib/enlister/enlister.go
@@ -293,8 +293,8 @@
 		}
 		r.reported = r.charged
 		batch.Running = append(batch.Running, &messenger.Running{
-			Seq: seq, Workspace: e.writer.Put(r.ticket.Workspace), Model: e.writer.Put(r.ticket.Model),
-			Endpoint: e.writer.Put(r.endpoint), Charged: r.charged,
+			Seq: seq, Workspace: e.writer.Intern(r.ticket.Workspace), Model: e.writer.Intern(r.ticket.Model),
+			Endpoint: e.writer.Intern(r.endpoint), Charged: r.charged,
 		})
 	}
 	batch.Names = e.writer.Take()
--- a/lib/enlister/registrar.go
+++ b/lib/enlister/registrar.go
@@ -203,11 +203,11 @@
 		switch a := action.(type) {
 		case scheduler.Grant:
 			grants = append(grants, &messenger.Grant{
-				Seq: a.Request.Seq, Endpoint: w.Put(a.Endpoint), Address: w.Put(a.Address.String()), Incarnation: a.Incarnation,
+				Seq: a.Request.Seq, Endpoint: w.Intern(a.Endpoint), Address: w.Intern(a.Address.String()), Incarnation: a.Incarnation,
 			})
 		case scheduler.Refusal:
 			refusals = append(refusals, &messenger.Refusal{
-				Seq: a.Request.Seq, Reason: w.Put(a.Reason), RetryMs: milliseconds(a.Retry),
+				Seq: a.Request.Seq, Reason: w.Intern(a.Reason), RetryMs: milliseconds(a.Retry),
 			})
 		}
 	}
--- a/lib/interner/interner.go
+++ b/lib/interner/interner.go
@@ -1,67 +1,72 @@
-// Package interner numbers the names of a message or of a session, so that each
-// name is sent once and stands as a small number from then on.
+// Package interner replaces the names in a message or a session by small
+// numbers, so that each name is transmitted only once.
 //
-// Invariants: both ends number in the order of the names that were sent; a
-// number that the reader does not know reads as the empty name and never as
-// another one; a reader holds no more names than its bound, however many are sent.
+// Invariants: writer and reader number names in the order of transmission; a
+// number unknown to the reader resolves to the empty name and never to another
+// name; a reader stores at most its bound of names, however many are sent.
 package interner
 
-// Writer gives numbers to names. The zero value is ready to use.
+// Writer assigns numbers to names. The zero value is ready to use.
 type Writer struct {
-	index map[string]uint32
-	fresh []string
+	index  map[string]uint32
+	unsent []string
 }
 
-// Put returns the number of a name.
-func (w *Writer) Put(name string) uint32 {
-	if at, known := w.index[name]; known {
-		return at
+// Intern returns the number of a name, assigning the next number to a new name.
+func (w *Writer) Intern(name string) uint32 {
+	if number, known := w.index[name]; known {
+		return number
 	}
 	if w.index == nil {
 		w.index = make(map[string]uint32)
 	}
-	at := uint32(len(w.index))
-	w.index[name] = at
-	w.fresh = append(w.fresh, name)
-	return at
+	number := uint32(len(w.index))
+	w.index[name] = number
+	w.unsent = append(w.unsent, name)
+	return number
 }
 
-// Take returns the names that were put since the last Take, to be sent along.
+// Take returns the names that were assigned a number since the last call, in
+// order. The caller must send them to the reader.
 func (w *Writer) Take() []string {
-	fresh := w.fresh
-	w.fresh = nil
-	return fresh
+	unsent := w.unsent
+	w.unsent = nil
+	return unsent
 }
 
-// Len counts the names that have a number.
+// Len returns the number of names that have been assigned a number.
 func (w *Writer) Len() int {
 	return len(w.index)
 }
 
-// Reader is the other end of a Writer. The zero value holds no names.
+// Reader resolves the numbers assigned by a Writer. The zero value holds no
+// names and is ready to use.
 type Reader struct {
 	names []string
 }
 
-// Extend takes in the names that a Writer sent along, up to a bound in all.
+// Extend appends names received from a Writer's Take. Names that would exceed
+// bound, the maximum number of names in total, are ignored.
 func (r *Reader) Extend(names []string, bound int) {
 	r.names = append(r.names, names[:min(len(names), max(0, bound-len(r.names)))]...)
 }
 
-// Get returns the name with a number, or the empty one.
-func (r *Reader) Get(at uint32) string {
-	return At(r.names, at)
+// Get returns the name with the given number, or the empty string if the number
+// is unknown.
+func (r *Reader) Get(number uint32) string {
+	return At(r.names, number)
 }
 
-// Len counts the names.
+// Len returns the number of stored names.
 func (r *Reader) Len() int {
 	return len(r.names)
 }
 
-// At returns the name with a number in a message's own list, or the empty one.
-func At(names []string, at uint32) string {
-	if uint64(at) >= uint64(len(names)) {
+// At returns the name with the given number in a message's own list of names, or
+// the empty string if the number is out of range.
+func At(names []string, number uint32) string {
+	if uint64(number) >= uint64(len(names)) {
 		return ""
 	}
-	return names[at]
+	return names[number]
 }
--- a/lib/interner/interner_test.go
+++ b/lib/interner/interner_test.go
@@ -13,7 +13,7 @@
 	for _, batch := range [][]string{{"a", "b", "a"}, {"b"}, {"c", "d"}} {
 		var numbers []uint32
 		for _, name := range batch {
-			numbers = append(numbers, w.Put(name))
+			numbers = append(numbers, w.Intern(name))
 		}
 		r.Extend(w.Take(), bound)
 		for i, name := range batch {
@@ -23,7 +23,7 @@
 		}
 	}
 	require.Equal(t, 4, w.Len())
-	require.Equal(t, bound, r.Len(), "the reader keeps to its bound")
-	require.Empty(t, r.Get(3), "a name beyond the bound reads as none")
+	require.Equal(t, bound, r.Len(), "the reader stores no more names than its bound")
+	require.Empty(t, r.Get(3), "a name beyond the bound resolves to the empty name")
 	require.Empty(t, At(nil, 0))
 }
--- a/lib/labeler/labeler.go
+++ b/lib/labeler/labeler.go
@@ -1,13 +1,13 @@
-// Package labeler holds labels and the selectors over them.
+// Package labeler defines labels and the selectors that match them.
 //
 // A label is a key and a value that an operator attaches to an object or that
-// an endpoint announces. A selector is a condition over labels in the syntax
-// that operators know from Kubernetes ("tier=club,zone in (a, b),!drain"). The
-// empty selector matches everything.
+// an endpoint announces. A selector is a condition over labels in the syntax of
+// Kubernetes label selectors ("tier=club,zone in (a, b),!drain"). The empty
+// selector matches everything.
 //
 // Invariants: a Selector is immutable and safe for concurrent use, its zero
-// value matches everything, and a selector that parsed never fails to match or
-// not match.
+// value matches everything, and matching with a parsed selector never returns
+// an error.
 package labeler
 
 import (
@@ -16,13 +16,13 @@
 	"k8s.io/apimachinery/pkg/util/validation"
 )
 
-// ErrSelector is the kind of every error about a selector's syntax.
+// ErrSelector is wrapped by every error about a selector's syntax.
 var ErrSelector = merry.Sentinel("selector is malformed")
 
-// ErrLabel is the kind of every error about a label's key or value.
+// ErrLabel is wrapped by every error about a label's key or value.
 var ErrLabel = merry.Sentinel("label is malformed")
 
-// Labels maps a label's key to its value.
+// Labels maps label keys to values.
 type Labels map[string]string
 
 // Selector is a parsed condition over labels.
@@ -31,8 +31,8 @@
 	parsed labels.Selector
 }
 
-// Parse reads a selector. The error is an ErrSelector whose message names the
-// remedy.
+// Parse parses a selector. Errors wrap ErrSelector, and their text includes an
+// example of the syntax.
 func Parse(text string) (Selector, error) {
 	parsed, err := labels.Parse(text)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return Selector{text: text, parsed: parsed}, nil
 }
 
-// Matches tells whether the labels meet the condition.
+// Matches reports whether the labels satisfy the selector.
 func (s Selector) Matches(set Labels) bool {
 	if s.parsed == nil {
 		return true
@@ -50,12 +50,13 @@
 	return s.parsed.Matches(labels.Set(set))
 }
 
-// Empty tells whether the selector matches everything.
+// Empty reports whether the selector has no conditions and so matches
+// everything.
 func (s Selector) Empty() bool {
 	return s.parsed == nil || s.parsed.Empty()
 }
 
-// Keys lists the label keys that the condition mentions.
+// Keys returns the label keys that the selector refers to.
 func (s Selector) Keys() []string {
 	if s.parsed == nil {
 		return nil
@@ -68,12 +69,12 @@
 	return keys
 }
 
-// String returns the selector as it was written.
+// String returns the selector's source text.
 func (s Selector) String() string {
 	return s.text
 }
 
-// Check tells whether a label's key and value may be attached to an object.
+// Check validates a label's key and value. Errors wrap ErrLabel.
 func Check(key, value string) error {
 	if problems := validation.IsQualifiedName(key); len(problems) > 0 {
 		return merry.Errorf("%w: key %q: %s", ErrLabel, key, problems[0])
--- a/lib/labeler/labeler_test.go
+++ b/lib/labeler/labeler_test.go
@@ -12,11 +12,11 @@
 		text string
 		want bool
 	}{
-		"empty matches all": {text: "", want: true},
-		"equal":             {text: "tier=club", want: true},
-		"both":              {text: "tier=club,zone in (verona-b)", want: false},
-		"absent":            {text: "!drain", want: true},
-		"not equal":         {text: "tier!=house", want: true},
+		"empty matches everything": {text: "", want: true},
+		"equal":                    {text: "tier=club", want: true},
+		"both":                     {text: "tier=club,zone in (verona-b)", want: false},
+		"absent":                   {text: "!drain", want: true},
+		"not equal":                {text: "tier!=house", want: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/lib/loader/loader.go
+++ b/lib/loader/loader.go
@@ -1,9 +1,10 @@
-// Package loader reads settings files: JSON with comments, checked at start.
+// Package loader reads and validates settings files, which are JSON with
+// comments.
 //
 // Invariants: an unknown key, a value of the wrong type and a value that the
-// program cannot use are all errors that name the file, the line and the
-// remedy; nothing is silently ignored, because a misspelt key that is ignored
-// looks like a setting that does not work.
+// program cannot use are errors that name the file, the line and the remedy.
+// Nothing is silently ignored: an ignored misspelt key would seem to be a
+// setting without effect.
 package loader
 
 import (
@@ -19,27 +20,29 @@
 	"github.com/tailscale/hujson"
 )
 
-// ErrSettings is the kind of every error about a settings file.
+// ErrSettings is wrapped by every error about a settings file.
 var ErrSettings = merry.Sentinel("settings are not usable")
 
-// ErrJSON is the kind of every error about a text that is not the JSON expected.
+// ErrJSON is wrapped by every error about text that is not JSON of the expected
+// shape.
 var ErrJSON = merry.Sentinel("JSON is not usable")
 
-// Problem is one value that a program cannot use.
+// Problem describes one value that the program cannot use.
 type Problem struct {
-	Key     string // the JSON key, for finding the line
+	Key     string // JSON key of the value; locates the line for the error
 	Message string
 	Remedy  string
 }
 
-// Checked is implemented by settings that can tell what is wrong with them.
-type Checked interface {
+// Checker is implemented by settings that validate themselves. Check returns no
+// problems for usable settings.
+type Checker interface {
 	Check() []Problem
 }
 
-// Load reads the file into settings, refuses unknown keys, and checks the
-// result.
-func Load(path string, settings Checked) error {
+// Load decodes the settings file at path into settings, rejecting unknown keys,
+// and validates the result. Errors wrap ErrSettings.
+func Load(path string, settings Checker) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return merry.Errorf("%w: %v; name an existing file with --settings", ErrSettings, err)
@@ -47,8 +50,9 @@
 	return Decode(path, text, settings)
 }
 
-// Decode is Load for a text that has been read already; name stands in errors.
-func Decode(name string, text []byte, settings Checked) error {
+// Decode does the same as Load for text that has already been read. Errors
+// refer to the text by name.
+func Decode(name string, text []byte, settings Checker) error {
 	if err := Unmarshal(name, text, settings); err != nil {
 		return merry.Errorf("%w: %w", ErrSettings, err)
 	}
@@ -64,9 +68,11 @@
 }
 
 // Unmarshal decodes JSON with comments strictly: unknown keys, wrong types and
-// anything behind the value are errors with file, line and remedy.
+// anything after the top-level value are errors. They wrap ErrJSON and name the
+// file, the line and the remedy.
 func Unmarshal(name string, text []byte, into any) error {
-	// Standardizing blanks comments in place, so offsets still lead to lines.
+	// Standardize replaces comments by spaces, so offsets and lines are the same
+	// as in the original text.
 	standard, err := hujson.Standardize(bytes.Clone(text))
 	if err != nil {
 		return merry.Errorf("%w: %s: %v; mend the JSON there", ErrJSON, name, err)
@@ -75,23 +81,24 @@
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
 		return merry.Errorf("%w: %s:%d: %v; correct or remove that key (see docs/OPERATING.md)",
-			ErrJSON, name, lineOf(text, standard, into, err, decoder), err)
+			ErrJSON, name, errorLine(text, standard, into, err, decoder), err)
 	}
 	return nil
 }
 
 var unknownField = regexp.MustCompile(`unknown field "([^"]+)"`)
 
-// lineOf finds the line of a decoding error. The decoder reports an unknown
-// field without a position, so that one is searched for by its name.
-func lineOf(text, standard []byte, into any, err error, decoder *json.Decoder) int {
+// errorLine returns the line number, counted from 1, of a decoding error. The
+// decoder reports an unknown field without a position, so its line is found by
+// searching for the field's name.
+func errorLine(text, standard []byte, into any, err error, decoder *json.Decoder) int {
 	if found := unknownField.FindStringSubmatch(err.Error()); found != nil {
 		return lineAt(text, int64(bytes.Index(text, []byte(`"`+found[1]+`"`))))
 	}
-	return lineAt(text, offsetOf(standard, into, err, decoder))
+	return lineAt(text, errorOffset(standard, into, err, decoder))
 }
 
-func offsetOf(standard []byte, into any, err error, decoder *json.Decoder) int64 {
+func errorOffset(standard []byte, into any, err error, decoder *json.Decoder) int64 {
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
 		return syntax.Offset
@@ -100,7 +107,7 @@
 	if errors.As(err, &kind) {
 		return kind.Offset
 	}
-	if offset := locate(standard, into); offset >= 0 {
+	if offset := locateFailure(standard, into); offset >= 0 {
 		return offset
 	}
 	return decoder.InputOffset()
@@ -119,10 +126,12 @@
 	return merry.Errorf("%s:%d: %s: %s; %s", name, line, problem.Key, problem.Message, problem.Remedy).Error()
 }
 
-// Duration is a time.Duration that JSON writes as a text such as "250ms".
+// Duration is a time.Duration that is encoded in JSON as a string such as
+// "250ms".
 type Duration struct{ time.Duration }
 
-// UnmarshalJSON reads a duration such as "1.5s".
+// UnmarshalJSON decodes a string in the syntax of time.ParseDuration, such as
+// "1.5s".
 func (d *Duration) UnmarshalJSON(text []byte) error {
 	var written string
 	if err := json.Unmarshal(text, &written); err != nil {
@@ -136,15 +145,15 @@
 	return nil
 }
 
-// MarshalJSON writes the duration as a text.
+// MarshalJSON encodes the duration as a string.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(d.String())
 }
 
-// Or returns the duration, or a default where none was set.
-func (d Duration) Or(standard time.Duration) time.Duration {
+// Or returns the duration, or the fallback if the duration is zero (not set).
+func (d Duration) Or(fallback time.Duration) time.Duration {
 	if d.Duration == 0 {
-		return standard
+		return fallback
 	}
 	return d.Duration
 }
--- a/lib/loader/loader_test.go
+++ b/lib/loader/loader_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-type sample struct {
+type testSettings struct {
 	Zone  string   `json:"zone"`
 	Every Duration `json:"every"`
 }
 
-func (s *sample) Check() []Problem {
+func (s *testSettings) Check() []Problem {
 	if s.Zone == "" {
 		return []Problem{{Key: "zone", Message: "is missing", Remedy: "name the availability zone"}}
 	}
@@ -24,17 +24,17 @@
 		text string
 		err  string
 	}{
-		"fine":             {text: "{\n// where\n\"zone\": \"a\", \"every\": \"250ms\"}"},
-		"unknown key":      {text: "{\n\"zone\": \"a\",\n\"evry\": \"1s\"}", err: "f:3:"},
-		"missing zone":     {text: "{\n\n\"zone\": \"\"}", err: "f:3: zone: is missing; name the availability zone"},
-		"bad duration":     {text: `{"zone":"a","every":"soon"}`, err: "write for example"},
-		"number for time":  {text: `{"zone":"a","every":5}`, err: "write for example"},
-		"text behind":      {text: `{"zone":"a"} true`, err: "after top-level value"},
-		"a comment's line": {text: "{\n/* two\nlines */\n\"zone\": 7}", err: "f:4:"},
+		"fine":                         {text: "{\n// where\n\"zone\": \"a\", \"every\": \"250ms\"}"},
+		"unknown key":                  {text: "{\n\"zone\": \"a\",\n\"evry\": \"1s\"}", err: "f:3:"},
+		"missing zone":                 {text: "{\n\n\"zone\": \"\"}", err: "f:3: zone: is missing; name the availability zone"},
+		"malformed duration":           {text: `{"zone":"a","every":"soon"}`, err: "write for example"},
+		"number instead of a duration": {text: `{"zone":"a","every":5}`, err: "write for example"},
+		"trailing value":               {text: `{"zone":"a"} true`, err: "after top-level value"},
+		"line after a comment":         {text: "{\n/* two\nlines */\n\"zone\": 7}", err: "f:4:"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var settings sample
+			var settings testSettings
 			err := Decode("f", []byte(test.text), &settings)
 			if test.err == "" {
 				require.NoError(t, err)
@@ -45,5 +45,5 @@
 			require.ErrorContains(t, err, test.err)
 		})
 	}
-	require.ErrorContains(t, Load("/nonexistent", &sample{}), "--settings")
+	require.ErrorContains(t, Load("/nonexistent", &testSettings{}), "--settings")
 }
--- a/lib/loader/locate.go
+++ b/lib/loader/locate.go
@@ -6,19 +6,23 @@
 	"reflect"
 )
 
-// locate finds the value that does not decode, for errors that come without a
-// position: those of types that read themselves, such as addresses and
-// durations. It decodes one key at a time and returns the offset of the first
-// that fails, or -1.
-func locate(text []byte, into any) int64 {
+// locateFailure returns the offset of the first value in text that does not
+// decode into the type of into, or -1 if it finds none. It serves errors without
+// a position, which come from types with their own UnmarshalJSON or
+// UnmarshalText, such as addresses and durations. It decodes one key at a time.
+func locateFailure(text []byte, into any) int64 {
 	target := reflect.TypeOf(into).Elem()
 	fails := func(candidate []byte) bool {
 		return json.Unmarshal(candidate, reflect.New(target).Interface()) != nil
 	}
-	return locateIn(text, 0, func(object []byte) []byte { return object }, fails)
+	return locateFailureIn(text, 0, func(object []byte) []byte { return object }, fails)
 }
 
-func locateIn(object []byte, base int64, wrap func([]byte) []byte, fails func([]byte) bool) int64 {
+// locateFailureIn searches one object, which begins at offset base of the whole
+// text, and descends into the first value that fails. Wrap puts an object in
+// place of this one into its enclosing objects; fails reports whether the result
+// does not decode.
+func locateFailureIn(object []byte, base int64, wrap func([]byte) []byte, fails func([]byte) bool) int64 {
 	decoder := json.NewDecoder(bytes.NewReader(object))
 	if open, err := decoder.Token(); err != nil || open != json.Delim('{') {
 		return -1
@@ -33,7 +37,7 @@
 		if err := decoder.Decode(&value); err != nil {
 			return -1
 		}
-		name, _ := json.Marshal(key) // a text that was just decoded encodes again
+		name, _ := json.Marshal(key) // cannot fail: the key is a string that was just decoded
 		inner := func(value []byte) []byte {
 			return wrap(bytes.Join([][]byte{[]byte("{"), name, []byte(":"), value, []byte("}")}, nil))
 		}
@@ -41,7 +45,7 @@
 			continue
 		}
 		start := base + decoder.InputOffset() - int64(len(value))
-		return max(offset, locateIn(value, start, inner, fails))
+		return max(offset, locateFailureIn(value, start, inner, fails))
 	}
 	return -1
 }
--- a/lib/matcher/matcher.go
+++ b/lib/matcher/matcher.go
@@ -1,10 +1,11 @@
-// Package matcher answers, for one revision of the configuration, which work
-// may go where.
+// Package matcher decides, for one revision of the configuration, which
+// workspaces may use which services and endpoints.
 //
-// Rules are compiled once from a snapshot and then only read, by any number of
-// goroutines. An object that does not compile (which validation prevents)
-// matches nothing, because sending work where an operator did not allow it is
-// worse than refusing it.
+// Rules are compiled once from a configuration snapshot and are read-only
+// afterwards, so any number of goroutines may share them. An object whose
+// selector does not parse (validation prevents this) matches nothing, because
+// sending work to an endpoint that the operator did not allow is worse than
+// refusing the work.
 package matcher
 
 import (
@@ -19,21 +20,21 @@
 	"shallotkeel.example/lib/labeler"
 )
 
-// TokenDigestLength is how many hex characters of a token's SHA-256 are kept:
-// the longest value that a label can hold.
+// TokenDigestLength is the number of hex characters to which a token's SHA-256
+// digest is truncated: the maximum length of a label value.
 const TokenDigestLength = 63
 
-// Workspace is a compiled workspace.
+// Workspace is a compiled workspace object.
 type Workspace struct {
 	Name   string
 	Labels labeler.Labels
 	Weight float64
-	// Queue is the most requests that may wait at one router.
+	// Queue is the maximum number of requests that may wait at one router.
 	Queue    int
 	selector labeler.Selector
 }
 
-// Service is a compiled service.
+// Service is a compiled service object.
 type Service struct {
 	Name     string
 	Type     string
@@ -43,15 +44,16 @@
 	selector labeler.Selector
 }
 
-// Rules is one revision of the configuration, compiled.
+// Rules is one compiled revision of the configuration. Maps are keyed by object
+// name unless noted otherwise.
 type Rules struct {
 	Revision   uint64
 	workspaces map[string]*Workspace
-	tokens     map[string]*Workspace
+	tokens     map[string]*Workspace // by token digest
 	services   map[string]*Service
-	models     map[string]*Service
-	endpoints  map[string]endpoint
-	announcers map[string]string // token digest to the service that its holder may announce for
+	models     map[string]*Service // by model name
+	endpoints  map[string]endpoint // endpoint objects, by endpoint id
+	announcers map[string]string   // service whose endpoints announce themselves with the token, by token digest
 }
 
 type endpoint struct {
@@ -59,13 +61,14 @@
 	selector labeler.Selector
 }
 
-// Digest returns the form of a bearer token that is kept in a workspace's labels.
+// Digest returns the truncated SHA-256 digest of a bearer token, in hex, as
+// stored in the labels of workspaces and services.
 func Digest(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])[:TokenDigestLength]
 }
 
-// Compile builds the rules of a snapshot.
+// Compile builds the rules from a configuration snapshot.
 func Compile(snapshot describer.Snapshot) *Rules {
 	rules := &Rules{
 		Revision:   snapshot.Revision,
@@ -114,8 +117,8 @@
 	}
 }
 
-// tokens lists the digests of the tokens that are valid now: two while one is
-// being rotated.
+// tokens returns the digests of an object's valid tokens. There are two during
+// a token rotation.
 func tokens(object describer.Object) []string {
 	var digests []string
 	for _, label := range []string{describer.LabelToken, describer.LabelTokenNext} {
@@ -143,40 +146,40 @@
 	r.services[object.Name] = service
 }
 
-// ByToken returns the workspace that a bearer token belongs to. The lookup is
-// by digest, so its timing tells nothing about the token itself.
+// ByToken returns the workspace that a bearer token belongs to. The lookup uses
+// the token's digest, so its timing reveals nothing about the token itself.
 func (r *Rules) ByToken(token string) (*Workspace, bool) {
 	workspace, found := r.tokens[Digest(token)]
 	return workspace, found
 }
 
-// Operator tells whether a bearer token opens the operators' paths: it is that
-// of a workspace with the operator label.
+// Operator reports whether a bearer token grants access to the operators' API,
+// i.e. whether it belongs to a workspace with the operator label.
 func (r *Rules) Operator(token string) bool {
 	workspace, found := r.ByToken(token)
 	return found && workspace.Labels[describer.LabelOperator] == describer.Yes
 }
 
-// Announcer returns the service whose endpoints may announce themselves with a
-// bearer token.
+// Announcer returns the service whose endpoints may announce themselves with
+// the bearer token.
 func (r *Rules) Announcer(token string) (service string, found bool) {
 	service, found = r.announcers[Digest(token)]
 	return service, found
 }
 
-// Workspace returns the workspace of that name.
+// Workspace returns the workspace with the given name.
 func (r *Rules) Workspace(name string) (*Workspace, bool) {
 	workspace, found := r.workspaces[name]
 	return workspace, found
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (r *Rules) Service(name string) (*Service, bool) {
 	service, found := r.services[name]
 	return service, found
 }
 
-// Services lists all services by name.
+// Services returns all services, sorted by name.
 func (r *Rules) Services() []*Service {
 	list := make([]*Service, 0, len(r.services))
 	for _, name := range slices.Sorted(maps.Keys(r.services)) {
@@ -185,13 +188,14 @@
 	return list
 }
 
-// ByModel returns the service that offers a model.
+// ByModel returns the service that offers the model.
 func (r *Rules) ByModel(model string) (*Service, bool) {
 	service, found := r.models[model]
 	return service, found
 }
 
-// Weight returns a workspace's weight, 1 for one that is not known (yet).
+// Weight returns a workspace's weight, or 1 if this revision has no such
+// workspace (yet).
 func (r *Rules) Weight(workspace string) float64 {
 	if known, found := r.workspaces[workspace]; found {
 		return known.Weight
@@ -199,7 +203,7 @@
 	return 1
 }
 
-// Models lists every model whose service the workspace may use.
+// Models returns the models of all services that the workspace may use, sorted.
 func (r *Rules) Models(workspace *Workspace) []string {
 	var models []string
 	for model, service := range r.models {
@@ -211,14 +215,15 @@
 	return models
 }
 
-// Admits tells whether the service's selector lets the workspace use it.
+// Admits reports whether the service's selector allows the workspace to use it.
 func (s *Service) Admits(workspace *Workspace) bool {
 	return s.selector.Matches(workspace.Labels)
 }
 
-// Effective lays an endpoint object's labels over the announced ones.
+// Effective returns the announced labels of an endpoint, overridden by the
+// labels of its endpoint object, if there is one.
 func (r *Rules) Effective(id string, announced labeler.Labels) labeler.Labels {
-	laid, found := r.endpoints[id]
+	override, found := r.endpoints[id]
 	if !found {
 		return announced
 	}
@@ -226,17 +231,19 @@
 	if effective == nil {
 		effective = make(labeler.Labels)
 	}
-	maps.Copy(effective, laid.labels)
+	maps.Copy(effective, override.labels)
 	return effective
 }
 
-// Draining tells whether an operator has told the endpoint to take no new work.
+// Draining reports whether an operator has set the drain label, which stops new
+// work to the endpoint.
 func (r *Rules) Draining(id string, announced labeler.Labels) bool {
 	return r.Effective(id, announced)[describer.LabelDrain] == describer.Yes
 }
 
-// Allowed tells whether a workspace's work may go to an endpoint with these
-// announced labels, which include zone, service and endpoint id.
+// Allowed reports whether requests of a workspace may be sent to an endpoint
+// with these announced labels, which include its zone, service and id. The
+// selectors of the workspace and of the endpoint object must both match.
 func (r *Rules) Allowed(workspace, id string, announced labeler.Labels) bool {
 	known, found := r.workspaces[workspace]
 	if !found {
@@ -245,6 +252,6 @@
 	if !known.selector.Matches(r.Effective(id, announced)) {
 		return false
 	}
-	laid, found := r.endpoints[id]
-	return !found || laid.selector.Matches(known.Labels)
+	override, found := r.endpoints[id]
+	return !found || override.selector.Matches(known.Labels)
 }
--- a/lib/matcher/matcher_test.go
+++ b/lib/matcher/matcher_test.go
@@ -20,23 +20,23 @@
 func TestAllowed(t *testing.T) {
 	big := describer.Object{Kind: describer.Workspace, Name: "big", Labels: labeler.Labels{"tier": "big"}, Selector: "zone=trento-a"}
 	small := describer.Object{Kind: describer.Workspace, Name: "small", Labels: labeler.Labels{"tier": "small"}}
-	only := describer.Object{Kind: describer.Endpoint, Name: "engine-2", Selector: "tier=big"}
-	moved := describer.Object{Kind: describer.Endpoint, Name: "engine-3", Labels: labeler.Labels{"zone": "verona-b"}}
-	broken := describer.Object{Kind: describer.Workspace, Name: "broken", Selector: "a in b"}
-	compiled := rules(big, small, only, moved, broken)
+	restricted := describer.Object{Kind: describer.Endpoint, Name: "engine-2", Selector: "tier=big"}
+	overridden := describer.Object{Kind: describer.Endpoint, Name: "engine-3", Labels: labeler.Labels{"zone": "verona-b"}}
+	malformed := describer.Object{Kind: describer.Workspace, Name: "broken", Selector: "a in b"}
+	compiled := rules(big, small, restricted, overridden, malformed)
 	trento := labeler.Labels{"zone": "trento-a"}
 	tests := map[string]struct {
 		workspace string
 		endpoint  string
 		want      bool
 	}{
-		"workspace's selector matches":           {workspace: "big", endpoint: "engine-1", want: true},
-		"endpoint's selector refuses":            {workspace: "small", endpoint: "engine-2", want: false},
-		"endpoint's selector admits":             {workspace: "big", endpoint: "engine-2", want: true},
-		"operator's label is laid over":          {workspace: "big", endpoint: "engine-3", want: false},
-		"a workspace without selector goes far":  {workspace: "small", endpoint: "engine-3", want: true},
-		"unknown workspace goes nowhere":         {workspace: "none", endpoint: "engine-1", want: false},
-		"a selector that is no selector: nobody": {workspace: "broken", endpoint: "engine-1", want: false},
+		"workspace selector matches":                     {workspace: "big", endpoint: "engine-1", want: true},
+		"endpoint selector refuses":                      {workspace: "small", endpoint: "engine-2", want: false},
+		"endpoint selector admits":                       {workspace: "big", endpoint: "engine-2", want: true},
+		"label of endpoint object overrides announced":   {workspace: "big", endpoint: "engine-3", want: false},
+		"workspace without selector matches every label": {workspace: "small", endpoint: "engine-3", want: true},
+		"unknown workspace matches nothing":              {workspace: "none", endpoint: "engine-1", want: false},
+		"malformed workspace selector matches nothing":   {workspace: "broken", endpoint: "engine-1", want: false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/lib/reloader/reloader.go
+++ b/lib/reloader/reloader.go
@@ -1,10 +1,10 @@
-// Package reloader tells a program that its settings file has changed.
+// Package reloader watches a program's settings file and applies changes.
 //
-// It looks at the file now and then, because a file may change without a signal,
-// and at once on SIGHUP, which would otherwise end the process.
+// It polls the file, because a file may change without a signal, and reads it at
+// once on SIGHUP, which would otherwise terminate the process.
 //
-// Invariant: a file that cannot be read or used changes nothing but a line in the
-// log; the settings in force stay.
+// Invariant: a file that cannot be read or applied leaves the settings in force
+// unchanged. A file that cannot be applied is logged as an error.
 package reloader
 
 import (
@@ -19,21 +19,21 @@
 	"github.com/rs/zerolog"
 )
 
-// Pause is how often the file is looked at. It is read whole each time, a few
-// kilobytes.
-const Pause = time.Second
+// PollInterval is the interval at which the file is read. It is read completely
+// each time; settings files have a few kilobytes.
+const PollInterval = time.Second
 
-// Watch calls apply with the file's text each time it has changed, until the
-// context ends.
+// Watch calls apply with the file's text each time it has changed, and on each
+// SIGHUP, until the context is done.
 func Watch(ctx context.Context, path string, clock clockwork.Clock, log zerolog.Logger, apply func(text []byte) error) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
 	known, err := os.ReadFile(path)
 	if err != nil {
-		log.Warn().Err(err).Str("file", path).Msg("settings cannot be read again; those in force stay")
+		log.Warn().Err(err).Str("file", path).Msg("settings file cannot be read; the settings in force are kept")
 	}
-	ticker := clock.NewTicker(Pause)
+	ticker := clock.NewTicker(PollInterval)
 	defer ticker.Stop()
 	for {
 		signalled := false
@@ -45,21 +45,22 @@
 			signalled = true
 		}
 		text, err := os.ReadFile(path)
-		if err != nil || !due(known, text, signalled) {
-			continue // a file that is being replaced is there again at the next look
+		if err != nil || !shouldApply(known, text, signalled) {
+			continue // a file that is being replaced is read again at the next poll
 		}
 		known = text
 		if err := apply(text); err != nil {
-			log.Error().Err(err).Bool("signal", signalled).Msg("settings were not reloaded; those in force stay")
+			log.Error().Err(err).Bool("signal", signalled).Msg("settings file cannot be applied; the settings in force are kept")
 			continue
 		}
 		log.Info().Bool("signal", signalled).Msg("settings reloaded")
 	}
 }
 
-// due tells whether a file's text is to be applied. One that is written in place is
-// empty for a moment; applying that would log an error about settings that nobody
-// wrote. Who signals hears of an empty file as well.
-func due(known, text []byte, signalled bool) bool {
+// shouldApply reports whether the text of the file should be applied. A file that
+// is written in place is empty for a moment; applying the empty text would log an
+// error about settings that nobody wrote. After a signal an empty file is applied
+// too, so that its error is logged.
+func shouldApply(known, text []byte, signalled bool) bool {
 	return signalled || len(text) > 0 && !bytes.Equal(text, known)
 }
--- a/lib/reloader/reloader_test.go
+++ b/lib/reloader/reloader_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a process ends when its settings change, or goes on with half of bad
-// ones. Sequence: the file is replaced without a signal, with SIGHUP, by a bad
-// one, and is gone for a moment.
+// Guards against a process that ends when its settings change, or that misses a
+// change: the file is replaced without a signal, replaced by one that cannot be
+// applied, missing for a moment, and reloaded by SIGHUP.
 func TestChangesOfTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
@@ -36,29 +36,28 @@
 		})
 	}()
 	require.NoError(t, clock.BlockUntilContext(ctx, 1))
-	look := func() { clock.Advance(Pause) }
+	poll := func() { clock.Advance(PollInterval) }
 	write("two")
-	look()
+	poll()
 	require.Equal(t, "two", <-applied)
 	write("bad")
-	look()
-	require.Equal(t, "bad", <-applied, "it is tried and refused")
+	poll()
+	require.Equal(t, "bad", <-applied, "apply is called and returns an error")
 	require.NoError(t, os.Remove(path))
-	look()
+	poll()
 	write("three")
-	require.Eventually(t, func() bool { look(); return len(applied) > 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { poll(); return len(applied) > 0 }, 10*time.Second, time.Millisecond)
 	require.Equal(t, "three", <-applied)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	require.Equal(t, "three", <-applied, "a signal has the file read again")
+	require.Equal(t, "three", <-applied, "a signal makes the unchanged file be applied again")
 	cancel()
 	<-done
 	require.Empty(t, applied)
 }
 
-// Symptom: settings that nobody wrote are refused with an error. Sequence: the file is
-// written in place, and looked at between its truncation and the write. Cause: what was
-// read then was taken for the new settings.
-func TestFileThatIsBeingWrittenIsLeftAlone(t *testing.T) {
+// Guards against an error about settings that nobody wrote: the file is written in
+// place, and a poll between the truncation and the write reads an empty file.
+func TestPartiallyWrittenFileIsNotApplied(t *testing.T) {
 	tests := map[string]struct {
 		known, text string
 		signalled   bool
@@ -72,7 +71,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, test.want, due([]byte(test.known), []byte(test.text), test.signalled))
+			require.Equal(t, test.want, shouldApply([]byte(test.known), []byte(test.text), test.signalled))
 		})
 	}
 }
--- a/lib/reporter/reporter.go
+++ b/lib/reporter/reporter.go
@@ -1,14 +1,14 @@
-// Package reporter holds the typed answers of the operators' API besides the
-// objects themselves: status, findings, history and explanations. Routers write
-// them and skctl reads them.
+// Package reporter defines the response bodies of the operators' API, apart from
+// the configuration objects themselves: status, findings, history and
+// explanations. Routers encode them, and skctl decodes them.
 //
-// Invariants: durations are whole milliseconds in fields that end in _ms; a
-// field that is not known is absent and never zero with a meaning.
+// Invariants: durations are whole milliseconds in fields whose JSON names end in
+// _ms; an unknown value is omitted, not encoded as a zero that has a meaning.
 package reporter
 
 import "shallotkeel.example/lib/describer"
 
-// Finding is one remark on a change.
+// Finding is an error or a warning about a submitted change.
 type Finding struct {
 	Severity string         `json:"severity"` // "error" or "warning"
 	Kind     describer.Kind `json:"kind,omitempty"`
@@ -17,45 +17,45 @@
 	Remedy   string         `json:"remedy,omitempty"`
 }
 
-// Outcomes of a change.
+// Outcomes of a submitted change.
 const (
 	Accepted = "accepted"
 	Invalid  = "invalid"
 	Conflict = "conflict"
 )
 
-// Applied answers POST /admin/changes.
+// Applied is the response to POST /admin/changes.
 type Applied struct {
 	Outcome  string             `json:"outcome"`
 	Revision uint64             `json:"revision,omitempty"`
 	Findings []Finding          `json:"findings,omitempty"`
-	Winners  []describer.Object `json:"winners,omitempty"` // on conflict: the objects as they are
-	Resent   bool               `json:"resent,omitempty"`  // the first answer to this change id, told again
+	Winners  []describer.Object `json:"winners,omitempty"` // on conflict: the current objects
+	Resent   bool               `json:"resent,omitempty"`  // the change id was submitted before; this repeats the first response
 }
 
-// Objects answers GET /admin/objects.
+// Objects is the response to GET /admin/objects.
 type Objects struct {
 	Revision uint64             `json:"revision"`
-	Stale    bool               `json:"stale,omitempty"` // no quorum was reached; newer revisions may exist
+	Stale    bool               `json:"stale,omitempty"` // no quorum of keepers was reached, so newer revisions may exist
 	Objects  []describer.Object `json:"objects"`
 }
 
-// Revision is one accepted change.
+// Revision is one accepted change of the configuration.
 type Revision struct {
 	Revision uint64             `json:"revision"`
 	Change   string             `json:"change"`
 	Author   string             `json:"author,omitempty"`
 	UnixMS   int64              `json:"unix_ms"`
 	Edits    []describer.Edit   `json:"edits"`
-	Before   []describer.Object `json:"before,omitempty"` // the edited objects as they were
+	Before   []describer.Object `json:"before,omitempty"` // the edited objects before the change
 }
 
-// History answers GET /admin/history, newest first.
+// History is the response to GET /admin/history, newest revision first.
 type History struct {
 	Revisions []Revision `json:"revisions"`
 }
 
-// Status answers GET /admin/status: warnings first.
+// Status is the response to GET /admin/status.
 type Status struct {
 	Warnings  []string   `json:"warnings"`
 	Revision  uint64     `json:"revision"` // the highest accepted revision that this router knows
@@ -66,16 +66,16 @@
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Router is one router as the fleet sees it.
+// Router is the state of one router as known to the fleet.
 type Router struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
-	InForce uint64 `json:"in_force"` // the configuration revision in force there
+	InForce uint64 `json:"in_force"` // configuration revision in force at this router
 	Leaving bool   `json:"leaving,omitempty"`
-	AgeMS   int64  `json:"age_ms"` // since it was last heard
+	AgeMS   int64  `json:"age_ms"` // time since its last report
 }
 
-// Keeper is one keeper.
+// Keeper is the state of one keeper.
 type Keeper struct {
 	Name     string `json:"name"`
 	Zone     string `json:"zone,omitempty"`
@@ -86,7 +86,7 @@
 	Quorum   bool   `json:"quorum"`
 }
 
-// Pool is one service in an availability zone.
+// Pool is the state of one service in one availability zone.
 type Pool struct {
 	Zone        string      `json:"zone"`
 	Service     string      `json:"service"`
@@ -94,21 +94,21 @@
 	Waiting     int         `json:"waiting"`
 	Running     int         `json:"running"`
 	Slots       int         `json:"slots"`
-	Gap         float64     `json:"gap"`         // largest difference in weighted units between backlogged workspaces
-	Utilisation float64     `json:"utilisation"` // busy part of the slots, 0 to 1
+	Gap         float64     `json:"gap"`         // largest difference between the counters of backlogged workspaces, in weighted units
+	Utilisation float64     `json:"utilisation"` // busy fraction of the slots, 0 to 1
 	Shares      []Workspace `json:"workspaces,omitempty"`
 }
 
-// Workspace is one workspace's part in a pool.
+// Workspace is the state of one workspace in a pool.
 type Workspace struct {
 	Name    string  `json:"name"`
 	Waiting int     `json:"waiting"`
 	Running int     `json:"running"`
 	Charged uint64  `json:"charged"` // service units
-	Counter float64 `json:"counter"` // weighted units, the scheduler's order
+	Counter float64 `json:"counter"` // weighted units, by which the scheduler orders workspaces
 }
 
-// Endpoint is one endpoint as its pool's scheduler sees it.
+// Endpoint is the state of one endpoint as known to its pool's scheduler.
 type Endpoint struct {
 	ID       string            `json:"id"`
 	Service  string            `json:"service"`
@@ -122,32 +122,32 @@
 	State    string            `json:"state"` // "serving", "draining", "leaving", "suspect" or "gone"
 }
 
-// Explanation answers GET /admin/explain/{id}.
+// Explanation is the response to GET /admin/explain/{id}.
 type Explanation struct {
 	ID        string `json:"id"`
 	Workspace string `json:"workspace"`
 	Service   string `json:"service"`
 	Model     string `json:"model,omitempty"`
-	Outcome   string `json:"outcome,omitempty"` // empty while it is in progress
+	Outcome   string `json:"outcome,omitempty"` // empty while the request is in progress
 	Code      string `json:"code,omitempty"`
 	Trace     string `json:"trace,omitempty"`
 	Steps     []Step `json:"steps"`
-	Why       string `json:"why,omitempty"` // why it waits, or why it went there
+	Why       string `json:"why,omitempty"` // why the request waits, or why its endpoint was selected
 }
 
-// Step is one step of a request.
+// Step is one step in the processing of a request.
 type Step struct {
-	AtMS   int64  `json:"at_ms"` // since the request was received
+	AtMS   int64  `json:"at_ms"` // time since the request was received
 	Step   string `json:"step"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// Failure is the shape of every error answer.
+// Failure is the body of every error response.
 type Failure struct {
 	Error FailureBody `json:"error"`
 }
 
-// FailureBody says what happened and what to do.
+// FailureBody states what happened and how to remedy it.
 type FailureBody struct {
 	Type      string `json:"type"` // "not_run", "unknown" or "invalid"
 	Code      string `json:"code"`
--- a/lib/retrier/after.go
+++ b/lib/retrier/after.go
@@ -9,19 +9,21 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrAfter says that a Retry-After is no number of seconds.
-var ErrAfter = merry.Sentinel("Retry-After is no number of seconds")
+// ErrRetryAfter is wrapped by the error for a Retry-After value that is not a
+// non-negative, finite number of seconds.
+var ErrRetryAfter = merry.Sentinel("Retry-After is no number of seconds")
 
-// longestAfter is the longest pause that is believed: far beyond any that is meant, and
-// short enough that sums with it cannot wrap.
-const longestAfter = 24 * time.Hour
+// maxRetryAfter caps the pause: it is far longer than any reasonable pause, and
+// short enough that sums of times and pauses do not overflow.
+const maxRetryAfter = 24 * time.Hour
 
-// After reads the value of a Retry-After header in seconds, which may have a fraction. A
-// longer pause than a day counts as a day. The error is an ErrAfter.
-func After(value string) (time.Duration, error) {
+// ParseRetryAfter parses the value of a Retry-After header in seconds, which may
+// have a fraction. A pause longer than a day is reduced to a day. Errors wrap
+// ErrRetryAfter.
+func ParseRetryAfter(value string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || math.IsNaN(seconds) || math.IsInf(seconds, 0) || seconds < 0 {
-		return 0, merry.Errorf("%w: %q; send for example 3 or 0.5", ErrAfter, value)
+		return 0, merry.Errorf("%w: %q; send for example 3 or 0.5", ErrRetryAfter, value)
 	}
-	return time.Duration(min(seconds, longestAfter.Seconds()) * float64(time.Second)), nil
+	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second)), nil
 }
--- a/lib/retrier/after_test.go
+++ b/lib/retrier/after_test.go
@@ -9,28 +9,28 @@
 	"shallotkeel.example/lib/retrier"
 )
 
-func TestAfter(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	tests := map[string]struct {
 		value string
 		want  time.Duration
 		wrong bool
 	}{
-		"whole":           {value: "3", want: 3 * time.Second},
-		"fraction":        {value: " 0.25 ", want: 250 * time.Millisecond},
-		"none":            {value: "0"},
-		"beyond belief":   {value: "1e300", want: 24 * time.Hour},
-		"empty":           {wrong: true},
-		"negative":        {value: "-1", wrong: true},
-		"no number":       {value: "NaN", wrong: true},
-		"without end":     {value: "Inf", wrong: true},
-		"a point in time": {value: "Fri, 31 Dec 1999 23:59:59 GMT", wrong: true},
+		"whole":             {value: "3", want: 3 * time.Second},
+		"fraction":          {value: " 0.25 ", want: 250 * time.Millisecond},
+		"none":              {value: "0"},
+		"above the maximum": {value: "1e300", want: 24 * time.Hour},
+		"empty":             {wrong: true},
+		"negative":          {value: "-1", wrong: true},
+		"not a number":      {value: "NaN", wrong: true},
+		"without a bound":   {value: "Inf", wrong: true},
+		"date and time":     {value: "Fri, 31 Dec 1999 23:59:59 GMT", wrong: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got, err := retrier.After(test.value)
+			got, err := retrier.ParseRetryAfter(test.value)
 			require.Equal(t, test.want, got)
 			if test.wrong {
-				require.ErrorIs(t, err, retrier.ErrAfter)
+				require.ErrorIs(t, err, retrier.ErrRetryAfter)
 				return
 			}
 			require.NoError(t, err)
@@ -38,11 +38,11 @@
 	}
 }
 
-func FuzzAfter(f *testing.F) {
+func FuzzParseRetryAfter(f *testing.F) {
 	f.Add("3")
 	f.Add("1e400")
 	f.Fuzz(func(t *testing.T, value string) {
-		got, _ := retrier.After(value)
+		got, _ := retrier.ParseRetryAfter(value)
 		require.GreaterOrEqual(t, got, time.Duration(0))
 		require.LessOrEqual(t, got, 24*time.Hour)
 	})
--- a/lib/retrier/retrier_test.go
+++ b/lib/retrier/retrier_test.go
@@ -13,7 +13,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// withdrawals counts the retries that a workspace gets at one moment.
+// withdrawals withdraws until the workspace's budget is empty, and returns the
+// number of retries.
 func withdrawals(r *retrier.Retrier, now time.Time, workspace string) int {
 	count := 0
 	for r.Withdraw(now, workspace) {
@@ -28,32 +29,32 @@
 		passed   time.Duration
 		want     int
 	}{
-		"empty":                {want: 0},
-		"earned by requests":   {requests: 10, want: 2},
-		"earned by time":       {passed: 10 * time.Second, want: 5},
-		"never above the most": {requests: 1000, passed: time.Hour, want: retrier.DefaultBurst},
+		"empty":                  {want: 0},
+		"deposited by requests":  {requests: 10, want: 2},
+		"refilled by time":       {passed: 10 * time.Second, want: 5},
+		"limited to the maximum": {requests: 1000, passed: time.Hour, want: retrier.DefaultBurst},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r retrier.Retrier
 			require.Equal(t, retrier.DefaultBurst, withdrawals(&r, start, "club"))
 			for range test.requests {
-				r.Request(start, "club")
+				r.Deposit(start, "club")
 			}
 			require.Equal(t, test.want, withdrawals(&r, start.Add(test.passed), "club"))
 		})
 	}
 }
 
-// Symptom: one workspace's failing requests leave others without retries.
-// Sequence: a workspace uses up its budget; another's request breaks. Cause: a
-// budget that all share.
-func TestBudgetsAreApart(t *testing.T) {
+// Guards against one workspace's failing requests using up the retries of others:
+// a workspace spends its whole budget, then a request of another workspace fails.
+func TestBudgetsAreIndependent(t *testing.T) {
 	var r retrier.Retrier
 	withdrawals(&r, start, "flood")
 	require.True(t, r.Withdraw(start, "club"))
 }
 
-// TestBound checks the package's first invariant over random histories.
+// TestBound checks the bound on retries (the package's first invariant) over
+// random sequences of requests, retries and time steps.
 func TestBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r retrier.Retrier
@@ -62,7 +63,7 @@
 		for _, step := range rapid.SliceOf(rapid.IntRange(0, 2)).Draw(t, "steps") {
 			switch step {
 			case 0:
-				r.Request(now, "club")
+				r.Deposit(now, "club")
 				requests++
 			case 1:
 				if r.Withdraw(now, "club") {
@@ -72,21 +73,21 @@
 				now = now.Add(time.Duration(rapid.IntRange(-100, 1000).Draw(t, "ms")) * time.Millisecond)
 			}
 		}
-		passed := max(now.Sub(start), 0) + 100*time.Second // time may have run backwards and on again
-		bound := retrier.DefaultBurst + retrier.DefaultRatio*float64(requests) + retrier.DefaultTrickle*passed.Seconds()
+		passed := max(now.Sub(start), 0) + 100*time.Second // slack: the clock may have gone backwards and forwards again
+		bound := retrier.DefaultBurst + retrier.DefaultRatio*float64(requests) + retrier.DefaultRefillPerSecond*passed.Seconds()
 		require.LessOrEqual(t, float64(retries), bound)
 	})
 }
 
-// Symptom: memory grows with every workspace name ever seen. Sequence: many
-// workspaces retry once. Cause: budgets that are never forgotten.
-func TestBudgetsAreForgotten(t *testing.T) {
+// Guards against memory growth with the number of workspace names: many workspaces
+// retry once, and their budgets must be evicted once they are full again.
+func TestFullBudgetsAreEvicted(t *testing.T) {
 	var r retrier.Retrier
 	for i := range 4096 {
 		require.True(t, r.Withdraw(start, fmt.Sprint("workspace-", i)))
 	}
-	require.False(t, r.Withdraw(start, "one-more"), "beyond the bound there is no retry")
-	require.True(t, r.Withdraw(start.Add(time.Minute), "one-more"), "full budgets are forgotten")
+	require.False(t, r.Withdraw(start, "one-more"), "a workspace beyond the bound gets no retry")
+	require.True(t, r.Withdraw(start.Add(time.Minute), "one-more"), "full budgets are evicted")
 }
 
 func TestPauseGrows(t *testing.T) {
--- a/lib/starter/spool_test.go
+++ b/lib/starter/async_writer_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: all requests stand still because nobody reads the log. Cause: a line
-// was written where the decision was made, and the write waited.
+// Guards against requests that hang because the log is not read: a synchronous
+// write of a log line blocks the goroutine that processes the requests.
 func TestLogNeverBlocks(t *testing.T) {
 	reader, writer := io.Pipe()
-	s := newSpool(writer)
-	for range 3 * spoolLines {
+	s := newAsyncWriter(writer)
+	for range 3 * maxQueuedLines {
 		n, err := s.Write([]byte("line\n"))
 		require.NoError(t, err)
 		require.Equal(t, 5, n)
@@ -29,12 +29,12 @@
 	require.NoError(t, writer.Close())
 	require.NoError(t, <-done)
 	require.Contains(t, read.String(), "log lines were dropped")
-	require.LessOrEqual(t, strings.Count(read.String(), "line\n"), spoolLines+spoolBatch)
+	require.LessOrEqual(t, strings.Count(read.String(), "line\n"), maxQueuedLines+maxBatchBytes)
 }
 
 func TestLogKeepsItsOrder(t *testing.T) {
 	var written bytes.Buffer
-	s := newSpool(&written)
+	s := newAsyncWriter(&written)
 	for _, line := range []string{"a\n", "b\n", "c\n"} {
 		_, err := s.Write([]byte(line))
 		require.NoError(t, err)
--- a/lib/starter/memory.go
+++ b/lib/starter/memory.go
@@ -2,15 +2,17 @@
 
 import "runtime/debug"
 
-// memoryShare is the part of an instance's memory at which the collector works harder. The
-// rest is for stacks, buffers of the system and bursts.
-const memoryShare = 0.7
+// memoryLimitRatio is the fraction of an instance's memory that is set as the
+// runtime's soft memory limit. The rest is headroom for stacks, kernel buffers
+// and bursts.
+const memoryLimitRatio = 0.7
 
-// LimitMemory makes the collector keep a process within its instance's memory, in MB; 0 is no
-// limit. Without it the heap grows to twice what is in use before it is collected, and a
-// process that uses half of its instance's memory is ended for want of it.
+// LimitMemory sets the runtime's soft memory limit according to the instance's
+// memory in MiB; 0 sets no limit. Without a limit, the heap grows to twice the
+// live heap before it is collected, so a process that uses half of its instance's
+// memory is killed for lack of memory.
 func LimitMemory(megabytes int) {
 	if megabytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(megabytes<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(megabytes<<20)))
 	}
 }
--- a/lib/starter/memory_test.go
+++ b/lib/starter/memory_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a process that is ended for want of memory that it could have freed.
+// Guards against a process that is killed for lack of memory although its heap
+// contains garbage that could have been collected.
 func TestMemoryIsLimited(t *testing.T) {
 	before := debug.SetMemoryLimit(-1)
 	t.Cleanup(func() { debug.SetMemoryLimit(before) })
--- a/lib/starter/starter.go
+++ b/lib/starter/starter.go
@@ -1,9 +1,9 @@
-// Package starter is what the mains of all programs share: the command line,
-// the version, logging, and stopping on a signal.
+// Package starter contains the code shared by the main functions of all programs:
+// command line flags, version, logging, and shutdown on a signal.
 //
-// Invariants: a program ends with status 0 on success, 1 when it failed and 2
-// when it was called wrongly; SIGTERM and SIGINT cancel the context once, and
-// the program then finishes what it is doing.
+// Invariants: a program exits with status 0 on success, 1 on failure and 2 on
+// wrong usage; SIGTERM and SIGINT cancel the program's context, and the program
+// then shuts down gracefully.
 package starter
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Version is set by the build.
+// Version is the program's version, set by the linker at build time.
 var Version = "unknown"
 
 // Exit statuses of every program.
@@ -37,7 +37,8 @@
 	LogLevel string `long:"log-level" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"least severe lines to log"`
 }
 
-// Program is a server: it runs until the context is cancelled.
+// Program is the body of a server program. It runs until the context is
+// cancelled.
 type Program func(ctx context.Context, options Options, log zerolog.Logger) error
 
 // Main runs a server program and returns its exit status.
@@ -46,20 +47,20 @@
 	if status, stop := ParseFlags(name, purpose, arguments, &options); stop {
 		return status
 	}
-	spool := newSpool(os.Stdout)
-	defer spool.close()
-	log := Logger(spool, name, options.LogLevel)
+	writer := newAsyncWriter(os.Stdout)
+	defer writer.close()
+	log := Logger(writer, name, options.LogLevel)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	if err := program(ctx, options, log); err != nil {
-		log.Error().Err(err).Msg("stopped by an error")
+		log.Error().Err(err).Msg("program failed; exiting")
 		return StatusFailed
 	}
 	return StatusOK
 }
 
-// ParseFlags reads the flags into options and handles --help and --version.
-// When stop is true the program ends with the status.
+// ParseFlags parses the arguments into options and handles --help and --version.
+// If stop is true, the program must exit with the returned status.
 func ParseFlags(name, purpose string, arguments []string, options any) (status int, stop bool) {
 	var version struct {
 		Version func() `long:"version" description:"print the version and stop"`
@@ -79,12 +80,12 @@
 	if printed {
 		err = errVersion
 	}
-	var asked *flags.Error
+	var flagError *flags.Error
 	switch {
 	case errors.Is(err, errVersion):
 		fmt.Println(name, Version)
 		return StatusOK, true
-	case errors.As(err, &asked) && asked.Type == flags.ErrHelp:
+	case errors.As(err, &flagError) && flagError.Type == flags.ErrHelp:
 		fmt.Println(err)
 		return StatusOK, true
 	case err != nil:
@@ -94,7 +95,8 @@
 	return StatusOK, false
 }
 
-// Logger returns the structured log of a program: JSON lines on the writer.
+// Logger returns a program's structured logger, which writes JSON lines to w. An
+// unknown level means info.
 func Logger(w io.Writer, name, level string) zerolog.Logger {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/lib/starter/starter_test.go
+++ b/lib/starter/starter_test.go
@@ -16,14 +16,14 @@
 		want      int
 		runs      bool
 	}{
-		"runs":            {arguments: []string{"--settings", "f"}, want: StatusOK, runs: true},
-		"fails":           {arguments: []string{"--settings", "f"}, err: merry.New("no"), want: StatusFailed, runs: true},
-		"version":         {arguments: []string{"--version"}, want: StatusOK},
-		"help":            {arguments: []string{"--help"}, want: StatusOK},
-		"no settings":     {want: StatusUsage},
-		"unknown flag":    {arguments: []string{"--settings", "f", "--no"}, want: StatusUsage},
-		"bad log level":   {arguments: []string{"--settings", "f", "--log-level", "x"}, want: StatusUsage},
-		"version wins it": {arguments: []string{"--settings", "f", "--version"}, want: StatusOK},
+		"runs":                     {arguments: []string{"--settings", "f"}, want: StatusOK, runs: true},
+		"fails":                    {arguments: []string{"--settings", "f"}, err: merry.New("no"), want: StatusFailed, runs: true},
+		"version":                  {arguments: []string{"--version"}, want: StatusOK},
+		"help":                     {arguments: []string{"--help"}, want: StatusOK},
+		"no settings":              {want: StatusUsage},
+		"unknown flag":             {arguments: []string{"--settings", "f", "--no"}, want: StatusUsage},
+		"bad log level":            {arguments: []string{"--settings", "f", "--log-level", "x"}, want: StatusUsage},
+		"version takes precedence": {arguments: []string{"--settings", "f", "--version"}, want: StatusOK},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/lib/tracer/log.go
+++ b/lib/tracer/log.go
@@ -7,12 +7,12 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 )
 
-// logExporter writes one line for each span.
+// logExporter is a span exporter that logs one line for each span.
 type logExporter struct {
 	log zerolog.Logger
 }
 
-// ExportSpans writes the spans as lines of level info.
+// ExportSpans logs the spans at level info.
 func (e *logExporter) ExportSpans(_ context.Context, spans []sdktrace.ReadOnlySpan) error {
 	for _, span := range spans {
 		line := e.log.Info().
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Shutdown has nothing left to write.
+// Shutdown does nothing, because ExportSpans logs spans at once.
 func (e *logExporter) Shutdown(context.Context) error {
 	return nil
 }
--- a/lib/tracer/tracer.go
+++ b/lib/tracer/tracer.go
@@ -1,11 +1,11 @@
-// Package tracer makes a span for each hop of a request and carries the trace
-// between processes in W3C traceparent headers.
+// Package tracer creates a span for each hop of a request and propagates the
+// trace between processes in W3C traceparent headers.
 //
-// Invariants: a request has one trace id from the caller to the endpoint,
+// Invariants: a request keeps one trace id from the caller to the endpoint,
 // whether or not spans are exported, so that the id in an answer can always be
-// searched for; an exporter that is slow or gone delays no request, because
-// spans are exported in the background and dropped when its queue is full.
-// A nil *Tracer is usable and makes spans that are not exported.
+// searched for in the logs; a slow or unreachable OTLP exporter delays no
+// request, because spans are exported in the background and dropped when its
+// queue is full. A nil *Tracer is valid and creates spans that are not exported.
 package tracer
 
 import (
@@ -25,17 +25,17 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// ExporterLog writes each span as a line of the log.
+// ExporterLog is the exporter setting that logs each span as a line.
 const ExporterLog = "log"
 
 const (
-	// queuedSpans bounds the spans that wait for the exporter; at about 500
-	// bytes a span this is 1 MiB.
-	queuedSpans = 2048
-	scope       = "shallotkeel.example/lib/tracer"
+	// maxQueuedSpans bounds the spans queued for the OTLP exporter; at about 500
+	// bytes per span they take 1 MiB.
+	maxQueuedSpans       = 2048
+	instrumentationScope = "shallotkeel.example/lib/tracer"
 )
 
-// ErrExporter is the kind of every error about the exporter's setting.
+// ErrExporter is wrapped by every error about the exporter setting.
 var ErrExporter = merry.Sentinel("trace exporter is not usable")
 
 // Tracer starts spans.
@@ -44,16 +44,19 @@
 	tracer   trace.Tracer
 }
 
-// Span is one hop in progress.
+// Span is a started span, i.e. one hop of a request. The zero value is valid and
+// does nothing.
 type Span struct {
 	inner trace.Span
 }
 
-// silent makes the spans of nil tracers: they have ids and are not exported.
-var silent = sync.OnceValue(func() *Tracer { return build(nil, "", "") })
+// unexported is the tracer used for nil tracers. Its spans have ids but are not
+// exported.
+var unexported = sync.OnceValue(func() *Tracer { return build(nil, "", "") })
 
-// New returns a tracer that exports to nothing (empty), to the log ("log") or
-// to an OTLP/HTTP endpoint (a URL). The error is an ErrExporter.
+// New returns a tracer whose spans, depending on exporter, are not exported (""),
+// are logged ("log") or are sent to an OTLP/HTTP endpoint (its URL). Errors wrap
+// ErrExporter.
 func New(ctx context.Context, exporter, name, zone string, log zerolog.Logger) (*Tracer, error) {
 	switch exporter {
 	case "":
@@ -70,9 +73,11 @@
 	if err != nil {
 		return nil, merry.Errorf("%w: %v; check the URL in \"trace\"", ErrExporter, err)
 	}
-	return build(sdktrace.NewBatchSpanProcessor(client, sdktrace.WithMaxQueueSize(queuedSpans)), name, zone), nil
+	return build(sdktrace.NewBatchSpanProcessor(client, sdktrace.WithMaxQueueSize(maxQueuedSpans)), name, zone), nil
 }
 
+// build returns a tracer that passes its spans to the processor, or samples none
+// if there is no processor.
 func build(processor sdktrace.SpanProcessor, name, zone string) *Tracer {
 	options := []sdktrace.TracerProviderOption{
 		sdktrace.WithResource(resource.NewSchemaless(
@@ -86,14 +91,14 @@
 		options = append(options, sdktrace.WithSpanProcessor(processor))
 	}
 	provider := sdktrace.NewTracerProvider(options...)
-	return &Tracer{provider: provider, tracer: provider.Tracer(scope)}
+	return &Tracer{provider: provider, tracer: provider.Tracer(instrumentationScope)}
 }
 
-// Start begins a span under the one in ctx, or under the caller's if ctx came
-// from Extract. Attributes are pairs of key and value.
+// Start starts a child of the span in ctx, which is the remote caller's span if
+// ctx comes from Extract. Pairs are attributes: alternating keys and values.
 func (t *Tracer) Start(ctx context.Context, name string, pairs ...string) (context.Context, Span) {
 	if t == nil {
-		t = silent()
+		t = unexported()
 	}
 	ctx, inner := t.tracer.Start(ctx, name)
 	span := Span{inner: inner}
@@ -101,7 +106,7 @@
 	return ctx, span
 }
 
-// Shutdown exports what is still queued, until ctx ends.
+// Shutdown exports the queued spans, until ctx is done.
 func (t *Tracer) Shutdown(ctx context.Context) error {
 	if t == nil {
 		return nil
@@ -109,7 +114,7 @@
 	return t.provider.Shutdown(ctx)
 }
 
-// Set attaches pairs of key and value to the span.
+// Set sets attributes of the span, given as alternating keys and values.
 func (s Span) Set(pairs ...string) {
 	if s.inner == nil || !s.inner.IsRecording() {
 		return
@@ -119,7 +124,7 @@
 	}
 }
 
-// End ends the span. A reason that is not empty marks it as failed.
+// End ends the span. A non-empty reason marks it as failed.
 func (s Span) End(reason string) {
 	if s.inner == nil {
 		return
@@ -130,7 +135,8 @@
 	s.inner.End()
 }
 
-// TraceID returns the id of the trace that the span belongs to, in hex.
+// TraceID returns the hex id of the span's trace, or the empty string for the zero
+// Span.
 func (s Span) TraceID() string {
 	if s.inner == nil {
 		return ""
@@ -138,12 +144,13 @@
 	return s.inner.SpanContext().TraceID().String()
 }
 
-// Extract returns ctx with the caller's span, if the headers name a valid one.
+// Extract returns ctx with the remote caller's span, if the traceparent header is
+// valid.
 func Extract(ctx context.Context, headers http.Header) context.Context {
 	return propagation.TraceContext{}.Extract(ctx, propagation.HeaderCarrier(headers))
 }
 
-// Inject writes the span of ctx into the headers.
+// Inject sets the traceparent header to the span of ctx.
 func Inject(ctx context.Context, headers http.Header) {
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(headers))
 }
--- a/lib/tracer/tracer_test.go
+++ b/lib/tracer/tracer_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestTraceGoesThroughEveryHop(t *testing.T) {
+func TestTraceIDIsKeptAcrossHops(t *testing.T) {
 	var lines bytes.Buffer
 	traces, err := tracer.New(t.Context(), tracer.ExporterLog, "router-a1", "trento-a", zerolog.New(&lines))
 	require.NoError(t, err)
--- a/load/internal/runner/runner.go
+++ b/load/internal/runner/runner.go
@@ -152,7 +152,7 @@
 func (o *Options) run(settings Settings) *caller.Recorder {
 	recorder := &caller.Recorder{}
 	driver := caller.Driver{
-		Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Patience: o.Patience},
+		Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Timeout: o.Patience},
 		Targets: settings.Routers, Loads: settings.Loads, Seed: o.Seed, Recorder: recorder, MaxOutstanding: maxOutstanding,
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), o.Time)
--- a/router/internal/conductor/compare.go
+++ b/router/internal/conductor/compare.go
@@ -18,7 +18,7 @@
 	encoded := make([]*messenger.Total, 0, len(rows))
 	for _, row := range rows {
 		encoded = append(encoded, &messenger.Total{
-			Workspace: table.Put(row.Workspace), Charged: row.Charged, Lifted: row.Lifted, Forgiven: row.Forgiven,
+			Workspace: table.Intern(row.Workspace), Charged: row.Charged, Lifted: row.Lifted, Forgiven: row.Forgiven,
 		})
 	}
 	return encoded
@@ -68,7 +68,7 @@
 	}
 	for _, row := range demand {
 		shared.Demand = append(shared.Demand, &messenger.Demand{
-			Workspace: table.Put(row.Workspace), Model: table.Put(row.Model), Waiting: uint32(row.Waiting),
+			Workspace: table.Intern(row.Workspace), Model: table.Intern(row.Model), Waiting: uint32(row.Waiting),
 		})
 	}
 	shared.Names = table.Take()
@@ -182,8 +182,8 @@
 	response := &messenger.CompareResponse{Origin: h.desk.Incarnation}
 	for _, l := range loans {
 		response.Loans = append(response.Loans, &messenger.Loan{
-			Id: l.ID, Workspace: table.Put(l.Workspace), Model: table.Put(l.Model), Endpoint: table.Put(l.Endpoint),
-			Address: table.Put(addressText(l.Address)), Incarnation: l.Incarnation,
+			Id: l.ID, Workspace: table.Intern(l.Workspace), Model: table.Intern(l.Model), Endpoint: table.Intern(l.Endpoint),
+			Address: table.Intern(addressText(l.Address)), Incarnation: l.Incarnation,
 			LeaseMs: uint32(l.Lease.Milliseconds()), TermMs: uint32(l.Term.Milliseconds()),
 		})
 	}
--- a/router/internal/relayer/backoffs.go
+++ b/router/internal/relayer/backoffs.go
@@ -89,7 +89,7 @@
 	if after == "" || response.StatusCode != http.StatusServiceUnavailable {
 		return
 	}
-	asked, err := retrier.After(after)
+	asked, err := retrier.ParseRetryAfter(after)
 	if err != nil {
 		r.options.Log.Warn().Err(err).Str("id", q.id).Str("endpoint", q.slot.Endpoint()).Msg("header of the endpoint's answer is unreadable; it is ignored")
 		return
--- a/router/internal/relayer/chat.go
+++ b/router/internal/relayer/chat.go
@@ -69,7 +69,7 @@
 		Stream: body.Stream,
 		Hint:   body.hint(),
 		Prompt: uint32(min((len(prompt)+bytesPerToken-1)/bytesPerToken, math.MaxUint32)),
-		Prefix: answerer.Prefix(body.Model, prompt),
+		Prefix: answerer.PrefixHash(body.Model, prompt),
 		Body:   forwarded,
 	}, nil
 }
--- a/router/internal/relayer/crashguard.go
+++ b/router/internal/relayer/crashguard.go
@@ -40,7 +40,7 @@
 	defer g.lock.Unlock()
 	verdict := g.isolator.Admit(now, digest)
 	if verdict != isolator.Hold {
-		return verdict, g.isolator.Left(now, digest), nil
+		return verdict, g.isolator.Remaining(now, digest), nil
 	}
 	if g.trialEnded == nil {
 		g.trialEnded = make(map[uint64]chan struct{})
@@ -68,7 +68,7 @@
 }
 
 // end records how the request's run ended and returns the fingerprints to quarantine.
-func (g *crashGuard) end(now time.Time, q *request, ending isolator.Ending) []uint64 {
+func (g *crashGuard) end(now time.Time, q *request, ending isolator.Outcome) []uint64 {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	guilty := g.isolator.End(now, q.run, ending)
--- a/router/internal/relayer/queue.go
+++ b/router/internal/relayer/queue.go
@@ -21,7 +21,7 @@
 func (q *queue) enter(now time.Time, workspace string, bound int) (time.Duration, bool) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	q.retrier.Request(now, workspace)
+	q.retrier.Deposit(now, workspace)
 	return q.limiter.Enter(now, workspace, bound)
 }
 
--- a/router/internal/relayer/run.go
+++ b/router/internal/relayer/run.go
@@ -199,7 +199,7 @@
 	case isolator.Quarantined:
 		r.note(q, "refused", "quarantined", "requests like it crashed the endpoints that ran them")
 		return tracker.Event{Kind: tracker.Refused, Code: tracker.CodeQuarantined, Retry: remaining}, false
-	case isolator.Alone:
+	case isolator.Trial:
 		q.trial = true
 		r.note(q, "suspect", "", "an endpoint crashed while it ran there; it is tried where no other suspect runs")
 	}
@@ -252,16 +252,16 @@
 }
 
 // isolatorEnding returns the attempt's ending as evidence of whether the request crashes endpoints.
-func (a *attempt) isolatorEnding(ending scheduler.Ending) isolator.Ending {
+func (a *attempt) isolatorEnding(ending scheduler.Ending) isolator.Outcome {
 	switch {
 	case ending == scheduler.Done:
-		return isolator.Whole
+		return isolator.Completed
 	case !a.connected || ending == scheduler.Refused:
-		return isolator.Unrun
+		return isolator.NotStarted
 	case a.crashed:
 		return isolator.Crashed
 	default:
-		return isolator.GivenUp
+		return isolator.Abandoned
 	}
 }
 
--- a/standin/internal/completer/completer.go
+++ b/standin/internal/completer/completer.go
@@ -81,7 +81,7 @@
 	q.crash = c.Failer.Crashes(text)
 	bound := q.MaxTokens
 	if bound <= 0 {
-		bound = answerer.DefaultBound
+		bound = answerer.DefaultMaxTokens
 	}
 	q.length = answerer.Length(q.Model, q.prompt, bound)
 	if from, err := strconv.Atoi(r.Header.Get("X-Resume-From")); err == nil {
@@ -112,7 +112,7 @@
 	c.Journal.Add(entry)
 	j := c.Engine.submit(q.id, batcher.Request{
 		Prompt: 1 + len(q.prompt)/promptUnit,
-		Prefix: answerer.Prefix(q.Model, q.prompt),
+		Prefix: answerer.PrefixHash(q.Model, q.prompt),
 		Length: q.length,
 		From:   q.from,
 		Warm:   c.Caches.Take(q.id, q.prompt),
--- a/standin/internal/runner/runner.go
+++ b/standin/internal/runner/runner.go
@@ -213,7 +213,7 @@
 		ID: s.settings.Name, Routers: s.settings.Routers, Token: s.settings.EndpointToken, Clock: s.clock,
 		Client:   &http.Client{Transport: silencer{failer: s.failer, next: http.DefaultTransport}},
 		Describe: s.describe,
-		Changed:  s.announced,
+		OnChange: s.announced,
 	}
 }
 
@@ -229,7 +229,7 @@
 	now := s.clock.Now()
 	announcement := announcer.Announcement{
 		Incarnation: s.incarnation, Service: s.settings.Service, Address: s.settings.address(),
-		Labels: s.labels(), Slots: s.settings.Slots, TTL: s.settings.TTL.Milliseconds(),
+		Labels: s.labels(), Slots: s.settings.Slots, TTLMS: s.settings.TTL.Milliseconds(),
 		Load: s.reporter.load(now, s.load()), Fenced: s.settings.Fenced, Fence: s.control.Fence(),
 	}
 	if s.completer != nil {
