--- a/router/internal/administrator/administrator.go
+++ b/router/internal/administrator/administrator.go
@@ -1,9 +1,9 @@
-// Package administrator serves the operators' API and passes it on to the
+// Package administrator serves the operators' API and forwards its calls to the
 // keepers.
 //
-// Invariants: nothing is decided here: what a change does is the keepers'
-// answer, told as it came; an operator whose answer was lost can send the same
-// change again; an answer that may be stale says so.
+// Invariants: the package decides nothing: the outcome of a change is the
+// keepers' answer, returned unchanged; an operator whose answer was lost can
+// send the same change again; an answer that may be stale is marked as stale.
 package administrator
 
 import (
@@ -24,10 +24,11 @@
 )
 
 const (
-	// maxBody bounds one change; it holds some ten thousand edits.
+	// maxBody bounds the body of one change in bytes; some ten thousand edits fit.
 	maxBody = 4 << 20
-	// callTimeout is how long the keepers may take to answer.
-	callTimeout    = 10 * time.Second
+	// callTimeout bounds a call to the keepers.
+	callTimeout = 10 * time.Second
+	// defaultHistory and maxHistory are numbers of revisions in one answer.
 	defaultHistory = 50
 	maxHistory     = 1000
 )
@@ -39,38 +40,41 @@
 	History(ctx context.Context, request *messenger.HistoryRequest) (*messenger.HistoryResponse, error)
 }
 
-// Reporter tells the fleet's state as this router knows it.
+// Reporter returns the state of the fleet as this router knows it.
 type Reporter interface {
 	Status(ctx context.Context) (reporter.Status, error)
 }
 
-// Explainer tells what happened to a recent request of this router.
+// Explainer returns what happened to a recent request at this router; false means that
+// the request is unknown.
 type Explainer interface {
 	Explain(id string) (reporter.Explanation, bool)
 }
 
-// Options are what an Administrator is made of.
+// Options configure an Administrator.
 type Options struct {
 	Keeping   Keeping
 	Reporter  Reporter
 	Explainer Explainer
-	Token     string // the operators' token of the settings
-	// Operator tells whether another token is an operator's; nil if there are none.
+	Token     string // the operators' token from the settings
+	// Operator reports whether another token belongs to an operator; nil if there are
+	// no other tokens.
 	Operator refuser.Allowed
 	Log      zerolog.Logger
 }
 
-// Administrator serves operators.
+// Administrator serves the operators' API.
 type Administrator struct {
 	options Options
 }
 
-// New returns an administrator; Register puts it on a mux.
+// New returns an administrator; Register adds its handlers to a mux.
 func New(options Options) *Administrator {
 	return &Administrator{options: options}
 }
 
-// Register serves the operators' paths.
+// Register adds the handlers of the operators' paths to a mux. Every path needs an
+// operator's token.
 func (a *Administrator) Register(mux *http.ServeMux) {
 	const remedy = "use the operators' token of the router's settings, for instance in SKCTL_TOKEN"
 	allowed := refuser.Either(refuser.Token(a.options.Token), a.options.Operator)
@@ -80,12 +84,13 @@
 		"GET /admin/history":      a.history,
 		"GET /admin/status":       a.status,
 		"GET /admin/explain/{id}": a.explain,
-		"/admin/{path...}":        a.missing,
+		"/admin/{path...}":        a.notFound,
 	} {
 		mux.HandleFunc(path, refuser.Guard(allowed, remedy, handler))
 	}
 }
 
+// apply handles POST /admin/changes. With dry_run=1 the keepers only check the change.
 func (a *Administrator) apply(w http.ResponseWriter, h *http.Request) {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, h.Body, maxBody))
 	decoder.DisallowUnknownFields()
@@ -102,15 +107,17 @@
 	defer cancel()
 	answer, err := a.options.Keeping.Apply(ctx, applyRequest(change, h.URL.Query().Get("dry_run") == "1"))
 	if err != nil {
-		refuseKeeping(w, err)
+		refuseKeeperError(w, err)
 		return
 	}
 	status, applied := appliedAnswer(answer)
-	write(w, status, applied)
+	writeJSON(w, status, applied)
 }
 
+// objects handles GET /admin/objects: the configuration in force, or with at=N the
+// configuration of revision N.
 func (a *Administrator) objects(w http.ResponseWriter, h *http.Request) {
-	at, ok := number(w, h, "at", 0)
+	at, ok := queryNumber(w, h, "at", 0)
 	if !ok {
 		return
 	}
@@ -119,28 +126,30 @@
 	if at > 0 {
 		answer, err := a.options.Keeping.History(ctx, &messenger.HistoryRequest{At: at})
 		if err != nil {
-			refuseKeeping(w, err)
+			refuseKeeperError(w, err)
 			return
 		}
-		write(w, http.StatusOK, reporter.Objects{Revision: answer.Revision, Objects: objects(answer.Objects)})
+		writeJSON(w, http.StatusOK, reporter.Objects{Revision: answer.Revision, Objects: objects(answer.Objects)})
 		return
 	}
 	answer, err := a.options.Keeping.Watch(ctx, &messenger.WatchRequest{})
 	if err != nil {
-		refuseKeeping(w, err)
+		refuseKeeperError(w, err)
 		return
 	}
-	write(w, http.StatusOK, reporter.Objects{
+	writeJSON(w, http.StatusOK, reporter.Objects{
 		Revision: answer.Revision, Stale: answer.Stale, Objects: objects(answer.Objects),
 	})
 }
 
+// history handles GET /admin/history: up to limit revisions before the revision in the
+// parameter before.
 func (a *Administrator) history(w http.ResponseWriter, h *http.Request) {
-	before, ok := number(w, h, "before", 0)
+	before, ok := queryNumber(w, h, "before", 0)
 	if !ok {
 		return
 	}
-	limit, ok := number(w, h, "limit", defaultHistory)
+	limit, ok := queryNumber(w, h, "limit", defaultHistory)
 	if !ok {
 		return
 	}
@@ -150,23 +159,25 @@
 		Before: before, Limit: uint32(min(max(limit, 1), maxHistory)),
 	})
 	if err != nil {
-		refuseKeeping(w, err)
+		refuseKeeperError(w, err)
 		return
 	}
-	write(w, http.StatusOK, history(answer))
+	writeJSON(w, http.StatusOK, history(answer))
 }
 
+// status handles GET /admin/status.
 func (a *Administrator) status(w http.ResponseWriter, h *http.Request) {
 	ctx, cancel := context.WithTimeout(h.Context(), callTimeout)
 	defer cancel()
 	status, err := a.options.Reporter.Status(ctx)
 	if err != nil {
-		refuseKeeping(w, err)
+		refuseKeeperError(w, err)
 		return
 	}
-	write(w, http.StatusOK, status)
+	writeJSON(w, http.StatusOK, status)
 }
 
+// explain handles GET /admin/explain/{id}.
 func (a *Administrator) explain(w http.ResponseWriter, h *http.Request) {
 	explanation, found := a.options.Explainer.Explain(h.PathValue("id"))
 	if !found {
@@ -176,21 +187,23 @@
 		})
 		return
 	}
-	write(w, http.StatusOK, explanation)
+	writeJSON(w, http.StatusOK, explanation)
 }
 
-func (a *Administrator) missing(w http.ResponseWriter, _ *http.Request) {
+// notFound answers every other path under /admin/.
+func (a *Administrator) notFound(w http.ResponseWriter, _ *http.Request) {
 	refuser.Write(w, http.StatusNotFound, reporter.FailureBody{
 		Type: refuser.Invalid, Code: refuser.CodeNotFound, Message: "there is no such path under /admin/",
 		Remedy: "see docs/INTERFACES.md, section Operators",
 	})
 }
 
-// number reads a query parameter, or answers what is wrong with it.
-func number(w http.ResponseWriter, h *http.Request, name string, otherwise uint64) (uint64, bool) {
+// queryNumber returns the value of a query parameter, or fallback if it is missing. If
+// the parameter is not a number, queryNumber answers 400 and returns false.
+func queryNumber(w http.ResponseWriter, h *http.Request, name string, fallback uint64) (uint64, bool) {
 	text := h.URL.Query().Get(name)
 	if text == "" {
-		return otherwise, true
+		return fallback, true
 	}
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
@@ -200,12 +213,14 @@
 	return value, true
 }
 
+// badRequest answers 400 with a message and a remedy.
 func badRequest(w http.ResponseWriter, message, remedy string) {
 	refuser.Write(w, http.StatusBadRequest, reporter.FailureBody{
 		Type: refuser.Invalid, Code: refuser.CodeBadBody, Message: message, Remedy: remedy,
 	})
 }
 
+// refuseBody answers a body that is too large or cannot be decoded.
 func refuseBody(w http.ResponseWriter, err error) {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -218,9 +233,10 @@
 	badRequest(w, "the body is no change: "+err.Error(), "send {\"id\",\"author\",\"edits\":[...]} as in docs/INTERFACES.md")
 }
 
-// refuseKeeping answers for keepers that did not. Whether a change was
-// accepted is not known then; sending it again tells.
-func refuseKeeping(w http.ResponseWriter, err error) {
+// refuseKeeperError answers a call that failed at the keepers: 400 if they rejected
+// the request, otherwise 503. After a 503 it is unknown whether the change was
+// accepted; sending it again returns its outcome.
+func refuseKeeperError(w http.ResponseWriter, err error) {
 	var answered twirp.Error
 	if errors.As(err, &answered) && (answered.Code() == twirp.InvalidArgument || answered.Code() == twirp.NotFound) {
 		badRequest(w, answered.Msg(), "correct the request")
@@ -233,9 +249,10 @@
 	})
 }
 
-func write(w http.ResponseWriter, status int, body any) {
+// writeJSON answers with a status and a JSON body.
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An operator who has gone can ask again.
+	// A write error means that the operator disconnected; the call can be repeated.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/router/internal/administrator/administrator_test.go
+++ b/router/internal/administrator/administrator_test.go
@@ -16,40 +16,42 @@
 	"shallotkeel.example/router/internal/administrator"
 )
 
-// keepers answer as they are told.
-type keepers struct {
+// fakeKeepers implements Keeping, Reporter and Explainer. It records the last change
+// and returns answer and err.
+type fakeKeepers struct {
 	applied *messenger.ApplyRequest
 	answer  *messenger.ApplyResponse
 	err     error
 }
 
-func (k *keepers) Apply(_ context.Context, request *messenger.ApplyRequest) (*messenger.ApplyResponse, error) {
+func (k *fakeKeepers) Apply(_ context.Context, request *messenger.ApplyRequest) (*messenger.ApplyResponse, error) {
 	k.applied = request
 	return k.answer, k.err
 }
 
-func (k *keepers) Watch(context.Context, *messenger.WatchRequest) (*messenger.WatchResponse, error) {
+func (k *fakeKeepers) Watch(context.Context, *messenger.WatchRequest) (*messenger.WatchResponse, error) {
 	return &messenger.WatchResponse{
 		Revision: 7, Stale: true, Full: true, Objects: []*messenger.Object{{Kind: "workspace", Name: "club"}},
 	}, k.err
 }
 
-func (k *keepers) History(_ context.Context, request *messenger.HistoryRequest) (*messenger.HistoryResponse, error) {
+func (k *fakeKeepers) History(_ context.Context, request *messenger.HistoryRequest) (*messenger.HistoryResponse, error) {
 	if request.At > 0 {
 		return &messenger.HistoryResponse{Revision: request.At, Objects: []*messenger.Object{{Kind: "workspace", Name: "old"}}}, k.err
 	}
 	return &messenger.HistoryResponse{Revisions: []*messenger.Revision{{Revision: request.Before - 1, Author: "anna"}}}, k.err
 }
 
-func (k *keepers) Status(context.Context) (reporter.Status, error) {
+func (k *fakeKeepers) Status(context.Context) (reporter.Status, error) {
 	return reporter.Status{Revision: 7}, k.err
 }
 
-func (k *keepers) Explain(id string) (reporter.Explanation, bool) {
+func (k *fakeKeepers) Explain(id string) (reporter.Explanation, bool) {
 	return reporter.Explanation{ID: id}, id == "known"
 }
 
-func (k *keepers) call(method, path, body, token string) *httptest.ResponseRecorder {
+// call sends one call to an administrator over these keepers.
+func (k *fakeKeepers) call(method, path, body, token string) *httptest.ResponseRecorder {
 	mux := http.NewServeMux()
 	administrator.New(administrator.Options{Keeping: k, Reporter: k, Explainer: k, Token: "secret", Log: zerolog.Nop(),
 		Operator: func(token string) bool { return token == "second" }}).Register(mux)
@@ -84,7 +86,7 @@
 		"too large": {`{"id":"` + strings.Repeat("x", 5<<20) + `"}`, nil, nil, 413, "split"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k := &keepers{answer: test.answer, err: test.err}
+			k := &fakeKeepers{answer: test.answer, err: test.err}
 			got := k.call("POST", "/admin/changes?dry_run=1", test.body, "secret")
 			require.Equal(t, test.status, got.Code, got.Body)
 			require.Contains(t, got.Body.String(), test.want)
@@ -105,17 +107,17 @@
 		status int
 		want   string
 	}{
-		"objects":         {"/admin/objects", 200, `"revision":7,"stale":true`},
-		"objects at":      {"/admin/objects?at=3", 200, `{"revision":3,"objects":[{"kind":"workspace","name":"old"}]}`},
-		"objects at what": {"/admin/objects?at=x", 400, "decimal number"},
-		"history":         {"/admin/history?before=5&limit=2", 200, `"revision":4`},
-		"status":          {"/admin/status", 200, `"revision":7`},
-		"explain":         {"/admin/explain/known", 200, `"id":"known"`},
-		"explain what":    {"/admin/explain/unknown", 404, "other routers"},
-		"nothing":         {"/admin/rubbish", 404, "no such path"},
+		"objects":                 {"/admin/objects", 200, `"revision":7,"stale":true`},
+		"objects at":              {"/admin/objects?at=3", 200, `{"revision":3,"objects":[{"kind":"workspace","name":"old"}]}`},
+		"objects at no number":    {"/admin/objects?at=x", 400, "decimal number"},
+		"history":                 {"/admin/history?before=5&limit=2", 200, `"revision":4`},
+		"status":                  {"/admin/status", 200, `"revision":7`},
+		"explain":                 {"/admin/explain/known", 200, `"id":"known"`},
+		"explain unknown request": {"/admin/explain/unknown", 404, "other routers"},
+		"nothing":                 {"/admin/rubbish", 404, "no such path"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := (&keepers{}).call("GET", test.path, "", "secret")
+			got := (&fakeKeepers{}).call("GET", test.path, "", "secret")
 			require.Equal(t, test.status, got.Code, got.Body)
 			require.Contains(t, got.Body.String(), test.want)
 		})
@@ -124,9 +126,9 @@
 
 func TestToken(t *testing.T) {
 	for _, path := range []string{"/admin/objects", "/admin/status", "/admin/explain/known", "/admin/rubbish"} {
-		require.Equal(t, http.StatusUnauthorized, (&keepers{}).call("GET", path, "", "wrong").Code, path)
+		require.Equal(t, http.StatusUnauthorized, (&fakeKeepers{}).call("GET", path, "", "wrong").Code, path)
 	}
-	k := &keepers{}
+	k := &fakeKeepers{}
 	require.Equal(t, http.StatusUnauthorized, k.call("POST", "/admin/changes", change, "").Code)
 	require.Nil(t, k.applied)
 	require.NotEqual(t, http.StatusUnauthorized, k.call("GET", "/admin/status", "", "second").Code)
--- a/router/internal/administrator/convert.go
+++ b/router/internal/administrator/convert.go
@@ -9,6 +9,7 @@
 	"shallotkeel.example/lib/reporter"
 )
 
+// applyRequest encodes a change for the keepers.
 func applyRequest(change describer.Change, dryRun bool) *messenger.ApplyRequest {
 	request := &messenger.ApplyRequest{Change: change.ID, Author: change.Author, DryRun: dryRun}
 	for _, edit := range change.Edits {
@@ -23,7 +24,8 @@
 	return request
 }
 
-// appliedAnswer returns the HTTP status with the body.
+// appliedAnswer decodes the keepers' answer to a change into an HTTP status and the
+// body for the operator.
 func appliedAnswer(answer *messenger.ApplyResponse) (int, reporter.Applied) {
 	applied := reporter.Applied{Revision: answer.Revision, Resent: answer.Resent}
 	for _, finding := range answer.Findings {
@@ -46,6 +48,7 @@
 	}
 }
 
+// object decodes an object; nil gives the zero object.
 func object(message *messenger.Object) describer.Object {
 	if message == nil {
 		return describer.Object{}
@@ -56,14 +59,16 @@
 	}
 }
 
+// objects decodes a list of objects; the result is never nil.
 func objects(messages []*messenger.Object) []describer.Object {
-	all := make([]describer.Object, 0, len(messages))
+	decoded := make([]describer.Object, 0, len(messages))
 	for _, message := range messages {
-		all = append(all, object(message))
+		decoded = append(decoded, object(message))
 	}
-	return all
+	return decoded
 }
 
+// history decodes a list of revisions.
 func history(answer *messenger.HistoryResponse) reporter.History {
 	list := reporter.History{Revisions: make([]reporter.Revision, 0, len(answer.Revisions))}
 	for _, revision := range answer.Revisions {
--- a/router/internal/assembler/assembler.go
+++ b/router/internal/assembler/assembler.go
@@ -1,13 +1,14 @@
-// Package assembler builds a router out of its settings, runs it, and stops it.
+// Package assembler builds a router from its settings, runs it and stops it.
 //
-// A planned stop goes in this order: the router says that it is not ready, so
-// that the balancer takes it out; it tells the other routers that it is
-// leaving and hands its pools over; it takes no new connections and finishes
-// the requests in progress; it records their outcomes and reports their
-// endings; then it ends. Nothing is cut off before the stop timeout.
+// A planned stop has these steps, in order: the router reports on /readyz that
+// it is not ready, so that the load balancer removes it; it notifies the other
+// routers that it is leaving and hands its pools over; it accepts no new
+// connections and finishes the requests in progress; it records their outcomes
+// and reports their completion; then the process exits. No request is cut off
+// before the stop timeout.
 //
-// Invariants: a router that cannot serve says so on /readyz before it refuses
-// anything; a stop that is asked for twice is the same stop.
+// Invariants: a router that cannot serve reports it on /readyz before it refuses
+// a request; stopping is idempotent.
 package assembler
 
 import (
@@ -42,21 +43,23 @@
 	"shallotkeel.example/router/internal/rotator"
 )
 
-// ErrListen is the kind of the error when an address cannot be listened on.
+// ErrListen is the kind of the error when a listening address cannot be opened or a
+// server stops accepting connections.
 var ErrListen = merry.Sentinel("cannot listen")
 
 const (
-	// balancerPause is how long the router goes on taking requests after it has
-	// said that it is not ready, so that the balancer can notice first.
-	balancerPause = 500 * time.Millisecond
-	// settlePause bounds the reports that follow the last request.
-	settlePause   = 2 * time.Second
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxHeaders    = 64 << 10
+	// loadBalancerDelay is how long the router keeps accepting requests after /readyz
+	// has changed to not ready, so that the load balancer can notice first.
+	loadBalancerDelay = 500 * time.Millisecond
+	// settleTimeout bounds the recording of outcomes and the reports that follow the last
+	// request of a planned stop.
+	settleTimeout  = 2 * time.Second
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
 )
 
-// Router is a router process.
+// Router is a router process: its servers, and the components behind them.
 type Router struct {
 	settings  Settings
 	log       zerolog.Logger
@@ -73,7 +76,7 @@
 	stopping  atomic.Bool
 }
 
-// New builds a router.
+// New builds a router. It opens no listening address before Run.
 func New(ctx context.Context, settings Settings, log zerolog.Logger, clock clockwork.Clock) (*Router, error) {
 	r := &Router{
 		settings: settings,
@@ -89,19 +92,20 @@
 		return nil, err
 	}
 	r.tracer = traces
-	// A restart is a new incarnation, so it must rise from one life to the next.
+	// The incarnation must increase with each restart of the process.
 	r.build(uint64(clock.Now().UnixMilli()))
 	r.registry.MustRegister(conductor.NewCollector(r.conductor))
 	return r, nil
 }
 
+// build creates the components and the public and control servers.
 func (r *Router) build(incarnation uint64) {
 	s := r.settings
 	client := dialer.Client(s.Secret, r.counter)
 	keepers := rotator.New(client, s.Keepers)
 	r.conductor = conductor.New(conductor.Options{
-		Name: s.Name, Zone: s.Zone, Incarnation: incarnation, Address: s.address(), Seeds: s.seeds(),
-		Standalone: s.Scheduling == SchedulingAlone,
+		Name: s.Name, Zone: s.Zone, Incarnation: incarnation, Address: s.advertisedAddress(), Seeds: s.seeds(),
+		Standalone: s.Scheduling == SchedulingStandalone,
 		Heartbeat:  s.Timing.Heartbeat.Duration, SuspectAfter: s.Timing.SuspectAfter.Duration,
 		CompareInterval: s.Timing.Compare.Duration, CompareBytesPerSecond: s.Limits.CompareBytes,
 		Client: client, Clock: r.clock, Log: r.log, Registry: r.registry,
@@ -124,14 +128,15 @@
 		},
 	})
 	r.public = &http.Server{
-		Handler: r.leaving(r.publicHandler(keepers)), ReadHeaderTimeout: headerTimeout,
-		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaders, ConnContext: framer.WithConn,
+		Handler: r.closeWhileStopping(r.publicHandler(keepers)), ReadHeaderTimeout: headerTimeout,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ConnContext: framer.WithConn,
 	}
 	controlMux := http.NewServeMux()
 	r.conductor.Register(controlMux, r.follower)
 	r.control = dialer.Server(s.Secret, controlMux)
 }
 
+// publicHandler serves clients, endpoints and operators, the probes and the metrics.
 func (r *Router) publicHandler(keepers *rotator.Rotator) http.Handler {
 	mux := http.NewServeMux()
 	r.relayer.Register(mux)
@@ -151,11 +156,11 @@
 	return mux
 }
 
-// leaving ends callers' connections with their next answer while the router
-// stops. A connection that is still kept when the listener closes may be reset
-// just as its caller sends the next request, and that caller would not know
-// whether it ran.
-func (r *Router) leaving(next http.Handler) http.Handler {
+// closeWhileStopping closes clients' connections with their next response while the
+// router stops. A connection that is still idle and kept alive when the server closes
+// may be reset just as the client sends its next request, and the client would not know
+// whether that request ran.
+func (r *Router) closeWhileStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, h *http.Request) {
 		if r.stopping.Load() {
 			w.Header().Set("Connection", "close")
@@ -164,7 +169,8 @@
 	})
 }
 
-// Run serves until the context ends, and then stops as described above.
+// Run serves until the context ends, and then stops as the package comment describes.
+// If a server fails, Run returns an error of the kind ErrListen.
 func (r *Router) Run(ctx context.Context) error {
 	public, control, err := r.listen()
 	if err != nil {
@@ -174,12 +180,13 @@
 	failed := make(chan error, 2)
 	go func() { failed <- r.public.Serve(public) }()
 	go func() { failed <- r.control.Serve(control) }()
-	// The machinery outlives ctx: it finishes what is in progress.
-	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	// The background goroutines outlive ctx: they are needed until the requests in
+	// progress have finished.
+	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var group sync.WaitGroup
-	group.Go(func() { r.conductor.Run(work) })
-	group.Go(func() { r.follower.Run(work) })
+	group.Go(func() { r.conductor.Run(background) })
+	group.Go(func() { r.follower.Run(background) })
 	r.log.Info().Stringer("listen", public.Addr()).Stringer("control", control.Addr()).Msg("serving")
 	select {
 	case err = <-failed:
@@ -194,6 +201,7 @@
 	return err
 }
 
+// listen opens the public and the control address.
 func (r *Router) listen() (public, control net.Listener, err error) {
 	const remedy = "free the address, or set another in the settings"
 	if public, err = net.Listen("tcp", r.settings.Listen.String()); err != nil {
@@ -203,29 +211,31 @@
 		public.Close()
 		return nil, nil, merry.Errorf("%w: control: %v; %s", ErrListen, err, remedy)
 	}
-	// Without a bound, connections that send nothing use up the file descriptors,
-	// and then endpoints and other routers are refused as well. Beyond the bound
-	// new connections wait; those without a request are closed after a while.
+	// Without a bound, connections that send nothing exhaust the file descriptors, and
+	// endpoints and other routers are then refused as well. Beyond the bound new
+	// connections wait in the backlog; the server closes connections without a request
+	// after its timeouts.
 	return netutil.LimitListener(public, cmp.Or(r.settings.Limits.Connections, defaultConnections)), control, nil
 }
 
-// stop is the planned stop.
+// stop runs the planned stop, bounded by the stop timeout. It returns an error if
+// requests were cut off.
 func (r *Router) stop(ctx context.Context) error {
 	r.log.Info().Msg("stopping")
 	r.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, r.settings.Limits.StopTimeout.Or(defaultStopTimeout))
 	defer cancel()
 	r.conductor.Leave(ctx)
-	r.sleep(ctx, balancerPause)
+	r.sleep(ctx, loadBalancerDelay)
 	cut := r.relayer.Drain(ctx)
 	err := r.public.Shutdown(ctx)
-	settle, done := context.WithTimeout(context.WithoutCancel(ctx), settlePause)
-	defer done()
-	if recorded := r.claimant.Drain(settle); recorded != nil {
-		r.log.Warn().Err(recorded).Msg("outcomes are lost")
+	settleCtx, cancelSettle := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
+	defer cancelSettle()
+	if unrecorded := r.claimant.Drain(settleCtx); unrecorded != nil {
+		r.log.Warn().Err(unrecorded).Msg("outcomes of requests were not recorded before the stop and are lost")
 	}
-	r.conductor.Flush(settle)
-	_ = r.tracer.Shutdown(settle) // spans are lost if their collector is gone
+	r.conductor.Flush(settleCtx)
+	_ = r.tracer.Shutdown(settleCtx) // spans are lost if the collector cannot be reached
 	if err = errors.Join(cut, err); err != nil {
 		return err
 	}
@@ -233,6 +243,7 @@
 	return nil
 }
 
+// sleep waits for a pause or until the context ends.
 func (r *Router) sleep(ctx context.Context, pause time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/router/internal/assembler/assembler_test.go
+++ b/router/internal/assembler/assembler_test.go
@@ -25,14 +25,14 @@
 	"shallotkeel.example/lib/reporter"
 )
 
-const patience = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
-// keeper serves one configuration.
-type keeper struct {
+// fakeKeeper serves a configuration with one workspace and one service, at revision 1.
+type fakeKeeper struct {
 	messenger.Keeping
 }
 
-func (keeper) Watch(ctx context.Context, q *messenger.WatchRequest) (*messenger.WatchResponse, error) {
+func (fakeKeeper) Watch(ctx context.Context, q *messenger.WatchRequest) (*messenger.WatchResponse, error) {
 	if q.GetAfter() > 0 {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -43,10 +43,11 @@
 	}}, nil
 }
 
-func (keeper) Status(context.Context, *messenger.KeeperStatusRequest) (*messenger.KeeperStatusResponse, error) {
+func (fakeKeeper) Status(context.Context, *messenger.KeeperStatusRequest) (*messenger.KeeperStatusResponse, error) {
 	return &messenger.KeeperStatusResponse{Name: "keeper-1", Leader: "keeper-1", Quorum: true, Revision: 1}, nil
 }
 
+// freeAddress returns a local address with a free port.
 func freeAddress(t *testing.T) netip.AddrPort {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -54,39 +55,42 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// process is a running router with one endpoint that answers when it is let.
+// process is a running router with one endpoint, whose responses are blocked until
+// releaseEndpoint.
 type process struct {
 	t       *testing.T
 	base    string
 	release chan struct{}
 	once    sync.Once
-	began   chan struct{}
+	started chan struct{}
 	stop    context.CancelFunc
-	ended   chan error
+	exited  chan error
 }
 
-func start(t *testing.T) *process {
-	keeping := messenger.NewKeepingServer(keeper{})
+// startRouter starts a router with a fake keeper, waits until it is ready and announces
+// the endpoint.
+func startRouter(t *testing.T) *process {
+	keeping := messenger.NewKeepingServer(fakeKeeper{})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := dialer.Server("secret", keeping)
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 
-	p := &process{t: t, release: make(chan struct{}), began: make(chan struct{}, 1), ended: make(chan error, 1)}
+	p := &process{t: t, release: make(chan struct{}), started: make(chan struct{}, 1), exited: make(chan error, 1)}
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, h *http.Request) {
 		w.Header().Set("X-Request-Id", h.Header.Get("X-Request-Id"))
-		p.began <- struct{}{}
+		p.started <- struct{}{}
 		<-p.release
 		fmt.Fprint(w, "whole")
 	}))
 	t.Cleanup(endpoint.Close)
-	t.Cleanup(p.let) // or Close would wait for a handler that a failed test left behind
+	t.Cleanup(p.releaseEndpoint) // Close waits for handlers, also after a failed test
 	settings := Settings{
 		Name: "router-a1", Zone: "trento-a", Listen: freeAddress(t), Control: freeAddress(t),
 		Keepers: []netip.AddrPort{netip.MustParseAddrPort(listener.Addr().String())},
 		Secret:  "secret", EndpointToken: "endpoint", OperatorToken: "operator",
-		Limits: Limits{StopTimeout: loader.Duration{Duration: patience}},
+		Limits: Limits{StopTimeout: loader.Duration{Duration: waitTimeout}},
 		Timing: Timing{Heartbeat: loader.Duration{Duration: 20 * time.Millisecond}},
 	}
 	p.base = "http://" + settings.Listen.String()
@@ -94,19 +98,19 @@
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	p.stop = cancel
-	go func() { p.ended <- router.Run(ctx) }()
-	require.Eventually(t, func() bool { return p.status("/readyz") == http.StatusOK }, patience, 5*time.Millisecond)
+	go func() { p.exited <- router.Run(ctx) }()
+	require.Eventually(t, func() bool { return p.status("/readyz") == http.StatusOK }, waitTimeout, 5*time.Millisecond)
 	body := fmt.Sprintf(`{"incarnation":1,"service":"app","address":%q,"slots":4,"ttl_ms":60000}`, endpoint.Listener.Addr())
 	require.Equal(t, http.StatusNoContent, p.call(http.MethodPost, "/v1/endpoints/app-1", "endpoint", body).status)
 	return p
 }
 
-// let lets the endpoint answer.
-func (p *process) let() {
+// releaseEndpoint unblocks the endpoint's responses.
+func (p *process) releaseEndpoint() {
 	p.once.Do(func() { close(p.release) })
 }
 
-// answer is what a caller got.
+// answer is a response to a client.
 type answer struct {
 	status int
 	body   string
@@ -133,32 +137,31 @@
 	return response.StatusCode
 }
 
-// Symptom: a planned stop cuts a request off, or the balancer sends requests
-// to a router that is about to close.
-// Sequence: SIGTERM while a request is in progress.
-// Cause: the process ends, or says so too late.
-func TestPlannedStopFinishesWhatRuns(t *testing.T) {
-	p := start(t)
+// Guards against a planned stop (SIGTERM) that cuts off a request in progress because the
+// process exits, or that reports not ready too late, so that the load balancer sends
+// requests to a router that is about to close.
+func TestPlannedStopFinishesRunningRequests(t *testing.T) {
+	p := startRouter(t)
 	require.Equal(t, http.StatusOK, p.status("/healthz"))
 	answered := make(chan answer, 1)
 	go func() { answered <- p.call(http.MethodGet, "/v1/services/app/slow", "club-token", "") }()
-	<-p.began
+	<-p.started
 	p.stop()
-	require.Eventually(t, func() bool { return p.status("/readyz") == http.StatusServiceUnavailable }, patience, time.Millisecond)
-	require.Equal(t, http.StatusOK, p.status("/healthz"), "it still serves while the balancer notices")
+	require.Eventually(t, func() bool { return p.status("/readyz") == http.StatusServiceUnavailable }, waitTimeout, time.Millisecond)
+	require.Equal(t, http.StatusOK, p.status("/healthz"), "the router still serves until the load balancer has noticed")
 	select {
-	case err := <-p.ended:
-		require.Fail(t, "it ended with a request in progress", "%v", err)
-	case <-time.After(2 * balancerPause):
+	case err := <-p.exited:
+		require.Fail(t, "the router exited with a request in progress", "%v", err)
+	case <-time.After(2 * loadBalancerDelay):
 	}
-	p.let()
+	p.releaseEndpoint()
 	require.Equal(t, answer{status: http.StatusOK, body: "whole"}, <-answered)
-	require.NoError(t, <-p.ended)
+	require.NoError(t, <-p.exited)
 }
 
 func TestStatusAndMetrics(t *testing.T) {
-	p := start(t)
-	p.let()
+	p := startRouter(t)
+	p.releaseEndpoint()
 	require.Equal(t, http.StatusOK, p.call(http.MethodGet, "/v1/services/app/x", "club-token", "").status)
 	var status reporter.Status
 	require.NoError(t, json.Unmarshal([]byte(p.call(http.MethodGet, "/admin/status", "operator", "").body), &status))
@@ -178,5 +181,5 @@
 		require.Contains(t, metrics, name)
 	}
 	p.stop()
-	require.NoError(t, <-p.ended)
+	require.NoError(t, <-p.exited)
 }
--- a/router/internal/assembler/connections_test.go
+++ b/router/internal/assembler/connections_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a router refuses endpoints and other routers with "too many open
-// files". Sequence: somebody opens connections and sends nothing. Cause: every
-// connection is accepted.
+// Guards against accepting connections without a bound: with many open connections that
+// send nothing, the router would refuse endpoints and other routers with "too many open
+// files".
 func TestConnectionsAreBounded(t *testing.T) {
 	settings := Settings{
 		Name: "router-a1", Zone: "trento-a", Listen: freeAddress(t), Control: freeAddress(t),
@@ -26,9 +26,9 @@
 	require.NoError(t, err)
 	defer public.Close()
 	defer control.Close()
-	var closing atomic.Bool // the first connection has been told to close
+	var closing atomic.Bool // the first connection is being closed
 	accepted := make(chan net.Conn, 3)
-	early := make(chan bool, 3) // for each connection: it was accepted before that
+	early := make(chan bool, 3) // per connection: it was accepted before closing was set
 	go func() {
 		for {
 			conn, err := public.Accept()
@@ -53,7 +53,7 @@
 	select {
 	case <-accepted:
 		require.False(t, <-early, "the third connection was accepted beyond the bound of two")
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		require.Fail(t, "the waiting connection was not accepted after another had closed")
 	}
 }
--- a/router/internal/assembler/health.go
+++ b/router/internal/assembler/health.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// healthTimeout is how long the control goroutine may take to answer.
+// healthTimeout bounds the health check of the control goroutine.
 const healthTimeout = 2 * time.Second
 
-// healthz tells that the control goroutine is alive.
+// healthz handles GET /healthz, the liveness probe: it answers 200 if the control
+// goroutine responds.
 func (r *Router) healthz(w http.ResponseWriter, h *http.Request) {
 	ctx, cancel := context.WithTimeout(h.Context(), healthTimeout)
 	defer cancel()
@@ -21,12 +22,13 @@
 	fmt.Fprintln(w, "ok")
 }
 
-// readyz tells whether callers should be sent here.
+// readyz handles GET /readyz, the readiness probe: it answers 200 if clients' requests
+// should be sent to this router.
 func (r *Router) readyz(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case r.stopping.Load():
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
-	case !r.follower.Known():
+	case !r.follower.HasConfiguration():
 		http.Error(w, "no configuration yet; check that a keeper or another router can be reached", http.StatusServiceUnavailable)
 	case !r.conductor.Ready():
 		http.Error(w, "no contact with the zone's routers yet", http.StatusServiceUnavailable)
--- a/router/internal/assembler/settings.go
+++ b/router/internal/assembler/settings.go
@@ -11,36 +11,39 @@
 	"shallotkeel.example/router/internal/director"
 )
 
-// Ways of scheduling.
+// Values of Settings.Scheduling; empty means SchedulingPool. With SchedulingStandalone the
+// router schedules without the other routers, as a baseline.
 const (
-	SchedulingPool  = "pool"
-	SchedulingAlone = "alone"
+	SchedulingPool       = "pool"
+	SchedulingStandalone = "alone"
 )
 
-// Settings is a router's settings file; docs/INTERFACES.md shows one.
+// Settings is a router's settings file; docs/INTERFACES.md has an example.
 type Settings struct {
 	Name    string         `json:"name"`
 	Zone    string         `json:"zone"`
 	Listen  netip.AddrPort `json:"listen"`
 	Control netip.AddrPort `json:"control"`
-	// Advertise is the control address told to others, where it is not Control.
+	// Advertise is the control address that other routers connect to, if it differs from
+	// Control.
 	Advertise netip.AddrPort   `json:"advertise"`
 	Peers     []netip.AddrPort `json:"peers"`
 	Keepers   []netip.AddrPort `json:"keepers"`
 	Secret    string           `json:"secret"`
-	// EndpointToken and OperatorToken open /v1/endpoints/ and /admin/.
+	// EndpointToken and OperatorToken authorize calls to /v1/endpoints/ and /admin/.
 	EndpointToken string `json:"endpoint_token"`
 	OperatorToken string `json:"operator_token"`
 	Scheduling    string `json:"scheduling"`
 	Trace         string `json:"trace"`
 	Limits        Limits `json:"limits"`
 	Timing        Timing `json:"timing"`
-	// Platform is set instead of all others on a platform with an interface of its
-	// own.
+	// Platform holds the settings for a platform that has its own interface. If it is
+	// set, all other fields are ignored.
 	Platform *director.Settings `json:"platform"`
 }
 
-// Limits bound what callers can make the router hold.
+// Limits bound the resources that clients can make the router use. A limit of zero
+// means the default.
 type Limits struct {
 	BodyBytes      int64           `json:"body_bytes"`
 	Waiting        int             `json:"waiting"`
@@ -50,7 +53,7 @@
 	StopTimeout    loader.Duration `json:"stop_timeout"`
 }
 
-// Timing is the pace of the control traffic.
+// Timing holds the intervals of the control traffic.
 type Timing struct {
 	Heartbeat    loader.Duration `json:"heartbeat"`
 	SuspectAfter loader.Duration `json:"suspect_after"`
@@ -59,30 +62,32 @@
 
 const (
 	defaultStopTimeout = 30 * time.Second
-	// defaultConnections is twice what 4096 waiting requests and as many running
-	// ones need at one request a connection.
+	// defaultConnections is twice the number of connections that 4096 waiting and as many
+	// running requests need with one request per connection.
 	defaultConnections = 16384
-	// leastBeats is how many heartbeats must fit into the suspect time, because
-	// a beat takes up to two rounds through a large zone and one may be lost.
-	leastBeats = 3
+	// minHeartbeats is how many heartbeat intervals the suspect time must span: a
+	// heartbeat takes up to two rounds of gossip through a large zone, and one may be
+	// lost.
+	minHeartbeats = 3
 )
 
-// address is the control address that other routers are told.
-func (s *Settings) address() netip.AddrPort {
+// advertisedAddress returns the control address that other routers connect to.
+func (s *Settings) advertisedAddress() netip.AddrPort {
 	if s.Advertise.IsValid() {
 		return s.Advertise
 	}
 	return s.Control
 }
 
-// seeds are the peers without this router itself, so that one list serves all.
+// seeds returns the peers without this router itself, so that all routers can share one
+// list of peers.
 func (s *Settings) seeds() []netip.AddrPort {
 	return slices.DeleteFunc(slices.Clone(s.Peers), func(peer netip.AddrPort) bool {
 		return peer == s.Control || peer == s.Advertise
 	})
 }
 
-// Check lists what is wrong with the settings.
+// Check returns the problems of the settings.
 func (s *Settings) Check() []loader.Problem {
 	if s.Platform != nil {
 		return s.Platform.Check()
@@ -105,7 +110,7 @@
 			Remedy: "set the zone that this instance is in",
 		})
 	}
-	if s.Scheduling != "" && s.Scheduling != SchedulingPool && s.Scheduling != SchedulingAlone {
+	if s.Scheduling != "" && s.Scheduling != SchedulingPool && s.Scheduling != SchedulingStandalone {
 		problems = append(problems, loader.Problem{
 			Key: "scheduling", Message: "\"" + s.Scheduling + "\" is no way of scheduling",
 			Remedy: "set \"pool\", or \"alone\" for the baseline",
@@ -161,7 +166,7 @@
 	}
 	heartbeat := s.Timing.Heartbeat.Or(detector.DefaultHeartbeat)
 	suspect := s.Timing.SuspectAfter.Or(detector.DefaultSuspectAfter)
-	if heartbeat <= 0 || suspect < leastBeats*heartbeat {
+	if heartbeat <= 0 || suspect < minHeartbeats*heartbeat {
 		problems = append(problems, loader.Problem{
 			Key: "suspect_after", Message: "the suspect time is too short for the heartbeat",
 			Remedy: "set it to at least three heartbeats",
--- a/router/internal/assembler/status.go
+++ b/router/internal/assembler/status.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// statusTimeout bounds the question to one keeper.
+	// statusTimeout bounds the status calls to the keepers.
 	statusTimeout = time.Second
-	// staleRouter is how long after its last poll a router counts as not heard:
-	// a poll takes up to twenty seconds.
-	staleRouter     = 30 * time.Second
+	// staleRouterAge is the time since a router's last poll after which its revision in
+	// force is outdated: a poll takes up to twenty seconds.
+	staleRouterAge  = 30 * time.Second
 	roleLeader      = "leader"
 	roleVoter       = "voter"
 	roleLearner     = "learner"
@@ -32,31 +32,34 @@
 	keepers []messenger.Keeping
 }
 
-// Status gathers what the routers and the keepers know. It answers with what
-// it got: an operator needs it most when parts of the fleet do not answer.
+// Status collects the state of the fleet from the routers and the keepers. Partial
+// results are returned without an error: operators need them most when parts of the
+// fleet do not answer.
 func (s *status) Status(ctx context.Context) (reporter.Status, error) {
-	answers := s.askKeepers(ctx)
+	answers := s.queryKeepers(ctx)
 	answer, silent := s.router.conductor.Report(ctx)
 	rules := s.router.follower.Rules()
 	answer.Warnings = []string{}
 	answer.Revision, answer.Stale = rules.Revision, s.router.follower.Stale()
-	answer.Keepers = s.keepersOf(answers)
+	answer.Keepers = s.describeKeepers(answers)
 	for _, keeper := range answer.Keepers {
 		answer.Revision = max(answer.Revision, keeper.Revision)
 	}
 	answer.Routers = mergeRouters(answer.Routers, answers)
-	s.warn(&answer, silent)
+	s.addWarnings(&answer, silent)
 	return answer, nil
 }
 
-func (s *status) askKeepers(ctx context.Context) []*messenger.KeeperStatusResponse {
+// queryKeepers asks all keepers concurrently for their local status. The result has the
+// order of the settings, with nil for keepers that did not answer.
+func (s *status) queryKeepers(ctx context.Context) []*messenger.KeeperStatusResponse {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	answers := make([]*messenger.KeeperStatusResponse, len(s.keepers))
 	var group sync.WaitGroup
 	for at, keeper := range s.keepers {
 		group.Go(func() {
-			// A keeper that does not answer is listed as unreachable.
+			// An error leaves nil: the keeper is listed as unreachable.
 			answers[at], _ = keeper.Status(ctx, &messenger.KeeperStatusRequest{Local: true})
 		})
 	}
@@ -64,7 +67,8 @@
 	return answers
 }
 
-func (s *status) keepersOf(answers []*messenger.KeeperStatusResponse) []reporter.Keeper {
+// describeKeepers returns an entry for each keeper of the settings.
+func (s *status) describeKeepers(answers []*messenger.KeeperStatusResponse) []reporter.Keeper {
 	var keepers []reporter.Keeper
 	for at, answer := range answers {
 		if answer == nil {
@@ -79,6 +83,8 @@
 	return keepers
 }
 
+// roleOf returns a keeper's role as the keeper itself reports it. A leader without a
+// quorum counts as a voter.
 func roleOf(answer *messenger.KeeperStatusResponse) string {
 	if answer.GetLeader() == answer.GetName() && answer.GetQuorum() {
 		return roleLeader
@@ -91,9 +97,10 @@
 	return roleLearner
 }
 
-// mergeRouters lays what the keepers have seen beside what the routers said of
-// themselves, which is newer.
-func mergeRouters(told []reporter.Router, answers []*messenger.KeeperStatusResponse) []reporter.Router {
+// mergeRouters combines the routers' own reports with what the keepers know of routers
+// from their polls. A router's own report takes precedence, because it is newer; of
+// several keepers, the most recent poll counts.
+func mergeRouters(reported []reporter.Router, answers []*messenger.KeeperStatusResponse) []reporter.Router {
 	merged := make(map[string]reporter.Router)
 	for _, answer := range answers {
 		for _, seen := range answer.GetRouters() {
@@ -105,7 +112,7 @@
 			}
 		}
 	}
-	for _, router := range told {
+	for _, router := range reported {
 		merged[router.Name] = router
 	}
 	routers := make([]reporter.Router, 0, len(merged))
@@ -118,8 +125,8 @@
 	return routers
 }
 
-// warn lists what an operator should look at.
-func (s *status) warn(answer *reporter.Status, silent []string) {
+// addWarnings adds the conditions that need an operator's attention.
+func (s *status) addWarnings(answer *reporter.Status, silent []string) {
 	warn := func(format string, values ...any) {
 		answer.Warnings = append(answer.Warnings, fmt.Sprintf(format, values...))
 	}
@@ -137,7 +144,7 @@
 		warn("routers %s do not answer; start them or check the network", strings.Join(silent, ", "))
 	}
 	for _, router := range answer.Routers {
-		if router.InForce < answer.Revision && router.AgeMS < staleRouter.Milliseconds() {
+		if router.InForce < answer.Revision && router.AgeMS < staleRouterAge.Milliseconds() {
 			warn("router %s has revision %d in force, %d is the newest", router.Name, router.InForce, answer.Revision)
 		}
 	}
@@ -146,7 +153,7 @@
 			warn("%d requests wait for service %s in %s, which has no endpoint there", pool.Waiting, pool.Service, pool.Zone)
 		}
 	}
-	for _, service := range deserted(s.router.follower.Rules(), answer.Endpoints) {
+	for _, service := range servicesWithoutEndpoints(s.router.follower.Rules(), answer.Endpoints) {
 		warn("no endpoint of service %s announces itself; look at the endpoints' own logs", service)
 	}
 	for _, endpoint := range answer.Endpoints {
@@ -156,10 +163,10 @@
 	}
 }
 
-// deserted lists the services that have no endpoint anywhere. Their callers are
-// refused, and without a word here an operator would look for the fault in the
-// configuration.
-func deserted(rules *matcher.Rules, endpoints []reporter.Endpoint) []string {
+// servicesWithoutEndpoints returns the configured services that have no endpoint in the
+// fleet. Requests to them are refused, and without a warning an operator would look for
+// the fault in the configuration.
+func servicesWithoutEndpoints(rules *matcher.Rules, endpoints []reporter.Endpoint) []string {
 	served := make(map[string]bool)
 	for _, endpoint := range endpoints {
 		served[endpoint.Service] = true
--- a/router/internal/assembler/status_test.go
+++ b/router/internal/assembler/status_test.go
@@ -10,10 +10,10 @@
 	"shallotkeel.example/lib/reporter"
 )
 
-// Symptom: callers hear "no endpoint", and status shows nothing wrong.
-// Sequence: an operator describes a service whose endpoints do not run.
-// Cause: status only tells of pools and endpoints that there are.
-func TestDesertedServicesAreNamed(t *testing.T) {
+// Guards against a status that covers only existing pools and endpoints: for a configured
+// service without running endpoints, clients' requests would be refused with "no
+// endpoint" while the status shows no warning.
+func TestServicesWithoutEndpointsAreListed(t *testing.T) {
 	objects := make(map[describer.Key]describer.Object)
 	for _, name := range []string{"modelli", "scambio-app", "bidding-desk"} {
 		object := describer.Object{Kind: describer.Service, Name: name}
@@ -21,5 +21,5 @@
 	}
 	rules := matcher.Compile(describer.Snapshot{Objects: objects})
 	endpoints := []reporter.Endpoint{{ID: "e1", Service: "modelli"}}
-	require.Equal(t, []string{"bidding-desk", "scambio-app"}, deserted(rules, endpoints))
+	require.Equal(t, []string{"bidding-desk", "scambio-app"}, servicesWithoutEndpoints(rules, endpoints))
 }
--- a/router/internal/follower/follower.go
+++ b/router/internal/follower/follower.go
@@ -1,10 +1,11 @@
-// Package follower keeps the configuration in force at a router: it follows
-// the keepers by long poll, compiles the rules and acknowledges the revision.
+// Package follower maintains the configuration in force at a router: it follows
+// the keepers by long polling, compiles the rules and acknowledges the revision in
+// force.
 //
-// Invariants: the revision in force never decreases in a process's life; rules
-// are swapped whole, so that no request sees a half of one revision; without a
-// quorum the highest revision that any reachable keeper or router has is in
-// force, and Stale says so.
+// Invariants: the revision in force never decreases while the process runs; rules
+// are replaced atomically, so that no request sees parts of two revisions; without
+// a quorum the highest revision of any reachable keeper or router is in force, and
+// Stale reports that it may be outdated.
 package follower
 
 import (
@@ -23,43 +24,47 @@
 )
 
 const (
-	// pollWait is how long a keeper holds a poll without news.
+	// pollWait is how long a keeper holds a poll while there is no newer revision.
 	pollWait = 20 * time.Second
-	// pollSlack is what an answer may take beyond that.
+	// pollSlack is added to the wait of a poll to get the timeout of the call.
 	pollSlack = 2 * time.Second
-	// staleWait is the poll's wait while the keeper has no quorum: another may.
-	staleWait  = time.Second
-	gatherWait = time.Second
+	// stalePollWait is the wait of a poll while the configuration is stale. It is short,
+	// because another keeper may have a quorum.
+	stalePollWait = time.Second
+	// gatherTimeout bounds asking all keepers and routers at once.
+	gatherTimeout = time.Second
+	// retryPause is the pause between failed rounds over all keepers.
 	retryPause = 200 * time.Millisecond
-	// maxPeersAsked bounds the routers that are asked for their configuration.
-	maxPeersAsked = 8
-	// quarantineFor is asked for each published fingerprint.
-	quarantineFor = 10 * time.Minute
-	// maxQuarantined bounds the fingerprints that only this router knows yet.
-	maxQuarantined = 1024
+	// maxPeersQueried bounds the routers that are asked for their configuration.
+	maxPeersQueried = 8
+	// quarantineDuration is the quarantine requested for each published fingerprint.
+	quarantineDuration = 10 * time.Minute
+	// maxLocalQuarantined bounds the fingerprints that this router has published and still
+	// holds itself.
+	maxLocalQuarantined = 1024
 )
 
-// Keeping is the part of messenger.Keeping that following needs.
+// Keeping is the part of messenger.Keeping that a Follower needs.
 type Keeping interface {
 	Watch(ctx context.Context, request *messenger.WatchRequest) (*messenger.WatchResponse, error)
 }
 
-// Publisher publishes fingerprints at whichever keeper answers.
+// Publisher publishes fingerprints to the first keeper that answers.
 type Publisher interface {
 	Quarantine(ctx context.Context, request *messenger.QuarantineRequest) (*messenger.QuarantineResponse, error)
 }
 
-// Options are what a Follower is made of.
+// Options configure a Follower.
 type Options struct {
 	Name      string
 	Zone      string
-	Keepers   []messenger.Keeping // this zone's first
+	Keepers   []messenger.Keeping // in order of preference: this zone's first
 	Publisher Publisher
-	// Peer returns the client of another router, for its snapshot.
+	// Peer returns a client for another router, used to read its snapshot.
 	Peer func(netip.AddrPort) messenger.Membership
-	// Peers lists routers to ask when no keeper has a quorum.
+	// Peers lists the routers to ask when no keeper has a quorum.
 	Peers func() []netip.AddrPort
-	// Changed is called with each new revision's rules.
+	// Changed is called with the rules of each new revision in force; nil is allowed.
 	Changed  func(*matcher.Rules)
 	Clock    clockwork.Clock
 	Log      zerolog.Logger
@@ -68,17 +73,18 @@
 
 // Follower implements relayer.Ruler and relayer.Quarantine.
 type Follower struct {
-	options Options
-	rules   atomic.Pointer[matcher.Rules]
-	mutex   sync.Mutex
-	state   state
-	own     map[uint64]time.Time // fingerprints published here
-	keeper  int
+	options         Options
+	rules           atomic.Pointer[matcher.Rules]
+	mutex           sync.Mutex
+	state           state
+	localQuarantine map[uint64]time.Time // fingerprints published by this router, with their ends
+	keeperIndex     int                  // of the keeper to poll next
 }
 
-// New returns a follower with an empty configuration.
+// New returns a follower with an empty configuration. Metrics are registered if
+// Options.Registry is set.
 func New(options Options) *Follower {
-	f := &Follower{options: options, own: make(map[uint64]time.Time)}
+	f := &Follower{options: options, localQuarantine: make(map[uint64]time.Time)}
 	f.rules.Store(matcher.Compile(f.state.snapshot))
 	if options.Registry != nil {
 		f.register(options.Registry)
@@ -86,6 +92,7 @@
 	return f
 }
 
+// register adds the metrics to a registry.
 func (f *Follower) register(registry *prometheus.Registry) {
 	registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
@@ -107,21 +114,22 @@
 	return f.rules.Load()
 }
 
-// Stale tells that a newer revision may exist.
+// Stale reports whether a newer revision may exist that this router cannot reach.
 func (f *Follower) Stale() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.state.stale
 }
 
-// Known tells that some keeper or router has told its configuration.
-func (f *Follower) Known() bool {
+// HasConfiguration reports whether a configuration has been received from a keeper or
+// another router.
+func (f *Follower) HasConfiguration() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.state.known
+	return f.state.received
 }
 
-// Run follows until the context ends.
+// Run follows the keepers until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	f.gather(ctx)
 	for ctx.Err() == nil {
@@ -129,9 +137,10 @@
 	}
 }
 
-// gather asks everybody at once and takes the highest revision.
+// gather asks all keepers and some routers at once and puts the highest revision in
+// force. It ends early when a keeper with a quorum answers; that keeper is polled first.
 func (f *Follower) gather(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, gatherWait)
+	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
 	var group sync.WaitGroup
 	for at, keeper := range f.options.Keepers {
@@ -141,56 +150,60 @@
 			if err != nil {
 				return
 			}
-			f.take(0, answer)
+			f.applyAnswer(0, answer)
 			if !answer.GetStale() {
-				f.prefer(at)
+				f.setKeeper(at)
 				cancel()
 			}
 		})
 	}
 	for _, address := range f.peers() {
-		group.Go(func() { f.askPeer(ctx, address) })
+		group.Go(func() { f.queryPeer(ctx, address) })
 	}
 	group.Wait()
 }
 
+// peers returns the routers to ask, at most maxPeersQueried.
 func (f *Follower) peers() []netip.AddrPort {
 	if f.options.Peers == nil {
 		return nil
 	}
 	peers := f.options.Peers()
-	return peers[:min(len(peers), maxPeersAsked)]
+	return peers[:min(len(peers), maxPeersQueried)]
 }
 
-func (f *Follower) askPeer(ctx context.Context, address netip.AddrPort) {
+// queryPeer asks another router for its snapshot. Errors are ignored.
+func (f *Follower) queryPeer(ctx context.Context, address netip.AddrPort) {
 	answer, err := f.options.Peer(address).Snapshot(ctx, &messenger.WatchRequest{After: f.Rules().Revision})
 	if err == nil && answer.GetRevision() > 0 {
-		f.takePeer(answer)
+		f.applyPeerAnswer(answer)
 	}
 }
 
-// takePeer takes another router's configuration only if it is newer: what that
-// router says about staleness is about itself.
-func (f *Follower) takePeer(answer *messenger.WatchResponse) {
+// applyPeerAnswer applies another router's snapshot only if it is newer than the
+// configuration in force: an answer of the same revision would otherwise change the
+// stale flag, and the flag in a router's answer describes that router.
+func (f *Follower) applyPeerAnswer(answer *messenger.WatchResponse) {
 	f.mutex.Lock()
 	newer := answer.GetRevision() > f.state.snapshot.Revision
 	f.mutex.Unlock()
 	if newer {
-		f.take(0, answer)
+		f.applyAnswer(0, answer)
 	}
 }
 
-func (f *Follower) prefer(at int) {
+// setKeeper sets the keeper to poll next.
+func (f *Follower) setKeeper(at int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.keeper = at
+	f.keeperIndex = at
 }
 
-// poll asks one keeper for news, and turns to the next one when this one does
-// not answer, has no quorum, or is behind this router.
+// poll asks one keeper for a newer revision, and switches to the next keeper if this one
+// does not answer, has no quorum, or is behind this router.
 func (f *Follower) poll(ctx context.Context) {
 	f.mutex.Lock()
-	after, stale, known, at := f.state.snapshot.Revision, f.state.stale, f.state.known, f.keeper
+	after, stale, known, at := f.state.snapshot.Revision, f.state.stale, f.state.received, f.keeperIndex
 	f.mutex.Unlock()
 	if len(f.options.Keepers) == 0 {
 		f.pause(ctx)
@@ -199,20 +212,22 @@
 	wait := pollWait
 	switch {
 	case !known:
-		wait = 0 // a fleet without any configuration has no news to wait for
+		wait = 0 // an empty fleet has no newer revision to wait for
 	case stale:
-		wait = staleWait
+		wait = stalePollWait
 	}
 	answer, err := f.watch(ctx, f.options.Keepers[at%len(f.options.Keepers)], after, wait)
 	if ctx.Err() != nil {
 		return
 	}
-	if err == nil && f.take(after, answer) != older && !answer.GetStale() {
+	if err == nil && f.applyAnswer(after, answer) != older && !answer.GetStale() {
 		return
 	}
-	f.lost(ctx, at, err != nil)
+	f.switchKeeper(ctx, at, err != nil)
 }
 
+// watch sends one poll for the revisions after a revision and acknowledges that revision
+// as in force.
 func (f *Follower) watch(ctx context.Context, keeper messenger.Keeping, after uint64, wait time.Duration) (*messenger.WatchResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+pollSlack)
 	defer cancel()
@@ -222,37 +237,40 @@
 	})
 }
 
-// lost turns to the next keeper. After a round without a quorum the
-// configuration counts as stale, and other routers are asked too.
-func (f *Follower) lost(ctx context.Context, at int, silent bool) {
+// switchKeeper switches from the keeper at index at to the next one. After the last
+// keeper it asks other routers for their snapshots and pauses; if the last keeper did
+// not answer (unanswered), the configuration also counts as stale.
+func (f *Follower) switchKeeper(ctx context.Context, at int, unanswered bool) {
 	next := (at + 1) % len(f.options.Keepers)
-	f.prefer(next)
+	f.setKeeper(next)
 	if next != 0 {
 		return
 	}
-	if silent {
+	if unanswered {
 		f.setStale()
 	}
-	ask, cancel := context.WithTimeout(ctx, gatherWait)
+	queryCtx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
 	var group sync.WaitGroup
 	for _, address := range f.peers() {
-		group.Go(func() { f.askPeer(ask, address) })
+		group.Go(func() { f.queryPeer(queryCtx, address) })
 	}
 	group.Wait()
 	f.pause(ctx)
 }
 
+// setStale marks the configuration as stale and logs the change.
 func (f *Follower) setStale() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if !f.state.stale {
 		f.options.Log.Warn().Uint64("revision", f.state.snapshot.Revision).
-			Msg("no keeper answers; the configuration in force may be stale")
+			Msg("no keeper with a quorum answers; the configuration in force may be stale and stays in force while the router retries")
 	}
 	f.state.stale = true
 }
 
+// pause waits for retryPause or until the context ends.
 func (f *Follower) pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -260,17 +278,18 @@
 	}
 }
 
-// take applies an answer and puts a new revision in force.
-func (f *Follower) take(after uint64, answer *messenger.WatchResponse) verdict {
+// applyAnswer applies the answer to a request for the revisions after a revision. If the
+// answer brings a newer revision, its rules are put in force.
+func (f *Follower) applyAnswer(after uint64, answer *messenger.WatchResponse) applyResult {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	was := f.state.stale
-	brought := f.state.apply(f.options.Clock.Now(), after, answer)
-	if was != f.state.stale {
+	wasStale := f.state.stale
+	result := f.state.apply(f.options.Clock.Now(), after, answer)
+	if wasStale != f.state.stale {
 		f.options.Log.Info().Bool("stale", f.state.stale).Msg("contact with a quorum of keepers changed")
 	}
-	if brought != newer {
-		return brought
+	if result != newer {
+		return result
 	}
 	rules := matcher.Compile(f.state.snapshot)
 	f.rules.Store(rules)
@@ -278,10 +297,11 @@
 	if f.options.Changed != nil {
 		f.options.Changed(rules)
 	}
-	return brought
+	return result
 }
 
-// Snapshot implements conductor.Snapshots.
+// Snapshot implements conductor.Snapshots: it returns this router's configuration if it
+// is newer than the requested revision, and an empty answer marked stale otherwise.
 func (f *Follower) Snapshot(_ context.Context, request *messenger.WatchRequest) (*messenger.WatchResponse, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/router/internal/follower/follower_test.go
+++ b/router/internal/follower/follower_test.go
@@ -18,13 +18,14 @@
 	"shallotkeel.example/lib/messenger"
 )
 
+// object returns a workspace with a weight.
 func object(name, weight string) *messenger.Object {
 	return &messenger.Object{Kind: string(describer.Workspace), Name: name, Labels: map[string]string{"weight": weight}}
 }
 
-// Symptom: an accepted change reverts at a router.
-// Sequence: answers of keepers that are behind, repeated and reordered.
-// Cause: an answer is applied because it came last, not because it is newer.
+// Guards against applying an answer because it arrived last and not because it is newer:
+// repeated and reordered answers of keepers that are behind would revert an accepted
+// change at a router.
 func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s state
@@ -36,15 +37,16 @@
 				Revision: rapid.Uint64Range(0, 20).Draw(t, "revision"),
 				Full:     rapid.Bool().Draw(t, "full"),
 			}
-			brought := s.apply(now, after, answer)
+			result := s.apply(now, after, answer)
 			require.GreaterOrEqual(t, s.snapshot.Revision, before.Revision)
-			if brought != newer {
+			if result != newer {
 				require.Equal(t, before.Revision, s.snapshot.Revision)
 			}
 		}
 	})
 }
 
+// Only a full answer, or a difference from the revision in force, changes the snapshot.
 func TestApply(t *testing.T) {
 	start := func() *state {
 		s := &state{}
@@ -56,46 +58,47 @@
 	for name, test := range map[string]struct {
 		after   uint64
 		answer  *messenger.WatchResponse
-		verdict verdict
+		result  applyResult
 		objects int
 	}{
 		"difference": {
-			after: 5, verdict: newer, objects: 2,
+			after: 5, result: newer, objects: 2,
 			answer: &messenger.WatchResponse{
 				Revision: 6, Objects: []*messenger.Object{object("c", "1")},
 				Deletions: []*messenger.Deletion{{Kind: "workspace", Name: "a"}},
 			},
 		},
-		"difference from another revision": {after: 3, answer: &messenger.WatchResponse{Revision: 6}, verdict: gap, objects: 2},
+		"difference from another revision": {after: 3, answer: &messenger.WatchResponse{Revision: 6}, result: gap, objects: 2},
 		"whole": {
 			after: 0, answer: &messenger.WatchResponse{Revision: 9, Full: true, Objects: []*messenger.Object{object("z", "1")}},
-			verdict: newer, objects: 1,
+			result: newer, objects: 1,
 		},
-		"older":     {after: 5, answer: &messenger.WatchResponse{Revision: 4, Full: true}, verdict: older, objects: 2},
-		"unchanged": {after: 5, answer: &messenger.WatchResponse{Revision: 5, Stale: true}, verdict: unchanged, objects: 2},
+		"older":     {after: 5, answer: &messenger.WatchResponse{Revision: 4, Full: true}, result: older, objects: 2},
+		"unchanged": {after: 5, answer: &messenger.WatchResponse{Revision: 5, Stale: true}, result: unchanged, objects: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := start()
-			require.Equal(t, test.verdict, s.apply(time.Unix(0, 0), test.after, test.answer))
+			require.Equal(t, test.result, s.apply(time.Unix(0, 0), test.after, test.answer))
 			require.Len(t, s.snapshot.Objects, test.objects)
 			require.Equal(t, test.answer.GetStale(), s.stale)
 		})
 	}
 }
 
-// keeper answers from a script, and then holds the poll.
-type keeper struct {
+// scriptedKeeper returns its answers in order, and then holds polls until they are
+// cancelled.
+type scriptedKeeper struct {
 	messenger.Keeping
-	mutex   sync.Mutex
-	answers []*messenger.WatchResponse
-	seen    []*messenger.WatchRequest
+	mutex    sync.Mutex
+	answers  []*messenger.WatchResponse
+	requests []*messenger.WatchRequest
 }
 
 var errCut = errors.New("cut")
 
-func (k *keeper) Watch(ctx context.Context, q *messenger.WatchRequest) (*messenger.WatchResponse, error) {
+func (k *scriptedKeeper) Watch(ctx context.Context, q *messenger.WatchRequest) (*messenger.WatchResponse, error) {
 	k.mutex.Lock()
-	k.seen = append(k.seen, q)
+	k.requests = append(k.requests, q)
 	if len(k.answers) > 0 {
 		answer := k.answers[0]
 		k.answers = k.answers[1:]
@@ -107,21 +110,24 @@
 	return nil, errCut
 }
 
-type member struct {
+// fakePeer is another router with a fixed snapshot.
+type fakePeer struct {
 	messenger.Membership
 	answer *messenger.WatchResponse
 }
 
-func (m *member) Snapshot(context.Context, *messenger.WatchRequest) (*messenger.WatchResponse, error) {
+func (m *fakePeer) Snapshot(context.Context, *messenger.WatchRequest) (*messenger.WatchResponse, error) {
 	return m.answer, nil
 }
 
-func follow(t *testing.T, keepers []messenger.Keeping, peer *messenger.WatchResponse) (*Follower, chan uint64) {
+// startFollower runs a follower with one peer. The channel receives each revision that is
+// put in force.
+func startFollower(t *testing.T, keepers []messenger.Keeping, peer *messenger.WatchResponse) (*Follower, chan uint64) {
 	revisions := make(chan uint64, 16)
 	f := New(Options{
 		Name: "router-a1", Zone: "trento-a", Keepers: keepers, Clock: clockwork.NewRealClock(), Log: zerolog.Nop(),
 		Peers:   func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1")} },
-		Peer:    func(netip.AddrPort) messenger.Membership { return &member{answer: peer} },
+		Peer:    func(netip.AddrPort) messenger.Membership { return &fakePeer{answer: peer} },
 		Changed: func(rules *matcher.Rules) { revisions <- rules.Revision },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -134,14 +140,13 @@
 	return f, revisions
 }
 
-// Symptom: a router that starts in a cut-off zone serves nothing, or an old
-// configuration without saying so.
-// Sequence: the zone's keeper has no quorum and is behind; another router of
-// the zone has a newer revision.
-// Cause: the first answer is taken for the best one.
+// Guards against treating the first answer as the best: when a router starts in a
+// partitioned zone whose keeper has no quorum and is behind, while another router of the
+// zone has a newer revision, it would serve nothing, or an old configuration that is not
+// marked stale.
 func TestStartsWithTheHighestRevisionReachable(t *testing.T) {
-	behind := &keeper{answers: []*messenger.WatchResponse{{Revision: 3, Full: true, Stale: true}}}
-	f, revisions := follow(t, []messenger.Keeping{behind}, &messenger.WatchResponse{Revision: 7, Full: true, Stale: true})
+	behind := &scriptedKeeper{answers: []*messenger.WatchResponse{{Revision: 3, Full: true, Stale: true}}}
+	f, revisions := startFollower(t, []messenger.Keeping{behind}, &messenger.WatchResponse{Revision: 7, Full: true, Stale: true})
 	for revision := range revisions {
 		if revision == 7 {
 			break
@@ -151,33 +156,34 @@
 	require.Equal(t, uint64(7), f.Rules().Revision)
 }
 
-// Symptom: `skctl apply --wait` never returns.
-// Sequence: a change is accepted; the router follows by long poll.
-// Cause: the router does not tell which revision it has in force.
+// Guards against a router whose long polls do not carry its revision in force: after an
+// accepted change, `skctl apply --wait` would never return.
 func TestAcknowledgesTheRevisionInForce(t *testing.T) {
-	k := &keeper{answers: []*messenger.WatchResponse{
+	k := &scriptedKeeper{answers: []*messenger.WatchResponse{
 		{Revision: 1, Full: true}, {Revision: 2, Objects: []*messenger.Object{object("a", "2")}},
 	}}
-	f, revisions := follow(t, []messenger.Keeping{k}, &messenger.WatchResponse{})
+	f, revisions := startFollower(t, []messenger.Keeping{k}, &messenger.WatchResponse{})
 	require.Equal(t, uint64(1), <-revisions)
 	require.Equal(t, uint64(2), <-revisions)
 	require.Eventually(t, func() bool {
 		k.mutex.Lock()
 		defer k.mutex.Unlock()
-		return k.seen[len(k.seen)-1].GetInForce() == 2
+		return k.requests[len(k.requests)-1].GetInForce() == 2
 	}, 5*time.Second, time.Millisecond)
 	require.False(t, f.Stale())
 	require.InDelta(t, 2, f.Rules().Weight("a"), 0)
 }
 
-func TestQuarantineHoldsHereAtOnce(t *testing.T) {
+// A published fingerprint is quarantined at this router before the keepers return it, and
+// a fingerprint from a keeper only for its remaining time.
+func TestQuarantineAppliesLocallyAtOnce(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	f := New(Options{Clock: clock, Log: zerolog.Nop(), Publisher: publisher{}})
+	f := New(Options{Clock: clock, Log: zerolog.Nop(), Publisher: fakePublisher{}})
 	f.Publish(7)
-	left, quarantined := f.Quarantined(7)
+	remaining, quarantined := f.Quarantined(7)
 	require.True(t, quarantined)
-	require.Equal(t, quarantineFor, left)
-	f.take(0, &messenger.WatchResponse{QuarantineRevision: 1, Quarantined: []*messenger.Fingerprint{{Digest: 8, LeftMs: 1000}}})
+	require.Equal(t, quarantineDuration, remaining)
+	f.applyAnswer(0, &messenger.WatchResponse{QuarantineRevision: 1, Quarantined: []*messenger.Fingerprint{{Digest: 8, LeftMs: 1000}}})
 	_, quarantined = f.Quarantined(8)
 	require.True(t, quarantined)
 	clock.Advance(2 * time.Second)
@@ -185,8 +191,9 @@
 	require.False(t, quarantined)
 }
 
-type publisher struct{}
+// fakePublisher accepts every fingerprint.
+type fakePublisher struct{}
 
-func (publisher) Quarantine(context.Context, *messenger.QuarantineRequest) (*messenger.QuarantineResponse, error) {
+func (fakePublisher) Quarantine(context.Context, *messenger.QuarantineRequest) (*messenger.QuarantineResponse, error) {
 	return &messenger.QuarantineResponse{}, nil
 }
--- a/router/internal/follower/quarantine.go
+++ b/router/internal/follower/quarantine.go
@@ -7,41 +7,44 @@
 	"shallotkeel.example/lib/messenger"
 )
 
+// publishTimeout bounds the attempts to publish a fingerprint.
 const publishTimeout = 10 * time.Second
 
-// Quarantined tells whether a fingerprint is in quarantine, here or fleet-wide.
+// Quarantined reports whether a fingerprint is in quarantine, at this router or in the
+// whole fleet, and the remaining time.
 func (f *Follower) Quarantined(digest uint64) (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	until := f.state.quarantined[digest]
-	if own := f.own[digest]; own.After(until) {
-		until = own
+	if local := f.localQuarantine[digest]; local.After(until) {
+		until = local
 	}
-	left := until.Sub(f.options.Clock.Now())
-	return left, left > 0
+	remaining := until.Sub(f.options.Clock.Now())
+	return remaining, remaining > 0
 }
 
-// Publish puts a fingerprint into quarantine, here at once and everywhere as
-// soon as the keepers have it.
+// Publish puts a fingerprint into quarantine: at this router immediately, and in the
+// whole fleet once the keepers have accepted it.
 func (f *Follower) Publish(digest uint64) {
 	f.mutex.Lock()
 	now := f.options.Clock.Now()
-	for known, until := range f.own {
-		if len(f.own) >= maxQuarantined || !until.After(now) {
-			delete(f.own, known)
+	for known, until := range f.localQuarantine {
+		if len(f.localQuarantine) >= maxLocalQuarantined || !until.After(now) {
+			delete(f.localQuarantine, known)
 		}
 	}
-	f.own[digest] = now.Add(quarantineFor)
+	f.localQuarantine[digest] = now.Add(quarantineDuration)
 	f.mutex.Unlock()
 	go f.publish(digest)
 }
 
-// publish tries until the keepers have it. Without them it still holds here.
+// publish retries until the keepers accept the fingerprint or publishTimeout is over. If
+// they do not accept it, the quarantine holds at this router only.
 func (f *Follower) publish(digest uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
 	defer cancel()
 	request := &messenger.QuarantineRequest{Fingerprints: []*messenger.Fingerprint{
-		{Digest: digest, LeftMs: uint32(quarantineFor.Milliseconds())},
+		{Digest: digest, LeftMs: uint32(quarantineDuration.Milliseconds())},
 	}}
 	for ctx.Err() == nil {
 		if _, err := f.options.Publisher.Quarantine(ctx, request); err == nil {
@@ -49,5 +52,5 @@
 		}
 		f.pause(ctx)
 	}
-	f.options.Log.Warn().Uint64("digest", digest).Msg("quarantine did not reach the keepers; it holds at this router only")
+	f.options.Log.Warn().Uint64("digest", digest).Msg("no keeper accepted the quarantined fingerprint before the timeout; the quarantine holds at this router only")
 }
--- a/router/internal/follower/state.go
+++ b/router/internal/follower/state.go
@@ -8,45 +8,47 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// verdict is what an answer brought.
-type verdict uint8
+// applyResult is the result of applying an answer.
+type applyResult uint8
 
 const (
-	unchanged verdict = iota
-	newer             // the configuration has a higher revision now
-	older             // the answer's revision is lower than the one in force
-	gap               // a difference from another revision than the one in force
+	unchanged applyResult = iota
+	newer                 // the answer's higher revision is in force now
+	older                 // the answer's revision is lower than the revision in force
+	gap                   // the answer is a difference from another revision than that in force
 )
 
-// state is the configuration in force, as a pure machine. A revision that was
-// in force is never replaced by a lower one.
+// state is the configuration in force, as a state machine without side effects. A
+// revision in force is never replaced by a lower one.
 type state struct {
-	snapshot    describer.Snapshot
-	quarantine  uint64 // revision of the fingerprints
-	quarantined map[uint64]time.Time
-	stale       bool
-	known       bool // some answer has come
+	snapshot           describer.Snapshot
+	quarantineRevision uint64 // revision of the quarantined fingerprints
+	quarantined        map[uint64]time.Time
+	stale              bool
+	received           bool // an answer has been applied
 }
 
-// apply takes an answer to a request for what came after a revision.
-func (s *state) apply(now time.Time, after uint64, answer *messenger.WatchResponse) verdict {
+// apply applies the answer to a request for the changes after a revision. Answers with
+// the result older or gap change nothing.
+func (s *state) apply(now time.Time, after uint64, answer *messenger.WatchResponse) applyResult {
 	if answer.GetRevision() < s.snapshot.Revision {
 		return older
 	}
 	if !answer.GetFull() && answer.GetRevision() > s.snapshot.Revision && after != s.snapshot.Revision {
 		return gap
 	}
-	s.known = true
+	s.received = true
 	s.stale = answer.GetStale()
-	s.takeQuarantine(now, answer)
+	s.replaceQuarantine(now, answer)
 	if answer.GetRevision() == s.snapshot.Revision {
 		return unchanged
 	}
-	s.snapshot = s.next(answer)
+	s.snapshot = s.nextSnapshot(answer)
 	return newer
 }
 
-func (s *state) next(answer *messenger.WatchResponse) describer.Snapshot {
+// nextSnapshot returns the snapshot with an answer's objects and deletions applied.
+func (s *state) nextSnapshot(answer *messenger.WatchResponse) describer.Snapshot {
 	next := s.snapshot.Clone()
 	if answer.GetFull() || next.Objects == nil {
 		next.Objects = make(map[describer.Key]describer.Object, len(answer.GetObjects()))
@@ -62,29 +64,32 @@
 	return next
 }
 
-func (s *state) takeQuarantine(now time.Time, answer *messenger.WatchResponse) {
-	if answer.GetQuarantineRevision() < s.quarantine {
+// replaceQuarantine replaces the quarantined fingerprints by an answer's, unless the
+// answer's are of an earlier revision.
+func (s *state) replaceQuarantine(now time.Time, answer *messenger.WatchResponse) {
+	if answer.GetQuarantineRevision() < s.quarantineRevision {
 		return
 	}
-	s.quarantine = answer.GetQuarantineRevision()
+	s.quarantineRevision = answer.GetQuarantineRevision()
 	s.quarantined = make(map[uint64]time.Time, len(answer.GetQuarantined()))
 	for _, f := range answer.GetQuarantined() {
 		s.quarantined[f.GetDigest()] = now.Add(time.Duration(f.GetLeftMs()) * time.Millisecond)
 	}
 }
 
-// encode gives everything to a router that reaches no keeper.
+// encode returns the whole state, for a router that reaches no keeper. It is marked
+// stale, because only a keeper can confirm that it is current.
 func (s *state) encode(now time.Time) *messenger.WatchResponse {
 	answer := &messenger.WatchResponse{
-		Revision: s.snapshot.Revision, Full: true, Stale: true, QuarantineRevision: s.quarantine,
+		Revision: s.snapshot.Revision, Full: true, Stale: true, QuarantineRevision: s.quarantineRevision,
 	}
 	for _, object := range s.snapshot.Objects {
 		answer.Objects = append(answer.Objects, configurer.ObjectToWire(object))
 	}
 	for digest, until := range s.quarantined {
-		if left := until.Sub(now); left > 0 {
+		if remaining := until.Sub(now); remaining > 0 {
 			answer.Quarantined = append(answer.Quarantined, &messenger.Fingerprint{
-				Digest: digest, LeftMs: uint32(left.Milliseconds()),
+				Digest: digest, LeftMs: uint32(remaining.Milliseconds()),
 			})
 		}
 	}
--- a/router/internal/registrar/announcement.go
+++ b/router/internal/registrar/announcement.go
@@ -11,21 +11,23 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// Bounds of one announcement.
+// Bounds of one announcement. maxNameLength is in bytes; maxHashes bounds the cache
+// events of each kind.
 const (
-	maxName   = 128
-	maxLabels = 64
-	maxModels = 256
-	maxSlots  = 65536
-	maxHashes = 8192
-	minTTL    = 100    // milliseconds
-	maxTTL    = 300000 // milliseconds: a silent endpoint must not stay for longer
+	maxNameLength = 128
+	maxLabels     = 64
+	maxModels     = 256
+	maxSlots      = 65536
+	maxHashes     = 8192
+	minTTLMs      = 100
+	maxTTLMs      = 300000 // an endpoint that stops announcing must not stay listed for longer
 )
 
 // errAnnouncement is the kind of every error in an announcement.
 var errAnnouncement = merry.Sentinel("announcement is malformed")
 
-// announcement is the body of POST /v1/endpoints/{id}.
+// announcement is the body of POST /v1/endpoints/{id}. TTL is in milliseconds; Cached and
+// Evicted are the hashes of prompt parts, as decimal texts.
 type announcement struct {
 	Incarnation uint64            `json:"incarnation"`
 	Service     string            `json:"service"`
@@ -43,7 +45,8 @@
 	Fence       uint64            `json:"fence"`
 }
 
-// message checks the announcement and returns what the scheduler is told.
+// message checks the announcement and returns it as the message to the scheduler of the
+// pool.
 func (a *announcement) message(id, zone string) (*messenger.Announcement, error) {
 	if problem := a.check(id); problem != "" {
 		return nil, merry.Errorf("%w: %s", errAnnouncement, problem)
@@ -51,11 +54,11 @@
 	if err := a.checkLabels(); err != nil {
 		return nil, err
 	}
-	cached, err := hashes(a.Cached)
+	cached, err := parseHashes(a.Cached)
 	if err != nil {
 		return nil, err
 	}
-	evicted, err := hashes(a.Evicted)
+	evicted, err := parseHashes(a.Evicted)
 	if err != nil {
 		return nil, err
 	}
@@ -67,19 +70,20 @@
 	}, nil
 }
 
-// check returns what is wrong, or nothing.
+// check returns the first problem of the announcement as a text for the endpoint, or an
+// empty text.
 func (a *announcement) check(id string) string {
 	address, err := netip.ParseAddrPort(a.Address)
 	switch {
-	case id == "" || len(id) > maxName:
+	case id == "" || len(id) > maxNameLength:
 		return "the id in the path must have 1 to 128 characters"
-	case a.Service == "" || len(a.Service) > maxName:
+	case a.Service == "" || len(a.Service) > maxNameLength:
 		return "service must have 1 to 128 characters"
 	case err != nil || address.Port() == 0 || address.Addr().IsUnspecified():
 		return "address must be an IP number and a port, such as 10.0.0.7:9000"
 	case a.Slots < 1 || a.Slots > maxSlots:
 		return "slots must be from 1 to 65536"
-	case a.TTL < minTTL || a.TTL > maxTTL:
+	case a.TTL < minTTLMs || a.TTL > maxTTLMs:
 		return "ttl_ms must be from 100 to 300000"
 	case len(a.Models) > maxModels || len(a.Loaded) > maxModels:
 		return "there may be at most 256 models"
@@ -90,8 +94,9 @@
 	}
 }
 
-// checkLabels also refuses the labels that the system sets itself: an endpoint
-// that claims another zone or service would take work it was never allowed.
+// checkLabels checks the labels and rejects those that the router sets itself: an
+// endpoint that sets another zone or service would get work that it is not allowed to
+// take.
 func (a *announcement) checkLabels() error {
 	if len(a.Labels) > maxLabels {
 		return merry.Errorf("%w: there may be at most %d labels", errAnnouncement, maxLabels)
@@ -108,8 +113,8 @@
 	return nil
 }
 
-// hashes reads decimal texts: JSON numbers lose digits.
-func hashes(texts []string) ([]uint64, error) {
+// parseHashes parses hashes from decimal texts. JSON numbers lose digits beyond 53 bits.
+func parseHashes(texts []string) ([]uint64, error) {
 	numbers := make([]uint64, 0, len(texts))
 	for _, text := range texts {
 		number, err := strconv.ParseUint(text, 10, 64)
--- a/router/internal/registrar/directory.go
+++ b/router/internal/registrar/directory.go
@@ -7,41 +7,47 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// maxKnown bounds the endpoints that a router remembers; at about 300 bytes
-// each this is 1.2 MiB. Beyond it a withdrawal may have to wait for the lease.
-const maxKnown = 4096
+// maxDirectoryEntries bounds the endpoints in a directory; at about 300 bytes each it
+// takes 1.2 MiB. The withdrawal of an endpoint beyond the bound is refused, and the
+// endpoint stays listed until its lease expires.
+const maxDirectoryEntries = 4096
 
-// directory remembers the last announcement of each endpoint for its time to
-// live, because a withdrawal names only the endpoint and not its service.
+// directory stores the last announcement of each endpoint for its time to live, because a
+// withdrawal names only the endpoint and not its service.
 type directory struct {
 	lock    sync.Mutex
-	entries map[string]known
+	entries map[string]directoryEntry
 }
 
-type known struct {
+// directoryEntry is a stored announcement, without its load and cache events, and the
+// end of its time to live.
+type directoryEntry struct {
 	message *messenger.Announcement
 	until   time.Time
 }
 
-func (d *directory) remember(now time.Time, message *messenger.Announcement) {
+// store adds an announcement or replaces the previous one of the endpoint. It does
+// nothing if the directory is full.
+func (d *directory) store(now time.Time, message *messenger.Announcement) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if d.entries == nil {
-		d.entries = make(map[string]known)
+		d.entries = make(map[string]directoryEntry)
 	}
-	if _, found := d.entries[message.Id]; !found && len(d.entries) >= maxKnown {
+	if _, found := d.entries[message.Id]; !found && len(d.entries) >= maxDirectoryEntries {
 		d.expire(now)
-		if len(d.entries) >= maxKnown {
+		if len(d.entries) >= maxDirectoryEntries {
 			return
 		}
 	}
-	kept := &messenger.Announcement{
+	stored := &messenger.Announcement{
 		Id: message.Id, Incarnation: message.Incarnation, Service: message.Service, Zone: message.Zone,
 		Address: message.Address, Labels: message.Labels, Models: message.Models, Slots: message.Slots,
 	}
-	d.entries[message.Id] = known{message: kept, until: now.Add(time.Duration(message.TtlMs) * time.Millisecond)}
+	d.entries[message.Id] = directoryEntry{message: stored, until: now.Add(time.Duration(message.TtlMs) * time.Millisecond)}
 }
 
+// expire removes the entries whose time to live is over. The caller holds the lock.
 func (d *directory) expire(now time.Time) {
 	for id, entry := range d.entries {
 		if entry.until.Before(now) {
@@ -50,8 +56,9 @@
 	}
 }
 
-// withdrawal returns the announcement that ends the endpoint's lease: leaving,
-// with the shortest time to live.
+// withdrawal returns the announcement that ends the endpoint's lease: leaving, with the
+// shortest time to live. It returns false if the directory has no current announcement
+// of this incarnation.
 func (d *directory) withdrawal(now time.Time, id string, incarnation uint64) (*messenger.Announcement, bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -59,14 +66,15 @@
 	if !found || entry.message.Incarnation != incarnation || entry.until.Before(now) {
 		return nil, false
 	}
-	kept := entry.message
+	last := entry.message
 	return &messenger.Announcement{
-		Id: id, Incarnation: incarnation, Service: kept.Service, Zone: kept.Zone, Address: kept.Address,
-		Labels: kept.Labels, Models: kept.Models, Slots: kept.Slots, Leaving: true, TtlMs: 1,
+		Id: id, Incarnation: incarnation, Service: last.Service, Zone: last.Zone, Address: last.Address,
+		Labels: last.Labels, Models: last.Models, Slots: last.Slots, Leaving: true, TtlMs: 1,
 	}, true
 }
 
-func (d *directory) forget(id string, incarnation uint64) {
+// remove deletes the entry of an endpoint if it is of the given incarnation.
+func (d *directory) remove(id string, incarnation uint64) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if entry, found := d.entries[id]; found && entry.message.Incarnation == incarnation {
--- a/router/internal/registrar/registrar.go
+++ b/router/internal/registrar/registrar.go
@@ -1,10 +1,10 @@
-// Package registrar takes the announcements of endpoints and passes them on to
-// the scheduler of their pool.
+// Package registrar accepts the announcements and withdrawals of endpoints and
+// forwards them to the scheduler of their pool.
 //
-// Invariants: an announcement that is passed on is complete and names this
-// router's availability zone; what an endpoint can make a router hold is
-// bounded, in one announcement and in all; a withdrawal is passed on only when
-// the router knows which service the endpoint belongs to.
+// Invariants: a forwarded announcement is complete and names this router's
+// availability zone; the memory that endpoints can make a router use is bounded,
+// per announcement and in total; a withdrawal is forwarded only if the router
+// knows the service of the endpoint.
 package registrar
 
 import (
@@ -27,40 +27,43 @@
 )
 
 const (
-	// maxBody bounds an announcement: a thousand cache events of each kind and
-	// labels fit into a quarter of it.
+	// maxBody bounds the body of an announcement in bytes: a thousand cache events of
+	// each kind and the labels fit into a quarter of it.
 	maxBody = 256 << 10
-	// announceTimeout is how long the pool's scheduler may take to answer.
+	// announceTimeout bounds the call to the pool's scheduler.
 	announceTimeout = time.Second
-	retryLater      = time.Second
+	// retryAfter is the pause after which an endpoint should announce again, after no
+	// scheduler was reached.
+	retryAfter = time.Second
 )
 
-// Announcer passes an announcement on to its pool's scheduler.
+// Announcer sends an announcement to the scheduler of its pool.
 type Announcer interface {
 	Announce(ctx context.Context, announcement *messenger.Announcement) error
 }
 
-// Options are what a Registrar is made of.
+// Options configure a Registrar.
 type Options struct {
 	Announcer Announcer
-	Token     string // the endpoints' token, good for every service
-	// Scoped returns the service that another token is good for; nil if there are none.
+	Token     string // the endpoints' token, valid for every service
+	// Scoped returns the service that another token is valid for; nil if there are no
+	// such tokens.
 	Scoped   func(token string) (service string, found bool)
 	Zone     string
 	Clock    clockwork.Clock
 	Log      zerolog.Logger
-	Registry *prometheus.Registry // nil keeps the metrics unregistered
+	Registry *prometheus.Registry // nil leaves the metrics unregistered
 }
 
-// Registrar serves endpoints.
+// Registrar serves the endpoints' API.
 type Registrar struct {
-	options Options
-	fleet   refuser.Allowed // the token that is good for every service
-	known   directory
-	calls   *prometheus.CounterVec
+	options      Options
+	isFleetToken refuser.Allowed // accepts the token that is valid for every service
+	directory    directory       // the announcements accepted by this router
+	calls        *prometheus.CounterVec
 }
 
-// New returns a registrar; Register puts it on a mux.
+// New returns a registrar; Register adds its handlers to a mux.
 func New(options Options) *Registrar {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "shallotkeel_announcements_total",
@@ -69,13 +72,14 @@
 	if options.Registry != nil {
 		options.Registry.MustRegister(calls)
 	}
-	return &Registrar{options: options, fleet: refuser.Token(options.Token), calls: calls}
+	return &Registrar{options: options, isFleetToken: refuser.Token(options.Token), calls: calls}
 }
 
-// Register serves the endpoints' paths.
+// Register adds the handlers of the endpoints' paths to a mux. Every path needs the
+// endpoints' token or the token of a service.
 func (r *Registrar) Register(mux *http.ServeMux) {
 	const remedy = "set the endpoints' token in the settings of the endpoint and of the router"
-	allowed := refuser.Either(r.fleet, func(token string) bool {
+	allowed := refuser.Either(r.isFleetToken, func(token string) bool {
 		_, found := r.scoped(token)
 		return found
 	})
@@ -83,6 +87,7 @@
 	mux.HandleFunc("DELETE /v1/endpoints/{id}", refuser.Guard(allowed, remedy, r.withdraw))
 }
 
+// scoped returns the service that a token is valid for, if it is the token of a service.
 func (r *Registrar) scoped(token string) (service string, found bool) {
 	if r.options.Scoped == nil {
 		return "", false
@@ -90,17 +95,18 @@
 	return r.options.Scoped(token)
 }
 
-// mayAnnounce tells whether the request's token is good for the service. A
-// service's own token must not let its holder take over another service's work.
+// mayAnnounce reports whether the request's token is valid for the service. The token of
+// one service must not let its holder take over the work of another service.
 func (r *Registrar) mayAnnounce(h *http.Request, service string) bool {
 	token := refuser.Bearer(h)
-	if r.fleet(token) {
+	if r.isFleetToken(token) {
 		return true
 	}
 	scope, found := r.scoped(token)
 	return found && scope == service
 }
 
+// announce handles POST /v1/endpoints/{id}.
 func (r *Registrar) announce(w http.ResponseWriter, h *http.Request) {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, h.Body, maxBody))
 	decoder.DisallowUnknownFields()
@@ -114,12 +120,14 @@
 		r.refuseBody(w, err)
 		return
 	}
-	if !r.pass(w, h, message) {
+	if !r.forward(w, h, message) {
 		return
 	}
-	r.known.remember(r.options.Clock.Now(), message)
+	r.directory.store(r.options.Clock.Now(), message)
 }
 
+// withdraw handles DELETE /v1/endpoints/{id}. It sends the endpoint's last announcement
+// again, as leaving.
 func (r *Registrar) withdraw(w http.ResponseWriter, h *http.Request) {
 	incarnation, err := strconv.ParseUint(h.URL.Query().Get("incarnation"), 10, 64)
 	if err != nil {
@@ -127,7 +135,7 @@
 		return
 	}
 	id := h.PathValue("id")
-	message, found := r.known.withdrawal(r.options.Clock.Now(), id, incarnation)
+	message, found := r.directory.withdrawal(r.options.Clock.Now(), id, incarnation)
 	if !found {
 		r.calls.WithLabelValues("unknown").Inc()
 		refuser.Write(w, http.StatusNotFound, reporter.FailureBody{
@@ -137,13 +145,14 @@
 		})
 		return
 	}
-	if r.pass(w, h, message) {
-		r.known.forget(id, incarnation)
+	if r.forward(w, h, message) {
+		r.directory.remove(id, incarnation)
 	}
 }
 
-// pass hands the message to the pool's scheduler and answers the endpoint.
-func (r *Registrar) pass(w http.ResponseWriter, h *http.Request, message *messenger.Announcement) bool {
+// forward sends a message to the pool's scheduler and answers the endpoint. It returns
+// whether the scheduler accepted the message.
+func (r *Registrar) forward(w http.ResponseWriter, h *http.Request, message *messenger.Announcement) bool {
 	if !r.mayAnnounce(h, message.GetService()) {
 		r.calls.WithLabelValues("refused").Inc()
 		refuser.Write(w, http.StatusForbidden, reporter.FailureBody{
@@ -159,7 +168,7 @@
 		w.Header().Set("Retry-After", "1")
 		refuser.Write(w, http.StatusServiceUnavailable, reporter.FailureBody{
 			Type: refuser.NotRun, Code: "no_scheduler", Message: "the announcement reached no scheduler",
-			Remedy: "announce again, to this router or another of the availability zone", RetryMS: retryLater.Milliseconds(),
+			Remedy: "announce again, to this router or another of the availability zone", RetryMS: retryAfter.Milliseconds(),
 		})
 		return false
 	}
@@ -168,6 +177,7 @@
 	return true
 }
 
+// refuseBody answers an announcement that is too large or malformed.
 func (r *Registrar) refuseBody(w http.ResponseWriter, err error) {
 	r.calls.WithLabelValues("malformed").Inc()
 	var tooLarge *http.MaxBytesError
--- a/router/internal/registrar/registrar_test.go
+++ b/router/internal/registrar/registrar_test.go
@@ -17,21 +17,23 @@
 	"shallotkeel.example/router/internal/registrar"
 )
 
-// zone takes announcements as a zone's schedulers do.
-type zone struct {
-	taken []*messenger.Announcement
-	err   error
-	clock *clockwork.FakeClock
-	mux   *http.ServeMux
+// fakeZone is a registrar whose announcements it records in place of the zone's
+// schedulers. Announce returns err.
+type fakeZone struct {
+	announcements []*messenger.Announcement
+	err           error
+	clock         *clockwork.FakeClock
+	mux           *http.ServeMux
 }
 
-func (z *zone) Announce(_ context.Context, announcement *messenger.Announcement) error {
-	z.taken = append(z.taken, announcement)
+func (z *fakeZone) Announce(_ context.Context, announcement *messenger.Announcement) error {
+	z.announcements = append(z.announcements, announcement)
 	return z.err
 }
 
-func newZone() *zone {
-	z := &zone{clock: clockwork.NewFakeClock(), mux: http.NewServeMux()}
+// newZone returns a zone that also accepts the token "SERVICE-secret" of each service.
+func newZone() *fakeZone {
+	z := &fakeZone{clock: clockwork.NewFakeClock(), mux: http.NewServeMux()}
 	registrar.New(registrar.Options{
 		Announcer: z, Token: "secret", Zone: "trento-a", Clock: z.clock, Log: zerolog.Nop(),
 		Scoped: func(token string) (string, bool) {
@@ -42,7 +44,7 @@
 	return z
 }
 
-func (z *zone) call(method, path, body, token string) *httptest.ResponseRecorder {
+func (z *fakeZone) call(method, path, body, token string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+token)
 	recorder := httptest.NewRecorder()
@@ -50,14 +52,14 @@
 	return recorder
 }
 
-const good = `{"incarnation":3,"service":"modelli","address":"10.0.0.7:9000","labels":{"gpu":"l4"},"models":["draft-7b"],
+const validAnnouncement = `{"incarnation":3,"service":"modelli","address":"10.0.0.7:9000","labels":{"gpu":"l4"},"models":["draft-7b"],
 	"slots":8,"ttl_ms":3000,"load":2,"cached":["18446744073709551615"],"evicted":[],"leaving":false,"fenced":true,"loaded":["draft-7b"],"fence":4}`
 
 func TestAnnouncementIsPassedOn(t *testing.T) {
 	z := newZone()
-	require.Equal(t, http.StatusNoContent, z.call("POST", "/v1/endpoints/worker-1", good, "secret").Code)
-	require.Len(t, z.taken, 1)
-	got := z.taken[0]
+	require.Equal(t, http.StatusNoContent, z.call("POST", "/v1/endpoints/worker-1", validAnnouncement, "secret").Code)
+	require.Len(t, z.announcements, 1)
+	got := z.announcements[0]
 	require.Equal(t, "worker-1", got.Id)
 	require.Equal(t, "trento-a", got.Zone)
 	require.Equal(t, []uint64{18446744073709551615}, got.Cached, "JSON numbers would lose digits")
@@ -66,27 +68,27 @@
 }
 
 func TestMalformedAnnouncements(t *testing.T) {
-	for name, test := range map[string]struct{ old, now, names string }{
-		"unknown key":  {`"load"`, `"laod"`, "laod"},
-		"no address":   {`10.0.0.7:9000`, `worker:9000`, "IP number"},
-		"any address":  {`10.0.0.7:9000`, `0.0.0.0:9000`, "IP number"},
-		"no slots":     {`"slots":8`, `"slots":0`, "slots"},
-		"many slots":   {`"slots":8`, `"slots":99999999`, "slots"},
-		"no time":      {`"ttl_ms":3000`, `"ttl_ms":0`, "ttl_ms"},
-		"endless":      {`"ttl_ms":3000`, `"ttl_ms":999999999`, "ttl_ms"},
-		"no service":   {`"modelli"`, `""`, "service"},
-		"another zone": {`"gpu"`, `"zone"`, "set by the router"},
-		"bad label":    {`"gpu"`, `"g p u"`, "label"},
-		"bad hash":     {`18446744073709551615`, `x`, "hash"},
-		"large":        {`"leaving"`, `"` + strings.Repeat("x", 300<<10) + `"`, "cache events"},
+	for name, test := range map[string]struct{ old, changed, want string }{
+		"unknown key":         {`"load"`, `"laod"`, "laod"},
+		"no address":          {`10.0.0.7:9000`, `worker:9000`, "IP number"},
+		"unspecified address": {`10.0.0.7:9000`, `0.0.0.0:9000`, "IP number"},
+		"no slots":            {`"slots":8`, `"slots":0`, "slots"},
+		"many slots":          {`"slots":8`, `"slots":99999999`, "slots"},
+		"no time":             {`"ttl_ms":3000`, `"ttl_ms":0`, "ttl_ms"},
+		"endless":             {`"ttl_ms":3000`, `"ttl_ms":999999999`, "ttl_ms"},
+		"no service":          {`"modelli"`, `""`, "service"},
+		"another zone":        {`"gpu"`, `"zone"`, "set by the router"},
+		"bad label":           {`"gpu"`, `"g p u"`, "label"},
+		"bad hash":            {`18446744073709551615`, `x`, "hash"},
+		"large":               {`"leaving"`, `"` + strings.Repeat("x", 300<<10) + `"`, "cache events"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			z := newZone()
-			got := z.call("POST", "/v1/endpoints/worker-1", strings.Replace(good, test.old, test.now, 1), "secret")
+			got := z.call("POST", "/v1/endpoints/worker-1", strings.Replace(validAnnouncement, test.old, test.changed, 1), "secret")
 			require.Contains(t, []int{http.StatusBadRequest, http.StatusRequestEntityTooLarge}, got.Code)
-			require.Contains(t, got.Body.String(), test.names)
+			require.Contains(t, got.Body.String(), test.want)
 			require.Contains(t, got.Body.String(), "remedy")
-			require.Empty(t, z.taken)
+			require.Empty(t, z.announcements)
 		})
 	}
 }
@@ -94,90 +96,91 @@
 func TestToken(t *testing.T) {
 	z := newZone()
 	for _, method := range []string{"POST", "DELETE"} {
-		require.Equal(t, http.StatusUnauthorized, z.call(method, "/v1/endpoints/worker-1?incarnation=3", good, "wrong").Code)
+		require.Equal(t, http.StatusUnauthorized, z.call(method, "/v1/endpoints/worker-1?incarnation=3", validAnnouncement, "wrong").Code)
 	}
-	require.Empty(t, z.taken)
+	require.Empty(t, z.announcements)
 }
 
-// A token without its scheme is no bearer token, however right it is.
+// A valid token without the Bearer scheme is refused.
 func TestTokenNeedsItsScheme(t *testing.T) {
 	z := newZone()
-	request := httptest.NewRequest("POST", "/v1/endpoints/worker-1", strings.NewReader(good))
+	request := httptest.NewRequest("POST", "/v1/endpoints/worker-1", strings.NewReader(validAnnouncement))
 	request.Header.Set("Authorization", "secret")
 	recorder := httptest.NewRecorder()
 	z.mux.ServeHTTP(recorder, request)
 	require.Equal(t, http.StatusUnauthorized, recorder.Code)
-	require.Empty(t, z.taken)
+	require.Empty(t, z.announcements)
 }
 
-// Symptom: work of one service goes to an endpoint of another. Events: whoever
-// holds the token of one service announces an endpoint for another, or withdraws
-// one. Cause: a service's token that is not bound to its service.
-func TestTokenOfAServiceIsGoodForThatOnly(t *testing.T) {
+// Guards against a service's token that is not bound to its service: its holder could
+// announce an endpoint for another service, or withdraw one, and work of one service
+// would go to an endpoint of another.
+func TestServiceTokenIsLimitedToItsService(t *testing.T) {
 	z := newZone()
-	require.Equal(t, http.StatusForbidden, z.call("POST", "/v1/endpoints/worker-1", good, "other-secret").Code)
-	require.Empty(t, z.taken)
-	require.Equal(t, http.StatusNoContent, z.call("POST", "/v1/endpoints/worker-1", good, "modelli-secret").Code)
+	require.Equal(t, http.StatusForbidden, z.call("POST", "/v1/endpoints/worker-1", validAnnouncement, "other-secret").Code)
+	require.Empty(t, z.announcements)
+	require.Equal(t, http.StatusNoContent, z.call("POST", "/v1/endpoints/worker-1", validAnnouncement, "modelli-secret").Code)
 	const path = "/v1/endpoints/worker-1?incarnation=3"
 	require.Equal(t, http.StatusForbidden, z.call("DELETE", path, "", "other-secret").Code)
-	require.Len(t, z.taken, 1)
+	require.Len(t, z.announcements, 1)
 	require.Equal(t, http.StatusNoContent, z.call("DELETE", path, "", "modelli-secret").Code)
 }
 
-// Symptom: an endpoint that has withdrawn gets work until its lease is over.
-// Sequence: it announces itself and withdraws. Cause: a withdrawal that names
-// only the endpoint cannot be passed on to its pool.
+// Guards against a withdrawal that cannot be forwarded to its pool because it names only
+// the endpoint: an endpoint that has announced itself and withdrawn would get work until
+// its lease expires.
 func TestWithdrawal(t *testing.T) {
 	for name, test := range map[string]struct {
-		path   string
-		passed time.Duration
-		status int
+		path    string
+		elapsed time.Duration
+		status  int
 	}{
 		"known":                {path: "worker-1?incarnation=3", status: http.StatusNoContent},
-		"earlier life":         {path: "worker-1?incarnation=2", status: http.StatusNotFound},
+		"earlier incarnation":  {path: "worker-1?incarnation=2", status: http.StatusNotFound},
 		"never announced here": {path: "worker-2?incarnation=3", status: http.StatusNotFound},
-		"lease over":           {path: "worker-1?incarnation=3", passed: time.Minute, status: http.StatusNotFound},
+		"lease over":           {path: "worker-1?incarnation=3", elapsed: time.Minute, status: http.StatusNotFound},
 		"no incarnation":       {path: "worker-1", status: http.StatusBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
 			z := newZone()
-			z.call("POST", "/v1/endpoints/worker-1", good, "secret")
-			z.clock.Advance(test.passed)
+			z.call("POST", "/v1/endpoints/worker-1", validAnnouncement, "secret")
+			z.clock.Advance(test.elapsed)
 			require.Equal(t, test.status, z.call("DELETE", "/v1/endpoints/"+test.path, "", "secret").Code)
 			if test.status != http.StatusNoContent {
-				require.Len(t, z.taken, 1)
+				require.Len(t, z.announcements, 1)
 				return
 			}
-			require.Equal(t, "modelli", z.taken[1].Service)
-			require.True(t, z.taken[1].Leaving)
+			require.Equal(t, "modelli", z.announcements[1].Service)
+			require.True(t, z.announcements[1].Leaving)
 			require.Equal(t, http.StatusNotFound, z.call("DELETE", "/v1/endpoints/"+test.path, "", "secret").Code)
 		})
 	}
 }
 
-func TestNoSchedulerIsTold(t *testing.T) {
+func TestUnreachableSchedulerAnswersUnavailable(t *testing.T) {
 	z := newZone()
 	z.err = errors.New("connection refused to 10.9.9.9")
-	got := z.call("POST", "/v1/endpoints/worker-1", good, "secret")
+	got := z.call("POST", "/v1/endpoints/worker-1", validAnnouncement, "secret")
 	require.Equal(t, http.StatusServiceUnavailable, got.Code)
 	require.Equal(t, "1", got.Header().Get("Retry-After"))
 	require.NotContains(t, got.Body.String(), "10.9.9.9")
 }
 
-// FuzzAnnouncement: whatever an endpoint sends is refused, or passed on complete.
+// FuzzAnnouncement sends arbitrary bodies: each must be refused, or forwarded as a
+// complete announcement.
 func FuzzAnnouncement(f *testing.F) {
-	f.Add(good)
+	f.Add(validAnnouncement)
 	f.Add(`{}`)
 	f.Add(`{"cached":null,"slots":-1}`)
 	f.Fuzz(func(t *testing.T, body string) {
 		z := newZone()
 		got := z.call("POST", "/v1/endpoints/worker-1", body, "secret")
 		if got.Code != http.StatusNoContent {
-			require.Empty(t, z.taken)
+			require.Empty(t, z.announcements)
 			return
 		}
-		require.NotEmpty(t, z.taken[0].Service)
-		require.Positive(t, z.taken[0].Slots)
-		require.Positive(t, z.taken[0].TtlMs)
+		require.NotEmpty(t, z.announcements[0].Service)
+		require.Positive(t, z.announcements[0].Slots)
+		require.Positive(t, z.announcements[0].TtlMs)
 	})
 }
--- a/router/internal/rotator/rotator.go
+++ b/router/internal/rotator/rotator.go
@@ -1,9 +1,9 @@
-// Package rotator calls the keepers, one after the other until one answers.
+// Package rotator calls the keepers one after the other until one of them answers.
 //
-// Invariants: the keeper that answered last is asked first; a call is made
-// again at another keeper only because every call of Keeping may be repeated
-// (changes by their id, claims and records by their owner, fingerprints by
-// their digest); an answer that says the request is wrong is final.
+// Invariants: the keeper that answered last is called first; a call may be
+// retried at another keeper because every call of Keeping is idempotent (changes
+// by their ID, claims and records by their owner, fingerprints by their digest);
+// an answer that rejects the request as invalid is final.
 package rotator
 
 import (
@@ -20,25 +20,26 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// ErrNoQuorum is the kind of the error when no keeper could answer.
+// ErrNoQuorum is the kind of the error when no keeper answered a call.
 var ErrNoQuorum = merry.Sentinel("no quorum of keepers answered")
 
-// attempt bounds one call; a keeper gives up a proposal after three seconds.
-const attempt = 3500 * time.Millisecond
+// attemptTimeout bounds a call to one keeper. It is longer than the three seconds after
+// which a keeper abandons a proposal.
+const attemptTimeout = 3500 * time.Millisecond
 
-// claimAttempt bounds one call for claims, which hold slots while they wait: a
-// keeper that is frozen accepts connections and answers nothing, and the next
-// one must be asked before the claims' own time is over. An election takes a
-// fraction of it.
-const claimAttempt = 800 * time.Millisecond
+// claimAttemptTimeout bounds a call for claims to one keeper. Requests hold slots while
+// their claims wait, and a frozen keeper accepts connections without answering, so the
+// next keeper must be called before the claims' own timeout. An election takes a
+// fraction of this time.
+const claimAttemptTimeout = 800 * time.Millisecond
 
-// Rotator calls keepers in turn. It is safe for concurrent use.
+// Rotator calls keepers with failover. It is safe for concurrent use.
 type Rotator struct {
-	keepers []messenger.Keeping
-	last    atomic.Int64
+	keepers      []messenger.Keeping
+	lastAnswered atomic.Int64 // index of the keeper that answered last
 }
 
-// New returns a rotator over the keepers' control addresses, preferred first.
+// New returns a rotator over the keepers' control addresses, in order of preference.
 func New(client *http.Client, addresses []netip.AddrPort) *Rotator {
 	r := &Rotator{}
 	for _, address := range addresses {
@@ -47,65 +48,68 @@
 	return r
 }
 
-// Keepers returns the clients, in the order of the settings.
+// Keepers returns the clients of the keepers, in the order given to New.
 func (r *Rotator) Keepers() []messenger.Keeping {
 	return r.keepers
 }
 
-// Apply passes a change on.
+// Apply submits a change of the configuration.
 func (r *Rotator) Apply(ctx context.Context, q *messenger.ApplyRequest) (*messenger.ApplyResponse, error) {
-	return try(ctx, r, q, messenger.Keeping.Apply)
+	return callAny(ctx, r, q, messenger.Keeping.Apply)
 }
 
-// Watch asks for the configuration.
+// Watch requests the configuration.
 func (r *Rotator) Watch(ctx context.Context, q *messenger.WatchRequest) (*messenger.WatchResponse, error) {
-	return try(ctx, r, q, messenger.Keeping.Watch)
+	return callAny(ctx, r, q, messenger.Keeping.Watch)
 }
 
-// History asks for past changes.
+// History requests past changes.
 func (r *Rotator) History(ctx context.Context, q *messenger.HistoryRequest) (*messenger.HistoryResponse, error) {
-	return try(ctx, r, q, messenger.Keeping.History)
+	return callAny(ctx, r, q, messenger.Keeping.History)
 }
 
-// Claim takes idempotency keys.
+// Claim claims idempotency keys.
 func (r *Rotator) Claim(ctx context.Context, q *messenger.ClaimRequest) (*messenger.ClaimResponse, error) {
-	return tryFor(ctx, claimAttempt, r, q, messenger.Keeping.Claim)
+	return callAnyWithin(ctx, claimAttemptTimeout, r, q, messenger.Keeping.Claim)
 }
 
-// Record stores outcomes.
+// Record stores outcomes of claimed requests.
 func (r *Rotator) Record(ctx context.Context, q *messenger.RecordRequest) (*messenger.RecordResponse, error) {
-	return try(ctx, r, q, messenger.Keeping.Record)
+	return callAny(ctx, r, q, messenger.Keeping.Record)
 }
 
 // Quarantine publishes fingerprints.
 func (r *Rotator) Quarantine(ctx context.Context, q *messenger.QuarantineRequest) (*messenger.QuarantineResponse, error) {
-	return try(ctx, r, q, messenger.Keeping.Quarantine)
+	return callAny(ctx, r, q, messenger.Keeping.Quarantine)
 }
 
 // Lease takes or renews a pool's lease.
 func (r *Rotator) Lease(ctx context.Context, q *messenger.LeaseRequest) (*messenger.LeaseResponse, error) {
-	return try(ctx, r, q, messenger.Keeping.Lease)
+	return callAny(ctx, r, q, messenger.Keeping.Lease)
 }
 
-// Status asks a keeper what it knows.
+// Status requests the status of a keeper and its group.
 func (r *Rotator) Status(ctx context.Context, q *messenger.KeeperStatusRequest) (*messenger.KeeperStatusResponse, error) {
-	return try(ctx, r, q, messenger.Keeping.Status)
+	return callAny(ctx, r, q, messenger.Keeping.Status)
 }
 
-// try asks every keeper once.
-func try[Q, A any](ctx context.Context, r *Rotator, request *Q, method func(messenger.Keeping, context.Context, *Q) (*A, error)) (*A, error) {
-	return tryFor(ctx, attempt, r, request, method)
+// callAny calls the keepers in turn, each at most once, until one answers.
+func callAny[Q, A any](ctx context.Context, r *Rotator, request *Q, method func(messenger.Keeping, context.Context, *Q) (*A, error)) (*A, error) {
+	return callAnyWithin(ctx, attemptTimeout, r, request, method)
 }
 
-func tryFor[Q, A any](ctx context.Context, limit time.Duration, r *Rotator, request *Q, method func(messenger.Keeping, context.Context, *Q) (*A, error)) (*A, error) {
-	err := merry.Errorf("the settings name no keeper")
-	first := int(r.last.Load())
+// callAnyWithin does the same with limit as the timeout of each attempt. It returns an
+// error of the kind ErrNoQuorum if no keeper answered, and the keeper's own error if the
+// request is invalid.
+func callAnyWithin[Q, A any](ctx context.Context, limit time.Duration, r *Rotator, request *Q, method func(messenger.Keeping, context.Context, *Q) (*A, error)) (*A, error) {
+	err := merry.Errorf("no keeper is configured, at least one is needed")
+	first := int(r.lastAnswered.Load())
 	for i := range r.keepers {
 		at := (first + i) % len(r.keepers)
 		var answer *A
-		answer, err = once(ctx, limit, r.keepers[at], request, method)
-		if err == nil || final(err) {
-			r.last.Store(int64(at))
+		answer, err = callOnce(ctx, limit, r.keepers[at], request, method)
+		if err == nil || isFinal(err) {
+			r.lastAnswered.Store(int64(at))
 			return answer, err
 		}
 		if ctx.Err() != nil {
@@ -115,14 +119,15 @@
 	return nil, merry.Errorf("%w: %v; check that most of the keepers run and reach each other", ErrNoQuorum, err)
 }
 
-func once[Q, A any](ctx context.Context, limit time.Duration, k messenger.Keeping, request *Q, method func(messenger.Keeping, context.Context, *Q) (*A, error)) (*A, error) {
+// callOnce calls one keeper with a timeout.
+func callOnce[Q, A any](ctx context.Context, limit time.Duration, k messenger.Keeping, request *Q, method func(messenger.Keeping, context.Context, *Q) (*A, error)) (*A, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return method(k, ctx, request)
 }
 
-// final tells errors that another keeper would answer with as well.
-func final(err error) bool {
+// isFinal reports whether every other keeper would answer with this error as well.
+func isFinal(err error) bool {
 	var answered twirp.Error
 	if !errors.As(err, &answered) {
 		return false
--- a/router/internal/rotator/rotator_test.go
+++ b/router/internal/rotator/rotator_test.go
@@ -11,6 +11,7 @@
 	"shallotkeel.example/lib/messenger"
 )
 
+// keeper counts its calls and answers with err.
 type keeper struct {
 	messenger.Keeping
 	err   error
@@ -22,7 +23,8 @@
 	return &messenger.ApplyResponse{}, k.err
 }
 
-func TestTurnsToTheNextKeeper(t *testing.T) {
+// A call fails over to the next keeper unless the keeper rejects the request.
+func TestFailoverToTheNextKeeper(t *testing.T) {
 	down := twirp.NewError(twirp.Unavailable, "no quorum")
 	wrong := twirp.InvalidArgumentError("edits", "are malformed")
 	for name, test := range map[string]struct {
@@ -31,11 +33,11 @@
 		fails bool
 		kind  error
 	}{
-		"first answers":      {errs: []error{nil, nil}, calls: []int{1, 0}},
-		"first is down":      {errs: []error{down, nil}, calls: []int{1, 1}},
-		"all are down":       {errs: []error{down, down}, calls: []int{1, 1}, fails: true, kind: ErrNoQuorum},
-		"request is wrong":   {errs: []error{wrong, nil}, calls: []int{1, 0}, fails: true, kind: wrong},
-		"no keeper is known": {fails: true, kind: ErrNoQuorum},
+		"first answers":           {errs: []error{nil, nil}, calls: []int{1, 0}},
+		"first is down":           {errs: []error{down, nil}, calls: []int{1, 1}},
+		"all are down":            {errs: []error{down, down}, calls: []int{1, 1}, fails: true, kind: ErrNoQuorum},
+		"request is wrong":        {errs: []error{wrong, nil}, calls: []int{1, 0}, fails: true, kind: wrong},
+		"no keeper is configured": {fails: true, kind: ErrNoQuorum},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &Rotator{}
@@ -52,7 +54,8 @@
 	}
 }
 
-func TestRemembersWhoAnswered(t *testing.T) {
+// Guards against calling an unavailable keeper again before each call.
+func TestLastAnsweringKeeperIsCalledFirst(t *testing.T) {
 	first := &keeper{err: twirp.NewError(twirp.Unavailable, "no quorum")}
 	second := &keeper{}
 	r := &Rotator{keepers: []messenger.Keeping{first, second}}
@@ -64,12 +67,12 @@
 	require.Equal(t, 3, second.calls)
 }
 
-// frozen is a keeper whose process is stopped: calls hang.
-type frozen struct {
+// frozenKeeper is a keeper whose process is suspended: calls hang until they time out.
+type frozenKeeper struct {
 	messenger.Keeping
 }
 
-func (frozen) Claim(ctx context.Context, _ *messenger.ClaimRequest) (*messenger.ClaimResponse, error) {
+func (frozenKeeper) Claim(ctx context.Context, _ *messenger.ClaimRequest) (*messenger.ClaimResponse, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -79,21 +82,20 @@
 	return &messenger.ClaimResponse{}, k.err
 }
 
-// Symptom: requests that may not repeat are refused for seconds although two of
-// three keepers work.
-// Sequence: the keeper that answered last is frozen; each call waits for it
-// until the claims' own time is over, and starts with it again.
-// Cause: one attempt took as long as a whole call of claims.
+// Guards against an attempt that takes as long as a whole call for claims: if the keeper
+// that answered last is frozen, each call waits for it until the claims' own timeout, and
+// the next call starts with the same keeper. Requests that may not repeat would be refused
+// for seconds although two of three keepers work.
 func TestFrozenKeeperLeavesTimeForTheNext(t *testing.T) {
-	// What package claimant allows for one call of claims.
+	// callTimeout equals the timeout of package claimant for one call for claims.
 	const callTimeout = 2 * time.Second
-	alive := &keeper{}
-	r := &Rotator{keepers: []messenger.Keeping{frozen{}, alive}}
+	healthy := &keeper{}
+	r := &Rotator{keepers: []messenger.Keeping{frozenKeeper{}, healthy}}
 	ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 	defer cancel()
 	_, err := r.Claim(ctx, &messenger.ClaimRequest{})
 	require.NoError(t, err)
 	_, err = r.Claim(ctx, &messenger.ClaimRequest{})
 	require.NoError(t, err)
-	require.Equal(t, 2, alive.calls, "the keeper that answered last is asked first")
+	require.Equal(t, 2, healthy.calls, "the keeper that answered last is called first")
 }
--- a/router/main.go
+++ b/router/main.go
@@ -1,6 +1,6 @@
-// Package main is the router program of shallotkeel: it takes callers'
-// requests, endpoints' announcements and operators' changes, and schedules
-// some pools of its availability zone.
+// Package main is the router program of shallotkeel. A router accepts the requests
+// of clients, the announcements of endpoints and the changes of operators, and
+// schedules some of the pools of its availability zone.
 package main
 
 import (
@@ -22,6 +22,8 @@
 	os.Exit(starter.Main("router", purpose, os.Args[1:], run))
 }
 
+// run checks the settings and serves until ctx ends. With platform settings it runs
+// the router of that platform instead.
 func run(ctx context.Context, options starter.Options, log zerolog.Logger) error {
 	var settings assembler.Settings
 	if err := loader.Load(options.Settings, &settings); err != nil {
