--- a/keeper/internal/applier/applier.go
+++ b/keeper/internal/applier/applier.go
@@ -1,13 +1,13 @@
-// Package applier is the whole replicated state of the keepers: the
-// configuration of objects, the plan that is sent as a whole, the evacuated
-// zones, the claims of idempotency keys, the quarantined fingerprints,
-// and the leases of pools, with the replicated clock that lets claims and
-// fingerprints expire.
+// Package applier applies committed commands to the replicated state of the
+// keepers: the configuration of objects, the plan (a configuration that is always
+// sent complete), the evacuated zones, the claims of idempotency keys, the
+// quarantined fingerprints and the leases of pools. The state includes the
+// replicated clock, by which claims and fingerprints expire.
 //
-// Invariants: the state is a function of the committed commands alone, the
-// same at every replica; the replicated clock never goes back, and it moves
-// only by what leaders measured on their monotonic clocks, so that a wall clock
-// that was set wrongly expires nothing.
+// Invariants: the state depends on the committed commands alone and is the same
+// at every replica; the replicated clock never goes back, and it advances only by
+// time that leaders measured on their monotonic clocks, so that a wrong wall clock
+// expires nothing.
 package applier
 
 import (
@@ -22,16 +22,17 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// ErrMalformed means that a committed command or a snapshot cannot be read.
+// ErrMalformed means that a committed command or a snapshot cannot be decoded.
 var ErrMalformed = merry.Sentinel("replicated state is malformed")
 
-// Result is what a command led to.
+// Result is the result of applying a command.
 type Result struct {
 	Change configurer.Result
 	Claims []*messenger.ClaimResult
-	// Plan is the version of the whole configuration in force afterwards.
+	// Plan is the version of the plan in force afterwards.
 	Plan uint64
-	// Overtaken tells that an order for a zone changed nothing because another came between.
+	// Overtaken means that an order for a zone changed nothing, because another order
+	// for the zone was applied in between.
 	Overtaken bool
 }
 
@@ -51,7 +52,8 @@
 	return &State{configuration: &configurer.Machine{}, claims: &claimer.Machine{}, leases: &lessor.Table{}}
 }
 
-// Configuration returns the configuration for reading.
+// Configuration returns the configuration of objects. It is read-only for the
+// caller.
 func (s *State) Configuration() *configurer.Machine {
 	return s.configuration
 }
@@ -61,18 +63,18 @@
 	return s.clock
 }
 
-// Claims returns how many keys are remembered.
-func (s *State) Claims() int {
+// ClaimCount returns the number of idempotency keys with a claim.
+func (s *State) ClaimCount() int {
 	return s.claims.Len()
 }
 
-// Leases returns who holds the pools' leases, for reading.
+// Leases returns the table of the pools' leases. It is read-only for the caller.
 func (s *State) Leases() *lessor.Table {
 	return s.leases
 }
 
-// Plan returns the whole configuration in force, nil if there is none. It is
-// only for reading.
+// Plan returns the plan in force, nil if there is none. It is read-only for the
+// caller.
 func (s *State) Plan() *messenger.Plan {
 	return s.plan
 }
@@ -82,11 +84,12 @@
 	return s.zones.evacuated
 }
 
-// Apply carries out a committed command.
+// Apply applies a committed command. An error means that the command cannot be
+// decoded and that the state is unchanged.
 func (s *State) Apply(data []byte) (Result, error) {
 	var command messenger.Command
 	if err := proto.Unmarshal(data, &command); err != nil {
-		return Result{}, merry.Errorf("%w: %v; run keepers of one version", ErrMalformed, err)
+		return Result{}, merry.Errorf("%w: decode a committed command: %v; run the same version on all keepers", ErrMalformed, err)
 	}
 	s.clock = max(s.clock, time.Duration(command.GetClockMs())*time.Millisecond)
 	var result Result
@@ -110,8 +113,9 @@
 		s.leases.Apply(grant)
 	}
 	if plan := command.GetPlan(); plan.GetVersion() > s.plan.GetVersion() {
-		// Of two plans with one version the first that was committed stays: taking
-		// the second would change what was acknowledged under that version.
+		// Of two plans with the same version, the one that was committed first remains
+		// in force: the other would replace a plan that was acknowledged under that
+		// version.
 		s.plan = plan
 	}
 	result.Plan = s.plan.GetVersion()
@@ -121,7 +125,7 @@
 	return result, nil
 }
 
-// Encode returns the state for a snapshot.
+// Encode returns the state as the bytes of a snapshot, the same at every replica.
 func (s *State) Encode() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&messenger.KeeperState{
 		ClockMs:            uint64(s.clock / time.Millisecond),
@@ -136,11 +140,11 @@
 	})
 }
 
-// Decode returns the state that was encoded; no bytes are an empty state.
+// Decode returns the state from the bytes of Encode. No bytes mean an empty state.
 func Decode(data []byte) (*State, error) {
 	var wire messenger.KeeperState
 	if err := proto.Unmarshal(data, &wire); err != nil {
-		return nil, merry.Errorf("%w: %v; run keepers of one version", ErrMalformed, err)
+		return nil, merry.Errorf("%w: decode a snapshot: %v; run the same version on all keepers", ErrMalformed, err)
 	}
 	s := &State{
 		clock:         time.Duration(wire.GetClockMs()) * time.Millisecond,
@@ -154,20 +158,21 @@
 	return s, nil
 }
 
-// PolicyToWire converts the bounds of claims for a command.
+// PolicyToWire converts the window and the bounds of claims, with defaults filled
+// in, for a command.
 func PolicyToWire(policy claimer.Policy) *messenger.ClaimPolicy {
 	policy = policy.OrDefaults()
 	return &messenger.ClaimPolicy{
 		WindowMs: uint32(policy.Window / time.Millisecond), PerWorkspace: uint32(policy.PerWorkspace),
-		InAll: uint32(policy.InAll), AnswerBytes: uint32(policy.AnswerBytes),
-		WorkspaceBytes: uint32(policy.WorkspaceBytes), AllBytes: uint32(policy.AllBytes),
+		InAll: uint32(policy.Total), AnswerBytes: uint32(policy.AnswerBytes),
+		WorkspaceBytes: uint32(policy.WorkspaceBytes), AllBytes: uint32(policy.TotalBytes),
 	}
 }
 
 func policyFromWire(wire *messenger.ClaimPolicy) claimer.Policy {
 	return claimer.Policy{
 		Window: time.Duration(wire.GetWindowMs()) * time.Millisecond, PerWorkspace: int(wire.GetPerWorkspace()),
-		InAll: int(wire.GetInAll()), AnswerBytes: int(wire.GetAnswerBytes()),
-		WorkspaceBytes: int(wire.GetWorkspaceBytes()), AllBytes: int(wire.GetAllBytes()),
+		Total: int(wire.GetInAll()), AnswerBytes: int(wire.GetAnswerBytes()),
+		WorkspaceBytes: int(wire.GetWorkspaceBytes()), TotalBytes: int(wire.GetAllBytes()),
 	}
 }
--- a/keeper/internal/applier/applier_test.go
+++ b/keeper/internal/applier/applier_test.go
@@ -12,6 +12,7 @@
 	"shallotkeel.example/lib/messenger"
 )
 
+// apply applies a command at a time of the replicated clock.
 func apply(t *testing.T, s *applier.State, clock time.Duration, command *messenger.Command) applier.Result {
 	t.Helper()
 	command.ClockMs = uint64(clock / time.Millisecond)
@@ -22,45 +23,47 @@
 	return result
 }
 
-func quarantining(digest uint64, left time.Duration) *messenger.Command {
+func quarantineCommand(digest uint64, remaining time.Duration) *messenger.Command {
 	return &messenger.Command{Quarantine: &messenger.QuarantineRequest{Fingerprints: []*messenger.Fingerprint{
-		{Digest: digest, LeftMs: uint32(left / time.Millisecond)},
+		{Digest: digest, LeftMs: uint32(remaining / time.Millisecond)},
 	}}}
 }
 
+// Guards against a quarantine that ends early or late: it must last for its time on
+// the replicated clock, and a second report must not shorten it.
 func TestQuarantineEndsOnTheReplicatedClock(t *testing.T) {
 	t.Parallel()
 	s := applier.New()
-	apply(t, s, time.Minute, quarantining(7, time.Minute))
-	left, revision := s.Quarantined(90 * time.Second)
-	require.Len(t, left, 1)
-	require.EqualValues(t, 30_000, left[0].GetLeftMs())
+	apply(t, s, time.Minute, quarantineCommand(7, time.Minute))
+	quarantined, revision := s.Quarantined(90 * time.Second)
+	require.Len(t, quarantined, 1)
+	require.EqualValues(t, 30_000, quarantined[0].GetLeftMs())
 	require.EqualValues(t, 1, revision)
-	left, _ = s.Quarantined(2 * time.Minute)
-	require.Empty(t, left)
+	quarantined, _ = s.Quarantined(2 * time.Minute)
+	require.Empty(t, quarantined)
 
-	apply(t, s, 80*time.Second, quarantining(7, time.Second))
-	left, _ = s.Quarantined(90 * time.Second)
-	require.EqualValues(t, 30_000, left[0].GetLeftMs(), "a shorter time ends nothing early")
+	apply(t, s, 80*time.Second, quarantineCommand(7, time.Second))
+	quarantined, _ = s.Quarantined(90 * time.Second)
+	require.EqualValues(t, 30_000, quarantined[0].GetLeftMs(), "a shorter quarantine does not move the expiry earlier")
 }
 
-// Symptom: crashing requests fill the keepers' memory.
+// Guards against fingerprints of crashing requests that fill the keepers' memory.
 func TestQuarantineIsBounded(t *testing.T) {
 	t.Parallel()
 	s := applier.New()
 	for i := range applier.MaxQuarantined + 5 {
-		apply(t, s, 0, quarantining(uint64(i+1), time.Duration(i+1)*time.Second))
+		apply(t, s, 0, quarantineCommand(uint64(i+1), time.Duration(i+1)*time.Second))
 	}
-	left, _ := s.Quarantined(0)
-	require.Len(t, left, applier.MaxQuarantined)
-	require.EqualValues(t, 6, left[0].GetDigest(), "the first to end made room")
-	apply(t, s, 0, quarantining(1, 1000*time.Hour))
-	left, _ = s.Quarantined(0)
-	require.EqualValues(t, applier.MaxQuarantine/time.Millisecond, left[len(left)-1].GetLeftMs())
+	quarantined, _ := s.Quarantined(0)
+	require.Len(t, quarantined, applier.MaxQuarantined)
+	require.EqualValues(t, 6, quarantined[0].GetDigest(), "the fingerprints that expire first were evicted")
+	apply(t, s, 0, quarantineCommand(1, 1000*time.Hour))
+	quarantined, _ = s.Quarantined(0)
+	require.EqualValues(t, applier.MaxQuarantine/time.Millisecond, quarantined[len(quarantined)-1].GetLeftMs())
 }
 
-// Symptom: keys expire early. Sequence: a leader's clock lies behind that of the
-// one before, and the replicated clock goes back and forth.
+// Guards against keys that expire early: a leader's clock is behind that of the
+// previous leader, and the replicated clock jumps back and forth.
 func TestClockNeverGoesBack(t *testing.T) {
 	t.Parallel()
 	s := applier.New()
@@ -69,10 +72,12 @@
 	require.Equal(t, time.Hour, s.Clock())
 }
 
+// Guards against parts of the state that a snapshot loses, and against malformed data
+// that is taken for a state or a command.
 func TestSnapshotHoldsEverything(t *testing.T) {
 	t.Parallel()
 	s := applier.New()
-	apply(t, s, time.Minute, quarantining(7, time.Minute))
+	apply(t, s, time.Minute, quarantineCommand(7, time.Minute))
 	apply(t, s, time.Minute, &messenger.Command{Claim: &messenger.ClaimRequest{Claims: []*messenger.ClaimEntry{
 		{Workspace: "club", Key: "k", Owner: "one"},
 	}}})
@@ -82,15 +87,15 @@
 	apply(t, s, time.Minute, &messenger.Command{Lease: &messenger.LeaseGrant{Pool: &messenger.Pool{Zone: "a", Service: "s"}, Holder: "one"}})
 	data, err := s.Encode()
 	require.NoError(t, err)
-	again, err := applier.Decode(data)
+	decoded, err := applier.Decode(data)
 	require.NoError(t, err)
-	data2, err := again.Encode()
+	data2, err := decoded.Encode()
 	require.NoError(t, err)
 	require.Equal(t, data, data2)
-	require.Equal(t, 1, again.Claims())
-	require.EqualValues(t, 1, again.Configuration().Revision())
-	require.EqualValues(t, 1, again.QuarantineRevision())
-	require.Equal(t, lessor.Grant{Holder: "one", Fence: 1}, again.Leases().Grant(lessor.Pool{Zone: "a", Service: "s"}))
+	require.Equal(t, 1, decoded.ClaimCount())
+	require.EqualValues(t, 1, decoded.Configuration().Revision())
+	require.EqualValues(t, 1, decoded.QuarantineRevision())
+	require.Equal(t, lessor.Grant{Holder: "one", Fence: 1}, decoded.Leases().Grant(lessor.Pool{Zone: "a", Service: "s"}))
 	_, err = applier.Decode([]byte{0xff})
 	require.ErrorIs(t, err, applier.ErrMalformed)
 	_, err = s.Apply([]byte{0xff})
--- a/keeper/internal/applier/quarantine.go
+++ b/keeper/internal/applier/quarantine.go
@@ -10,31 +10,32 @@
 
 // Bounds of the quarantine.
 const (
-	// MaxQuarantined is the most fingerprints; the one that ends first makes room.
+	// MaxQuarantined is the maximum number of fingerprints. Beyond it, the one that
+	// expires first is evicted.
 	MaxQuarantined = 1024
-	// MaxQuarantine is the longest time that a fingerprint is kept.
+	// MaxQuarantine is the longest time for which a fingerprint is quarantined.
 	MaxQuarantine = 24 * time.Hour
 )
 
 // quarantine holds the fingerprints of requests that crash endpoints.
 type quarantine struct {
-	expires  map[uint64]time.Duration // on the replicated clock
-	revision uint64                   // rises whenever a fingerprint is added
+	expires  map[uint64]time.Duration // by digest, on the replicated clock
+	revision uint64                   // rises with each fingerprint that is added
 }
 
-// add takes fingerprints in. One that is there already stays at least as long.
+// add adds fingerprints. The expiry of a present fingerprint never moves earlier.
 func (q *quarantine) add(now time.Duration, fingerprints []*messenger.Fingerprint) {
 	q.expire(now)
 	if q.expires == nil {
 		q.expires = make(map[uint64]time.Duration)
 	}
 	for _, fingerprint := range fingerprints {
-		left := min(time.Duration(fingerprint.GetLeftMs())*time.Millisecond, MaxQuarantine)
-		q.expires[fingerprint.GetDigest()] = max(q.expires[fingerprint.GetDigest()], now+left)
+		remaining := min(time.Duration(fingerprint.GetLeftMs())*time.Millisecond, MaxQuarantine)
+		q.expires[fingerprint.GetDigest()] = max(q.expires[fingerprint.GetDigest()], now+remaining)
 		q.revision++
 	}
 	for len(q.expires) > MaxQuarantined {
-		delete(q.expires, q.first())
+		delete(q.expires, q.firstToExpire())
 	}
 }
 
@@ -46,8 +47,8 @@
 	}
 }
 
-// digests lists the fingerprints, first to end first.
-func (q *quarantine) digests() []uint64 {
+// digestsByExpiry lists the digests in the order in which they expire.
+func (q *quarantine) digestsByExpiry() []uint64 {
 	digests := make([]uint64, 0, len(q.expires))
 	for digest := range q.expires {
 		digests = append(digests, digest)
@@ -58,13 +59,13 @@
 	return digests
 }
 
-func (q *quarantine) first() uint64 {
-	return q.digests()[0]
+func (q *quarantine) firstToExpire() uint64 {
+	return q.digestsByExpiry()[0]
 }
 
 func (q *quarantine) encode() []*messenger.QuarantineState {
 	var states []*messenger.QuarantineState
-	for _, digest := range q.digests() {
+	for _, digest := range q.digestsByExpiry() {
 		states = append(states, &messenger.QuarantineState{
 			Digest: digest, ExpiresMs: uint64(q.expires[digest] / time.Millisecond),
 		})
@@ -80,19 +81,20 @@
 	}
 }
 
-// Quarantined lists the fingerprints that are still in quarantine at a time of
-// the replicated clock, and the revision of the list.
+// Quarantined lists the fingerprints in quarantine at a time of the replicated
+// clock, with the time that remains to each, and the revision of the list.
 func (s *State) Quarantined(now time.Duration) ([]*messenger.Fingerprint, uint64) {
-	var left []*messenger.Fingerprint
-	for _, digest := range s.quarantine.digests() {
-		if rest := s.quarantine.expires[digest] - now; rest > 0 {
-			left = append(left, &messenger.Fingerprint{Digest: digest, LeftMs: uint32(rest / time.Millisecond)})
+	var quarantined []*messenger.Fingerprint
+	for _, digest := range s.quarantine.digestsByExpiry() {
+		if remaining := s.quarantine.expires[digest] - now; remaining > 0 {
+			quarantined = append(quarantined, &messenger.Fingerprint{Digest: digest, LeftMs: uint32(remaining / time.Millisecond)})
 		}
 	}
-	return left, s.quarantine.revision
+	return quarantined, s.quarantine.revision
 }
 
-// QuarantineRevision rises whenever a fingerprint is added.
+// QuarantineRevision returns the revision of the quarantine, which rises with each
+// fingerprint that is added.
 func (s *State) QuarantineRevision() uint64 {
 	return s.quarantine.revision
 }
--- a/keeper/internal/applier/zones.go
+++ b/keeper/internal/applier/zones.go
@@ -7,39 +7,43 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// maxZones bounds the availability zones that are remembered, 40 bytes each.
+// maxZones bounds the number of availability zones with an order, which take
+// about 40 bytes each.
 const maxZones = 1024
 
-// Evacuations are the zones whose endpoints get no new work. Its zero value is none.
+// Evacuations lists the zones whose endpoints get no new work. The zero value has
+// no zones.
 type Evacuations struct {
 	// Revision rises with each change.
 	Revision uint64
-	// Zones are the evacuated ones, sorted. They are only for reading.
+	// Zones are the names of the evacuated zones, sorted. They are read-only.
 	Zones []string
 
-	changed map[string]uint64 // revisions of the zones' last changes
+	changed map[string]uint64 // revision of the last change, by zone
 }
 
 // Changed returns the revision of a zone's last change, 0 if there was none. An order for
-// the zone names the one that it was given after.
+// the zone carries the revision that was current when the order arrived at a keeper.
 func (e Evacuations) Changed(zone string) uint64 {
 	return e.changed[zone]
 }
 
-// zones is what was ordered for each zone last, and which of the orders takes effect. Orders
-// bear no version: the one that is committed last wins, unless it arrived at a keeper before
-// another one that has been committed meanwhile. Otherwise an order that hung in a keeper
-// that stood still would undo a later one that has been acknowledged. Its zero value has no
-// zone.
+// zones holds the last order for each zone and decides which orders take effect. Orders have
+// no version from the client: the one that is committed last wins, unless it arrived at a
+// keeper before another order for the zone was committed. Without that exception, an order
+// that was delayed in a stalled keeper would undo a later one that has been acknowledged. The
+// zero value has no zones.
 type zones struct {
 	revision uint64
 	byName   map[string]*messenger.ZoneState
-	// evacuated is what readers in other goroutines get. It is replaced, never changed.
+	// evacuated is handed to readers in other goroutines. It is replaced, never modified.
 	evacuated Evacuations
 }
 
-// apply carries out an order, and tells whether it was overtaken: another one came between,
-// and the zone is not as this one wants it. An order that is sent again finds it as wanted.
+// apply applies an order and reports whether it was overtaken: another order for the zone was
+// applied in between, and the zone is not in the state that this order asks for. It also
+// reports an order for a zone beyond maxZones as overtaken. A repeated order finds the zone in
+// the state that it asks for, and changes nothing.
 func (z *zones) apply(order *messenger.EvacuationOrder) (overtaken bool) {
 	known := z.byName[order.GetZone()]
 	if known.GetEvacuated() == order.GetEvacuated() {
@@ -53,24 +57,25 @@
 	}
 	z.revision++
 	z.byName[order.GetZone()] = &messenger.ZoneState{Zone: order.GetZone(), Evacuated: order.GetEvacuated(), Revision: z.revision}
-	z.show()
+	z.publish()
 	return false
 }
 
-// show prepares what readers get.
-func (z *zones) show() {
-	shown := Evacuations{Revision: z.revision, changed: make(map[string]uint64, len(z.byName))}
+// publish replaces evacuated by the current state of the zones.
+func (z *zones) publish() {
+	published := Evacuations{Revision: z.revision, changed: make(map[string]uint64, len(z.byName))}
 	for name, zone := range z.byName {
-		shown.changed[name] = zone.GetRevision()
+		published.changed[name] = zone.GetRevision()
 		if zone.GetEvacuated() {
-			shown.Zones = append(shown.Zones, name)
+			published.Zones = append(published.Zones, name)
 		}
 	}
-	slices.Sort(shown.Zones)
-	z.evacuated = shown
+	slices.Sort(published.Zones)
+	z.evacuated = published
 }
 
-// encode returns the zones for a snapshot, the same at every replica.
+// encode returns the zones for a snapshot, sorted so that all replicas encode the
+// same bytes.
 func (z *zones) encode() []*messenger.ZoneState {
 	encoded := make([]*messenger.ZoneState, 0, len(z.byName))
 	for _, zone := range z.byName {
@@ -88,5 +93,5 @@
 	for _, state := range states {
 		z.byName[state.GetZone()] = state
 	}
-	z.show()
+	z.publish()
 }
--- a/keeper/internal/driver/bench_test.go
+++ b/keeper/internal/driver/bench_test.go
@@ -17,27 +17,28 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// nowhere is the transport of a lone keeper.
-type nowhere struct{}
+// discardTransport is the transport of a single keeper, which has no peers.
+type discardTransport struct{}
 
-func (nowhere) Send([]replicator.Message) {}
+func (discardTransport) Send([]replicator.Message) {}
 
-// openFolder opens a lone keeper with its files in a folder.
+// openFolder opens a single keeper with its files in a folder.
 func openFolder(b *testing.B, folder *recorder.Folder, snapshotEntries int, now time.Time) *driver.Driver {
 	b.Helper()
 	d, err := driver.Open(driver.Config{
-		Files: folder, Limits: recorder.Limits{ReserveBytes: 1 << 20}, Transport: nowhere{},
-		Random: rand.New(rand.NewPCG(1, 1)), Mint: func() replicator.ID { return 1 },
+		Files: folder, Limits: recorder.Limits{ReserveBytes: 1 << 20}, Transport: discardTransport{},
+		Random: rand.New(rand.NewPCG(1, 1)), NewID: func() replicator.ID { return 1 },
 		SnapshotEntries: snapshotEntries, SnapshotBytes: 1 << 40,
 	}, now)
 	require.NoError(b, err)
 	return d
 }
 
-// lead makes a lone keeper found its group and become its leader.
-func lead(b *testing.B, d *driver.Driver, now time.Time) time.Time {
+// becomeLeader founds a group of one keeper and waits until it leads. It returns
+// the advanced time.
+func becomeLeader(b *testing.B, d *driver.Driver, now time.Time) time.Time {
 	b.Helper()
-	require.NoError(b, d.Found(now, replicator.Group{{ID: 1, Name: "keeper", Role: replicator.Voter}}))
+	require.NoError(b, d.Bootstrap(now, replicator.Group{{ID: 1, Name: "keeper", Role: replicator.Voter}}))
 	for range 10 {
 		now = now.Add(time.Second)
 		d.Tick(now)
@@ -47,19 +48,19 @@
 	return now
 }
 
-// BenchmarkSyncs compares claims with one sync each and in batches, on a lone
-// keeper, so that nothing but the disk and the encoding counts.
+// BenchmarkSyncs compares claims with one sync each against batches that share a
+// sync. It uses a single keeper, so that only the disk and the encoding matter.
 func BenchmarkSyncs(b *testing.B) {
 	for _, batch := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprint("batch=", batch), func(b *testing.B) {
 			folder, err := recorder.OpenFolder(b.TempDir())
 			require.NoError(b, err)
 			d := openFolder(b, folder, 1<<30, time.Now())
-			now := lead(b, d, time.Now())
+			now := becomeLeader(b, d, time.Now())
 			granted := 0
 			b.ResetTimer()
 			for i := range b.N {
-				d.Propose(now, claims(fmt.Sprint(i)), func(_ applier.Result, err error) {
+				d.Propose(now, claimCommand(fmt.Sprint(i)), func(_ applier.Result, err error) {
 					require.NoError(b, err)
 					granted++
 				})
@@ -76,8 +77,8 @@
 	}
 }
 
-// BenchmarkRestart measures the start of a keeper after so many changes, from
-// opening its folder until everything accepted is in force, and its memory.
+// BenchmarkRestart measures the start of a keeper after a number of changes, from
+// opening its folder until all accepted changes are in force, and its heap.
 func BenchmarkRestart(b *testing.B) {
 	for _, changes := range []int{10, 1000, 25000} {
 		for name, snapshotEntries := range map[string]int{"with": driver.DefaultSnapshotEntries, "without": 1 << 30} {
@@ -117,13 +118,13 @@
 	return stats.HeapAlloc
 }
 
-// fill accepts changes over 320 workspaces, with a snapshot wherever one is due.
+// fill accepts changes to 320 workspaces, and takes snapshots as a keeper does.
 func fill(b *testing.B, path string, changes, snapshotEntries int) {
 	b.Helper()
 	folder, err := recorder.OpenFolder(path)
 	require.NoError(b, err)
 	d := openFolder(b, folder, snapshotEntries, time.Now())
-	now := lead(b, d, time.Now())
+	now := becomeLeader(b, d, time.Now())
 	for i := range changes {
 		d.Change(now, describer.Change{ID: fmt.Sprint("change-", i), Author: "operator", Edits: []describer.Edit{{
 			Object: describer.Object{Kind: describer.Workspace, Name: fmt.Sprint("workspace-", i%320)},
@@ -135,7 +136,7 @@
 			require.NoError(b, d.SnapshotWritten(snapshot, snapshot.Write()))
 		}
 	}
-	// The commit index of the last change is noted when the keeper is idle.
+	// An idle keeper writes the commit index of the last change to disk.
 	now = now.Add(2 * time.Second)
 	d.Tick(now)
 	require.NoError(b, d.Flush(now))
--- a/keeper/internal/driver/changes.go
+++ b/keeper/internal/driver/changes.go
@@ -12,37 +12,40 @@
 	"shallotkeel.example/lib/replicator"
 )
 
+// noResult accompanies an error.
 var noResult applier.Result
 
-// MaxChanges bounds the changes that wait to be validated.
+// MaxChanges bounds the queue of changes that wait for validation.
 const MaxChanges = 256
 
-// maxAttempts bounds how often a change is validated anew because another
-// leader's came in between.
+// maxAttempts bounds how often a change is validated again because a change
+// proposed by another leader was applied in between.
 const maxAttempts = 8
 
-// ChangeDone is told the answer to a change, once.
+// ChangeDone receives the answer to a change. It is called once.
 type ChangeDone func(configurer.Result, error)
 
-// changes is the queue of changes. One is replicated at a time: its verdict
-// holds for one revision only, and the next one is validated on its outcome.
-type changes struct {
-	queue  []change
-	flying bool
+// changeQueue holds the changes that wait for validation. One change is
+// replicated at a time: the verdict on a change is valid for one revision only,
+// and the next change is validated against the resulting configuration.
+type changeQueue struct {
+	queue    []pendingChange
+	inFlight bool
 }
 
-type change struct {
+// pendingChange is a queued change with the callback for its answer.
+type pendingChange struct {
 	change   describer.Change
 	dryRun   bool
-	attempts int
+	attempts int // validations after the first
 	done     ChangeDone
 }
 
 // Change validates a change and replicates it. An error other than ErrUnknown
-// means that it was not accepted. Only the leader answers, also for a dry run,
-// because another keeper's configuration may be old.
+// means that the change was not accepted. Only the leader answers, even for a
+// dry run, because the configuration of a follower may be stale.
 func (d *Driver) Change(now time.Time, wanted describer.Change, dryRun bool, done ChangeDone) {
-	if err := d.leads(now); err != nil {
+	if err := d.checkLeader(now); err != nil {
 		done(configurer.Result{}, err)
 		return
 	}
@@ -50,38 +53,40 @@
 		done(configurer.Result{}, merry.Errorf("%w; ask again later", replicator.ErrBusy))
 		return
 	}
-	d.changes.queue = append(d.changes.queue, change{change: wanted, dryRun: dryRun, done: done})
+	d.changes.queue = append(d.changes.queue, pendingChange{change: wanted, dryRun: dryRun, done: done})
 }
 
-// leads tells why this keeper cannot answer a change.
-func (d *Driver) leads(now time.Time) error {
+// checkLeader returns an error if this keeper cannot answer a change: it is not
+// the leader, or it is a leader that has lost its quorum.
+func (d *Driver) checkLeader(now time.Time) error {
 	status := d.Status(now)
 	if status.State != replicator.Leader {
 		return merry.Errorf("%w; ask the leader", replicator.ErrNotLeader)
 	}
-	if !status.Quorum && d.settled(status) {
+	if !status.Quorum && d.caughtUp(status) {
 		return merry.Errorf("%w answers; ask again when the network is whole", replicator.ErrNoQuorum)
 	}
 	return nil
 }
 
-// settled tells whether everything that earlier leaders committed has been
-// applied here. Before that a change would be checked on a configuration that
-// may be old, and be answered with a conflict that is none.
-func (d *Driver) settled(status replicator.Status) bool {
+// caughtUp reports whether this leader has applied everything that earlier
+// leaders committed. Before that, a change would be checked against a
+// configuration that may be stale, and could get a false conflict.
+func (d *Driver) caughtUp(status replicator.Status) bool {
 	term, known := d.node.TermAt(d.applied)
 	return known && term == status.Term
 }
 
-// next proposes the first change that needs a place in the log, and tells
-// whether it did. Resends, conflicts and invalid changes are answered at once.
-func (c *changes) next(d *Driver, now time.Time) bool {
-	for !c.flying && len(c.queue) > 0 {
-		if err := d.leads(now); err != nil {
-			c.refuse(err)
+// proposeNext proposes the first queued change that must be replicated, and
+// reports whether it proposed one. Resends, conflicts, invalid changes and dry
+// runs are answered without a log entry.
+func (c *changeQueue) proposeNext(d *Driver, now time.Time) bool {
+	for !c.inFlight && len(c.queue) > 0 {
+		if err := d.checkLeader(now); err != nil {
+			c.refuseAll(err)
 			return false
 		}
-		if !d.settled(d.Status(now)) {
+		if !d.caughtUp(d.Status(now)) {
 			return false
 		}
 		first := c.queue[0]
@@ -92,22 +97,25 @@
 			continue
 		}
 		c.propose(d, now, first, verdict)
-		if c.flying {
+		if c.inFlight {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *changes) propose(d *Driver, now time.Time, first change, verdict configurer.Result) {
-	c.flying = true
+// propose replicates a validated change. If the configuration has moved on before
+// the change is applied, the change returns to the head of the queue and is
+// validated again.
+func (c *changeQueue) propose(d *Driver, now time.Time, first pendingChange, verdict configurer.Result) {
+	c.inFlight = true
 	command := &messenger.Command{Change: &messenger.VerifiedChange{
 		Change:   configurer.ChangeToWire(first.change),
 		Findings: configurer.FindingsToWire(verdict.Findings),
 		Base:     d.state.Configuration().Revision(),
 	}}
 	d.Propose(now, command, func(result applier.Result, err error) {
-		c.flying = false
+		c.inFlight = false
 		switch {
 		case err != nil:
 			first.done(configurer.Result{}, err)
@@ -117,16 +125,16 @@
 			first.done(configurer.Result{}, merry.Errorf("%w; ask again later", replicator.ErrBusy))
 		default:
 			first.attempts++
-			c.queue = append([]change{first}, c.queue...)
+			c.queue = append([]pendingChange{first}, c.queue...)
 		}
 	})
 }
 
-// refuse answers every change that waits.
-func (c *changes) refuse(err error) {
-	waiting := c.queue
+// refuseAll answers all queued changes with an error.
+func (c *changeQueue) refuseAll(err error) {
+	refused := c.queue
 	c.queue = nil
-	for _, at := range waiting {
-		at.done(configurer.Result{}, err)
+	for _, pending := range refused {
+		pending.done(configurer.Result{}, err)
 	}
 }
--- a/keeper/internal/driver/driver.go
+++ b/keeper/internal/driver/driver.go
@@ -1,15 +1,16 @@
-// Package driver joins a keeper's parts: the agreement, the disk and the
+// Package driver connects the Raft node of a keeper to its disk and to the
 // replicated state.
 //
-// A Driver has no goroutine and no clock of its own. Its host passes in
-// messages, proposals and the time, and calls Flush, which makes everything
-// since the last Flush durable with one sync, sends what may then be sent, and
-// applies what was committed. So a burst of proposals shares one sync.
+// A Driver has no goroutine and no clock of its own. The caller passes in
+// messages, proposals and the time, and calls Flush. Flush makes everything
+// since the last Flush durable with one sync, sends the messages that depended
+// on the sync, and applies the committed entries. A burst of proposals thus
+// shares one sync.
 //
 // Invariants: nothing is acknowledged before it is durable; a command is
-// answered by what it led to when it was applied, or by an error that says
-// whether it may still be applied; a full disk takes the keeper out of the
-// group as a crash would, and never half way.
+// answered with the result of applying it, or with an error that says whether
+// it may still be applied; a full disk suspends the keeper completely, which
+// its peers see as a crash.
 package driver
 
 import (
@@ -28,16 +29,16 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// ErrUnknown means that a command may or may not be applied later.
+// ErrUnknown means that a command may still be applied, or may never be.
 var ErrUnknown = merry.Sentinel("it is not known whether the command was accepted")
 
-// Transport sends messages to other keepers. It must not block; messages may
-// be lost.
+// Transport sends messages to the peers. Send must not block; messages may be
+// lost.
 type Transport interface {
 	Send(messages []replicator.Message)
 }
 
-// Config is what a driver needs to know at its start.
+// Config configures a driver.
 type Config struct {
 	Files     recorder.FileSystem
 	Limits    recorder.Limits
@@ -45,9 +46,10 @@
 	Policy    claimer.Policy
 	Transport Transport
 	Random    *rand.Rand
-	Mint      func() replicator.ID
-	// SnapshotEntries and SnapshotBytes are how much may be applied before a new
-	// snapshot is taken. Zero values mean the defaults.
+	NewID     func() replicator.ID // returns a random ID for a new disk
+	// SnapshotEntries and SnapshotBytes are the numbers of applied entries and of
+	// their bytes after which a new snapshot is taken, whichever is reached first.
+	// Zero means the default.
 	SnapshotEntries int
 	SnapshotBytes   int
 }
@@ -61,40 +63,40 @@
 // MaxCommand bounds one encoded command, in bytes.
 const MaxCommand = 4 << 20
 
-// Done is told what a command led to. It is called once, from within a method
-// of the driver, and must not call back into it.
+// Done receives the result of a command, or an error. It is called once, from
+// within a method of the driver, and must not call the driver.
 type Done func(applier.Result, error)
 
-// Driver is one keeper without its network. It is not safe for concurrent use.
+// Driver is a keeper without its network and timers. It is not safe for concurrent use.
 type Driver struct {
-	config  Config
-	disk    *recorder.Recorder
-	node    *replicator.Node
-	state   *applier.State
-	waiting map[uint64][]waiter // by index, of one term each
-	changes changes
-	clock   clock
-	leases  lessor.Granter
-	moved   time.Time // when the state's clock moved last
-
-	applied     uint64
-	sinceFrames int // entries applied since the last snapshot was taken
-	sinceBytes  int
-	taking      bool // a snapshot is being written
-	committed   uint64
-	noted       time.Time // when the commit index was written last
-	full        bool
-	looked      time.Time // when a full disk was looked at last
-	counters    Counters
-}
-
-// waiter waits for the entry at an index to be applied.
+	config        Config
+	disk          *recorder.Recorder
+	node          *replicator.Node
+	state         *applier.State
+	waiting       map[uint64][]waiter // by log index; the waiters of an index share one term
+	changes       changeQueue
+	clock         clock
+	leases        lessor.Granter
+	clockAdvanced time.Time // when the replicated clock last advanced
+
+	applied              uint64 // index of the last applied entry
+	entriesSinceSnapshot int    // applied since the last snapshot was taken
+	bytesSinceSnapshot   int
+	writingSnapshot      bool      // a snapshot is being written
+	commitIndex          uint64    // highest index known to be committed
+	commitWritten        time.Time // when the commit index was last written to disk
+	diskFull             bool
+	diskChecked          time.Time // when the space on a full disk was last checked
+	counters             Counters
+}
+
+// waiter is a caller that waits until the entry at an index has been applied.
 type waiter struct {
 	term uint64
 	done Done
 }
 
-// Counters count since the start.
+// Counters count events since the driver was opened.
 type Counters struct {
 	Syncs     uint64 // batches made durable
 	Entries   uint64 // entries made durable
@@ -102,7 +104,7 @@
 	Snapshots uint64
 }
 
-// Open starts a driver from its data folder.
+// Open restores a driver from the files of its data folder.
 func Open(config Config, now time.Time) (*Driver, error) {
 	if config.SnapshotEntries == 0 {
 		config.SnapshotEntries = DefaultSnapshotEntries
@@ -114,23 +116,27 @@
 	return d, d.open(now)
 }
 
+// open restores the driver from the disk. It also serves to reopen a driver whose
+// disk was full.
 func (d *Driver) open(now time.Time) error {
-	disk, restored, err := recorder.Open(d.config.Files, d.config.Limits, d.config.Mint)
+	disk, restored, err := recorder.Open(d.config.Files, d.config.Limits, d.config.NewID)
 	if err != nil {
 		return err
 	}
 	d.disk = disk
 	d.waiting = make(map[uint64][]waiter)
 	d.clock = clock{}
-	d.noted, d.moved = now, now
-	// What has been applied is durable and committed, whatever the disk notes.
+	d.commitWritten, d.clockAdvanced = now, now
+	// Applied entries are committed and durable, even if the commit index on disk
+	// is lower.
 	restored.Commit = max(restored.Commit, d.applied)
 	if err := d.restore(restored.Snapshot); err != nil {
 		return err
 	}
-	return d.begin(restored, now)
+	return d.startNode(restored, now)
 }
 
+// restore replaces the state by that of a snapshot.
 func (d *Driver) restore(snapshot replicator.Snapshot) error {
 	state, err := applier.Decode(snapshot.State)
 	if err != nil {
@@ -138,11 +144,12 @@
 	}
 	d.state = state
 	d.applied = snapshot.Index
-	d.sinceFrames, d.sinceBytes = 0, 0
+	d.entriesSinceSnapshot, d.bytesSinceSnapshot = 0, 0
 	return nil
 }
 
-func (d *Driver) begin(restored replicator.Restored, now time.Time) error {
+// startNode creates the Raft node from what the disk has restored.
+func (d *Driver) startNode(restored replicator.Restored, now time.Time) error {
 	node, err := replicator.New(replicator.Config{
 		ID: d.disk.Identity(), Timing: d.config.Timing, Random: d.config.Random,
 	}, restored, now)
@@ -150,40 +157,41 @@
 		return err
 	}
 	d.node = node
-	d.committed = restored.Commit
+	d.commitIndex = restored.Commit
 	return nil
 }
 
-// Close closes the files. Nothing is lost without it.
+// Close closes the files. Acknowledged data is durable without it.
 func (d *Driver) Close() error {
 	return d.disk.Close()
 }
 
-// Identity names this keeper's disk.
+// Identity returns the ID of this keeper's disk.
 func (d *Driver) Identity() replicator.ID {
 	return d.disk.Identity()
 }
 
-// Blank tells whether this keeper has never been part of a group.
+// Blank reports whether this keeper has never been a member of a group.
 func (d *Driver) Blank() bool {
 	return d.node.Blank()
 }
 
-// Status returns the keeper's view of the agreement.
+// Status returns the status of the Raft node. A keeper with a full disk reports
+// itself as a follower without leader and quorum.
 func (d *Driver) Status(now time.Time) replicator.Status {
 	status := d.node.Status(now)
-	if d.full {
+	if d.diskFull {
 		status.State, status.Leader, status.Quorum = replicator.Follower, 0, false
 	}
 	return status
 }
 
-// Full tells whether the keeper takes no part because its disk is full.
-func (d *Driver) Full() bool {
-	return d.full
+// DiskFull reports whether the keeper is suspended because its disk is full.
+func (d *Driver) DiskFull() bool {
+	return d.diskFull
 }
 
-// State returns the replicated state for reading.
+// State returns the replicated state. It is read-only for the caller.
 func (d *Driver) State() *applier.State {
 	return d.state
 }
@@ -193,18 +201,19 @@
 	return d.applied
 }
 
-// DiskBytes returns the size of the log on disk.
+// DiskBytes returns the size of the log on disk, in bytes.
 func (d *Driver) DiskBytes() int64 {
 	return d.disk.Bytes()
 }
 
-// Counters returns what was done since the start.
+// Counters returns the counters since the driver was opened.
 func (d *Driver) Counters() Counters {
 	return d.counters
 }
 
-// Found makes a blank keeper the first of a group.
-func (d *Driver) Found(now time.Time, group replicator.Group) error {
+// Bootstrap founds a group on a blank keeper. On any other keeper it does
+// nothing.
+func (d *Driver) Bootstrap(now time.Time, group replicator.Group) error {
 	if !d.node.Blank() {
 		return nil
 	}
@@ -212,12 +221,12 @@
 	if err := d.disk.Record(&founding.Ballot, founding.Entries, 0); err != nil {
 		return err
 	}
-	return d.begin(founding, now)
+	return d.startNode(founding, now)
 }
 
-// Receive takes messages from other keepers.
+// Receive processes messages from the peers.
 func (d *Driver) Receive(now time.Time, messages []replicator.Message) {
-	if d.full {
+	if d.diskFull {
 		return
 	}
 	for _, message := range messages {
@@ -225,9 +234,10 @@
 	}
 }
 
-// Tick lets time pass.
+// Tick advances the timers of the Raft node and, on a leader, the replicated
+// clock.
 func (d *Driver) Tick(now time.Time) {
-	if d.full {
+	if d.diskFull {
 		return
 	}
 	d.node.Tick(now)
@@ -236,71 +246,77 @@
 	}
 }
 
-// Clock estimates the replicated clock.
+// Clock extrapolates the replicated clock from the time of its last advance.
 func (d *Driver) Clock(now time.Time) time.Duration {
-	return d.state.Clock() + now.Sub(d.moved)
+	return d.state.Clock() + now.Sub(d.clockAdvanced)
 }
 
-// Join adds a keeper to the group. Done is told when the change is committed.
+// Join adds a keeper to the group. Done is called when the membership change is
+// committed, or with an error.
 func (d *Driver) Join(replica replicator.Replica, done Done) {
-	if d.full {
+	if d.diskFull {
 		done(noResult, merry.Errorf("%w; ask another keeper", replicator.ErrNotLeader))
 		return
 	}
 	position, err := d.node.Join(replica)
-	d.await(position, err, done)
+	d.addWaiter(position, err, done)
 }
 
-// Remove takes a keeper out of the group. Done is told when the change is
-// committed.
+// Remove removes a keeper from the group. Done is called when the membership
+// change is committed, or with an error.
 func (d *Driver) Remove(now time.Time, id replicator.ID, done Done) {
-	if d.full {
+	if d.diskFull {
 		done(noResult, merry.Errorf("%w; ask another keeper", replicator.ErrNotLeader))
 		return
 	}
 	position, err := d.node.Remove(now, id)
-	d.await(position, err, done)
+	d.addWaiter(position, err, done)
 }
 
-// await tells done what becomes of the entry at a position.
-func (d *Driver) await(position replicator.Position, err error, done Done) {
+// addWaiter registers done for the entry at a position, or calls it at once if
+// there is an error or the entry has been applied already.
+func (d *Driver) addWaiter(position replicator.Position, err error, done Done) {
 	if err != nil || position.Index <= d.applied {
 		done(noResult, err)
 		return
 	}
-	others := d.waiting[position.Index]
-	if len(others) > 0 && others[0].term != position.Term {
-		// They wait for an entry of an earlier leadership of this keeper. It was
-		// replaced, and so it never was nor will be committed.
-		d.settle(position.Index, noResult, replaced())
-		others = nil
+	waiters := d.waiting[position.Index]
+	if len(waiters) > 0 && waiters[0].term != position.Term {
+		// The earlier waiters belong to an entry from a previous term in which this
+		// keeper led. That entry was overwritten, so it has not been committed and
+		// never will be.
+		d.answerWaiters(position.Index, noResult, replacedError())
+		waiters = nil
 	}
-	d.waiting[position.Index] = append(others, waiter{term: position.Term, done: done})
+	d.waiting[position.Index] = append(waiters, waiter{term: position.Term, done: done})
 }
 
-// settle answers those who wait for an index.
-func (d *Driver) settle(index uint64, result applier.Result, err error) {
-	waiting := d.waiting[index]
+// answerWaiters calls all waiters of an index with a result or an error, and
+// removes them.
+func (d *Driver) answerWaiters(index uint64, result applier.Result, err error) {
+	waiters := d.waiting[index]
 	delete(d.waiting, index)
-	for _, at := range waiting {
-		at.done(result, err)
+	for _, w := range waiters {
+		w.done(result, err)
 	}
 }
 
-func replaced() error {
+// replacedError is the answer for an entry that another leader has overwritten:
+// it will never be committed.
+func replacedError() error {
 	return merry.Errorf("%w: the leader changed; ask again", replicator.ErrNotLeader)
 }
 
-// Transfer hands leadership over before a planned stop. It returns false if
-// there is nothing to hand over.
+// Transfer starts a transfer of the leadership, before a planned stop. It
+// returns false if no transfer was started.
 func (d *Driver) Transfer(now time.Time) bool {
-	return !d.full && d.node.Transfer(now)
+	return !d.diskFull && d.node.Transfer(now)
 }
 
-// Propose replicates a command. An error other than ErrUnknown means that it
-// was not and never will be accepted.
+// Propose replicates a command. An error other than ErrUnknown means that the
+// command has not been applied and never will be.
 func (d *Driver) Propose(now time.Time, command *messenger.Command, done Done) {
-	if d.full {
+	if d.diskFull {
 		done(noResult, merry.Errorf("%w; ask another keeper", replicator.ErrNotLeader))
 		return
 	}
@@ -319,19 +335,20 @@
 		return
 	}
 	position, err := d.node.Propose(now, [][]byte{data})
-	d.await(position, err, done)
+	d.addWaiter(position, err, done)
 }
 
-// ErrTooLarge means that a command was refused because of its size.
+// ErrTooLarge means that an encoded command exceeds MaxCommand.
 var ErrTooLarge = merry.Sentinel("command is too large")
 
-// Flush makes everything since the last Flush durable, sends, and applies. An
-// error means that the keeper must stop.
+// Flush makes everything since the last Flush durable, sends the messages that
+// are ready, and applies committed entries. An error means that the keeper must
+// stop.
 func (d *Driver) Flush(now time.Time) error {
-	if d.full {
-		// Once there is room, everything known to be committed is applied again
-		// before anyone can look at the state.
-		if err := d.resume(now); err != nil || d.full {
+	if d.diskFull {
+		// Once the disk has space, everything known to be committed is applied again
+		// before the state can be read.
+		if err := d.resume(now); err != nil || d.diskFull {
 			return err
 		}
 	}
@@ -341,14 +358,14 @@
 			return actions.Fault
 		}
 		if actions.Empty() {
-			if d.changes.next(d, now) {
+			if d.changes.proposeNext(d, now) {
 				continue
 			}
-			return d.noteCommit(now)
+			return d.writeCommitIndex(now)
 		}
-		err := d.carryOut(now, actions)
+		err := d.execute(now, actions)
 		if errors.Is(err, recorder.ErrFull) {
-			d.leave(now)
+			d.suspend(now)
 			return nil
 		}
 		if err != nil {
@@ -357,7 +374,10 @@
 	}
 }
 
-func (d *Driver) carryOut(now time.Time, actions replicator.Actions) error {
+// execute carries out the actions that the Raft node asks for, in the order
+// that durability requires: messages that need no sync, the installation of a
+// snapshot, the sync, messages that depend on it, and committed entries.
+func (d *Driver) execute(now time.Time, actions replicator.Actions) error {
 	if err := d.sendEarly(actions.Early); err != nil {
 		return err
 	}
@@ -367,10 +387,10 @@
 		}
 	}
 	if actions.Ballot != nil || len(actions.Entries) > 0 {
-		if err := d.disk.Record(actions.Ballot, actions.Entries, d.committed); err != nil {
+		if err := d.disk.Record(actions.Ballot, actions.Entries, d.commitIndex); err != nil {
 			return err
 		}
-		d.noted = now
+		d.commitWritten = now
 		d.counters.Syncs++
 		d.counters.Entries += uint64(len(actions.Entries))
 	}
@@ -381,8 +401,8 @@
 	return d.apply(now, actions.Committed)
 }
 
-// sendEarly attaches the snapshot on disk to installations: the node knows only
-// that one is needed.
+// sendEarly sends the messages that need no sync. It attaches the snapshot on
+// disk to Install messages, because the node holds no snapshot data.
 func (d *Driver) sendEarly(messages []replicator.Message) error {
 	for i, message := range messages {
 		if message.Kind != replicator.Install {
@@ -400,7 +420,8 @@
 	return nil
 }
 
-// install replaces the whole state by a leader's snapshot.
+// install replaces the log and the state with a snapshot from the leader.
+// Waiters for entries that the snapshot covers get ErrUnknown.
 func (d *Driver) install(snapshot replicator.Snapshot) error {
 	if err := d.disk.WriteSnapshot(snapshot); err != nil {
 		return err
@@ -410,22 +431,23 @@
 	}
 	for index := range d.waiting {
 		if index <= snapshot.Index {
-			d.settle(index, noResult, unknown())
+			d.answerWaiters(index, noResult, unknownError())
 		}
 	}
 	return d.restore(snapshot)
 }
 
-func unknown() error {
+// unknownError is the answer for an entry whose fate this keeper cannot tell.
+func unknownError() error {
 	return merry.Errorf("%w: the leader changed meanwhile; send it again with the same id", ErrUnknown)
 }
 
-// apply carries out committed entries and answers those who wait for them.
+// apply applies committed entries to the state and answers their waiters.
 func (d *Driver) apply(now time.Time, entries []replicator.Entry) error {
 	before := d.state.Clock()
 	defer func() {
 		if d.state.Clock() != before {
-			d.moved = now
+			d.clockAdvanced = now
 		}
 	}()
 	for _, entry := range entries {
@@ -438,35 +460,39 @@
 			d.counters.Applied++
 		}
 		d.applied = entry.Index
-		d.committed = entry.Index
-		d.sinceFrames++
-		d.sinceBytes += len(entry.Data)
+		d.commitIndex = entry.Index
+		d.entriesSinceSnapshot++
+		d.bytesSinceSnapshot += len(entry.Data)
 		d.answer(entry, result)
 	}
 	return nil
 }
 
+// answer answers the waiters of an applied entry. If the entry comes from
+// another term than theirs, their own entry was overwritten.
 func (d *Driver) answer(entry replicator.Entry, result applier.Result) {
-	waiting := d.waiting[entry.Index]
-	if len(waiting) > 0 && waiting[0].term != entry.Term {
-		d.settle(entry.Index, noResult, replaced())
+	waiters := d.waiting[entry.Index]
+	if len(waiters) > 0 && waiters[0].term != entry.Term {
+		d.answerWaiters(entry.Index, noResult, replacedError())
 		return
 	}
-	d.settle(entry.Index, result, nil)
+	d.answerWaiters(entry.Index, result, nil)
 }
 
-// commitPause is the longest time that a commit stays unwritten on an idle keeper.
-const commitPause = time.Second
+// commitWriteInterval is the longest time for which an idle keeper leaves an
+// advanced commit index unwritten.
+const commitWriteInterval = time.Second
 
-// noteCommit writes the commit index once nothing else does, so that a keeper
-// that restarts without a quorum can show the latest configuration that it had
-// seen accepted.
-func (d *Driver) noteCommit(now time.Time) error {
-	if d.committed <= d.disk.Commit() || now.Sub(d.noted) < commitPause {
+// writeCommitIndex writes the commit index to disk if no other write has done
+// so. A keeper that restarts without a quorum can then serve the latest
+// configuration that it knew to be committed. A full disk is no error here: the
+// commit index on disk is only a lower bound.
+func (d *Driver) writeCommitIndex(now time.Time) error {
+	if d.commitIndex <= d.disk.Commit() || now.Sub(d.commitWritten) < commitWriteInterval {
 		return nil
 	}
-	d.noted = now
-	err := d.disk.Record(nil, nil, d.committed)
+	d.commitWritten = now
+	err := d.disk.Record(nil, nil, d.commitIndex)
 	if errors.Is(err, recorder.ErrFull) {
 		return nil
 	}
--- a/keeper/internal/driver/driver_test.go
+++ b/keeper/internal/driver/driver_test.go
@@ -16,145 +16,154 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// healthy is a group without any faults but those that a test causes.
-func healthy(t *testing.T, size int) *fleet {
+// newHealthyCluster returns a group with a leader and without random faults: only
+// those that the test injects.
+func newHealthyCluster(t *testing.T, size int) *cluster {
 	t.Helper()
-	f := newFleet(3, size)
-	f.lossy = false
-	f.run(2 * time.Second)
-	require.NoError(t, f.problem)
-	require.NotNil(t, f.leader())
-	return f
+	c := newCluster(3, size)
+	c.lossy = false
+	c.run(2 * time.Second)
+	require.NoError(t, c.failure)
+	require.NotNil(t, c.leader())
+	return c
 }
 
-func (f *fleet) run(length time.Duration) {
-	for end := f.now.Add(length); f.now.Before(end); {
-		f.pass(10 * time.Millisecond)
+// run advances the time in steps of 10 ms.
+func (c *cluster) run(length time.Duration) {
+	for end := c.now.Add(length); c.now.Before(end); {
+		c.advance(10 * time.Millisecond)
 	}
 }
 
-func (f *fleet) follower() *keeper {
-	for _, k := range f.keepers {
-		if k.driver != nil && k != f.leader() {
+// follower returns a running keeper other than the leader, nil if there is none.
+func (c *cluster) follower() *keeper {
+	for _, k := range c.keepers {
+		if k.driver != nil && k != c.leader() {
 			return k
 		}
 	}
 	return nil
 }
 
-func claims(key string) *messenger.Command {
+// claimCommand claims a key for one owner.
+func claimCommand(key string) *messenger.Command {
 	return &messenger.Command{Claim: &messenger.ClaimRequest{Claims: []*messenger.ClaimEntry{
 		{Workspace: "club", Key: key, Owner: "one"},
 	}}}
 }
 
-// answer is what a client was told.
+// answer is the answer that a client has received.
 type answer struct {
-	told   bool
-	result applier.Result
-	err    error
+	received bool
+	result   applier.Result
+	err      error
 }
 
 func (a *answer) done(result applier.Result, err error) {
-	a.told, a.result, a.err = true, result, err
+	a.received, a.result, a.err = true, result, err
 }
 
-func endpoint(id string) describer.Change {
+// endpointChange adds an endpoint object whose name is the id of the change.
+func endpointChange(id string) describer.Change {
 	return describer.Change{ID: id, Edits: []describer.Edit{{Object: describer.Object{Kind: describer.Endpoint, Name: id}}}}
 }
 
 // apply makes a change and waits for its answer.
-func (f *fleet) apply(t *testing.T, change describer.Change) configurer.Result {
+func (c *cluster) apply(t *testing.T, change describer.Change) configurer.Result {
 	t.Helper()
 	var got *configurer.Result
-	f.leader().driver.Change(f.now, change, false, func(result configurer.Result, err error) {
+	c.leader().driver.Change(c.now, change, false, func(result configurer.Result, err error) {
 		require.NoError(t, err)
 		got = &result
 	})
-	f.run(200 * time.Millisecond)
+	c.run(200 * time.Millisecond)
 	require.NotNil(t, got)
 	return *got
 }
 
-// Symptom: a change that was accepted is gone after a power cut. Sequence: a
-// sync fails, and the keeper goes on. It must stop and have answered no one.
+// Guards against the loss of an accepted change in a power cut: if a sync fails
+// and the keeper continues, it acknowledges data that is not on disk. It must
+// stop without having answered.
 func TestFailedSyncStopsTheKeeper(t *testing.T) {
 	t.Parallel()
-	f := healthy(t, 1)
-	leader := f.leader()
+	c := newHealthyCluster(t, 1)
+	leader := c.leader()
 	leader.files.FailSyncs = true
 	var got answer
-	leader.driver.Propose(f.now, claims("k"), got.done)
-	require.ErrorIs(t, leader.driver.Flush(f.now), recorder.ErrFailed)
-	require.False(t, got.told)
+	leader.driver.Propose(c.now, claimCommand("k"), got.done)
+	require.ErrorIs(t, leader.driver.Flush(c.now), recorder.ErrFailed)
+	require.False(t, got.received)
 }
 
-// Symptom: nothing can be changed although two keepers are well. Sequence: the
-// leader's disk fills up, it still answers heartbeats, and so it stays leader.
-func TestFullDiskStepsAsideAndComesBack(t *testing.T) {
+// Guards against a group that accepts no changes although two keepers are
+// healthy: a leader with a full disk that still exchanges heartbeats would stay
+// leader.
+func TestFullDiskSuspendsAndResumesKeeper(t *testing.T) {
 	t.Parallel()
-	f := healthy(t, 3)
-	f.apply(t, endpoint("first"))
-	old := f.leader()
+	c := newHealthyCluster(t, 3)
+	c.apply(t, endpointChange("first"))
+	old := c.leader()
 	old.files.Capacity = 1
 	var got answer
-	old.driver.Propose(f.now, claims("k"), got.done)
-	f.run(2 * time.Second)
-	require.True(t, old.driver.Full())
-	require.True(t, got.told)
-	require.NotNil(t, f.leader())
-	require.NotEqual(t, old, f.leader())
-	f.apply(t, endpoint("second"))
-	require.EqualValues(t, 1, old.driver.State().Configuration().Revision(), "it still shows what it knew")
+	old.driver.Propose(c.now, claimCommand("k"), got.done)
+	c.run(2 * time.Second)
+	require.True(t, old.driver.DiskFull())
+	require.True(t, got.received)
+	require.NotNil(t, c.leader())
+	require.NotEqual(t, old, c.leader())
+	c.apply(t, endpointChange("second"))
+	require.EqualValues(t, 1, old.driver.State().Configuration().Revision(), "a suspended keeper still serves its last state")
 
 	old.files.Capacity = 0
-	f.run(3 * time.Second)
-	require.False(t, old.driver.Full())
+	c.run(3 * time.Second)
+	require.False(t, old.driver.DiskFull())
 	require.EqualValues(t, 2, old.driver.State().Configuration().Revision())
-	require.NoError(t, f.problem)
+	require.NoError(t, c.failure)
 }
 
-// Symptom: a router that starts in a cut-off zone gets an old configuration
-// although a keeper beside it has seen a newer one accepted. Sequence: that
-// keeper restarted and does not know what of its log was committed.
-func TestRestartWithoutQuorumShowsWhatWasAccepted(t *testing.T) {
+// Guards against a stale configuration for a router that starts in a partitioned
+// zone, although the keeper there had seen a newer one accepted: after a restart
+// without the commit index on disk, the keeper cannot tell which part of its log
+// was committed.
+func TestRestartWithoutQuorumShowsAcceptedChanges(t *testing.T) {
 	t.Parallel()
-	f := healthy(t, 3)
-	f.apply(t, endpoint("first"))
-	f.run(2 * time.Second)
-	alone := f.follower()
-	for _, k := range f.keepers {
-		f.crash(k)
+	c := newHealthyCluster(t, 3)
+	c.apply(t, endpointChange("first"))
+	c.run(2 * time.Second)
+	restarted := c.follower()
+	for _, k := range c.keepers {
+		c.crash(k)
 	}
-	f.start(alone)
-	f.run(100 * time.Millisecond)
-	require.False(t, alone.driver.Status(f.now).Quorum)
-	require.EqualValues(t, 1, alone.driver.State().Configuration().Revision())
+	c.start(restarted)
+	c.run(100 * time.Millisecond)
+	require.False(t, restarted.driver.Status(c.now).Quorum)
+	require.EqualValues(t, 1, restarted.driver.State().Configuration().Revision())
 }
 
-// Symptom: claims are slow under load. Cause: each waits for a sync of its own.
+// Guards against slow claims under load, which result if each claim waits for a
+// sync of its own.
 func TestBurstSharesOneSync(t *testing.T) {
 	t.Parallel()
-	f := healthy(t, 1)
-	leader := f.leader().driver
+	c := newHealthyCluster(t, 1)
+	leader := c.leader().driver
 	before := leader.Counters().Syncs
 	answers := make([]answer, 100)
 	for i := range answers {
-		leader.Propose(f.now, claims(fmt.Sprint(i)), answers[i].done)
+		leader.Propose(c.now, claimCommand(fmt.Sprint(i)), answers[i].done)
 	}
-	require.NoError(t, leader.Flush(f.now))
+	require.NoError(t, leader.Flush(c.now))
 	require.Equal(t, before+1, leader.Counters().Syncs)
-	for _, at := range answers {
-		require.True(t, at.told)
-		require.Equal(t, messenger.ClaimOutcome_CLAIM_GRANTED, at.result.Claims[0].GetOutcome())
+	for _, got := range answers {
+		require.True(t, got.received)
+		require.Equal(t, messenger.ClaimOutcome_CLAIM_GRANTED, got.result.Claims[0].GetOutcome())
 	}
 }
 
-// Symptom: two services offer one model. Sequence: two operators' changes, each
-// valid alone, arrive together.
+// Guards against two services that offer the same model: the changes of two
+// operators, each valid alone, arrive together.
 func TestChangesAreValidatedOneAfterAnother(t *testing.T) {
 	t.Parallel()
-	f := healthy(t, 3)
+	c := newHealthyCluster(t, 3)
 	service := func(name string) describer.Change {
 		return describer.Change{ID: name, Edits: []describer.Edit{{Object: describer.Object{
 			Kind: describer.Service, Name: name,
@@ -163,96 +172,99 @@
 	}
 	var outcomes []configurer.Outcome
 	for _, name := range []string{"one", "two"} {
-		f.leader().driver.Change(f.now, service(name), false, func(result configurer.Result, err error) {
+		c.leader().driver.Change(c.now, service(name), false, func(result configurer.Result, err error) {
 			require.NoError(t, err)
 			outcomes = append(outcomes, result.Outcome)
 		})
 	}
-	f.run(200 * time.Millisecond)
+	c.run(200 * time.Millisecond)
 	require.Equal(t, []configurer.Outcome{configurer.Accepted, configurer.Invalid}, outcomes)
 }
 
+// Guards against a dry run that is replicated and takes effect.
 func TestDryRunChangesNothing(t *testing.T) {
 	t.Parallel()
-	f := healthy(t, 1)
-	told := false
-	f.leader().driver.Change(f.now, endpoint("first"), true, func(result configurer.Result, err error) {
+	c := newHealthyCluster(t, 1)
+	answered := false
+	c.leader().driver.Change(c.now, endpointChange("first"), true, func(result configurer.Result, err error) {
 		require.NoError(t, err)
 		require.Equal(t, configurer.Accepted, result.Outcome)
 		require.EqualValues(t, 1, result.Revision)
-		told = true
+		answered = true
 	})
-	f.run(100 * time.Millisecond)
-	require.True(t, told)
-	require.Zero(t, f.leader().driver.State().Configuration().Revision())
+	c.run(100 * time.Millisecond)
+	require.True(t, answered)
+	require.Zero(t, c.leader().driver.State().Configuration().Revision())
 }
 
-// Symptom: a caller hears that nothing was accepted, sends it again with another
-// key, and it runs twice. Sequence: the leader is cut off with a claim in
-// flight. Only a claim that can never be committed may be refused.
-func TestFollowersAndLonelyLeadersRefuseAtOnce(t *testing.T) {
+// Guards against a request that runs twice because its claim was refused, sent
+// again with another key, and then committed after all. This happens if a leader
+// that loses its followers refuses the claims in flight. Only a claim that can
+// never be committed may be refused.
+func TestFollowersAndIsolatedLeadersRefuseAtOnce(t *testing.T) {
 	t.Parallel()
-	f := healthy(t, 3)
-	var at answer
-	f.follower().driver.Propose(f.now, claims("k"), at.done)
-	require.ErrorIs(t, at.err, replicator.ErrNotLeader)
-	leader := f.leader()
-	for _, k := range f.keepers {
+	c := newHealthyCluster(t, 3)
+	var refused answer
+	c.follower().driver.Propose(c.now, claimCommand("k"), refused.done)
+	require.ErrorIs(t, refused.err, replicator.ErrNotLeader)
+	leader := c.leader()
+	for _, k := range c.keepers {
 		if k != leader {
-			f.crash(k)
+			c.crash(k)
 		}
 	}
-	var flying, late answer
-	leader.driver.Propose(f.now, claims("k"), flying.done)
-	f.run(time.Second)
-	require.False(t, flying.told, "it may still be committed")
-	leader.driver.Propose(f.now, claims("l"), late.done)
-	require.Error(t, late.err)
-	for _, k := range f.keepers {
+	var inFlight, later answer
+	leader.driver.Propose(c.now, claimCommand("k"), inFlight.done)
+	c.run(time.Second)
+	require.False(t, inFlight.received, "the claim may still be committed")
+	leader.driver.Propose(c.now, claimCommand("l"), later.done)
+	require.Error(t, later.err)
+	for _, k := range c.keepers {
 		if k != leader {
-			f.start(k)
+			c.start(k)
 		}
 	}
-	f.run(3 * time.Second)
-	require.True(t, flying.told)
+	c.run(3 * time.Second)
+	require.True(t, inFlight.received)
 }
 
-// Symptom: keys are free again before their window is over, and a request runs
-// twice. Sequence: leaders change, and each counts by a clock of its own.
-func TestLeadersCarryTheClockOn(t *testing.T) {
+// Guards against claims that expire before the end of their window, so that a
+// request runs twice: the leader changes, and the new one does not continue the
+// replicated clock from the value in the state.
+func TestNewLeaderContinuesTheReplicatedClock(t *testing.T) {
 	t.Parallel()
-	f := healthy(t, 3)
+	c := newHealthyCluster(t, 3)
 	last := time.Duration(0)
 	for range 4 {
 		var got answer
-		f.leader().driver.Propose(f.now, claims("k"), got.done)
-		f.run(time.Second)
-		require.True(t, got.told)
-		for _, k := range f.keepers {
+		c.leader().driver.Propose(c.now, claimCommand("k"), got.done)
+		c.run(time.Second)
+		require.True(t, got.received)
+		for _, k := range c.keepers {
 			require.GreaterOrEqual(t, k.driver.State().Clock(), last)
 		}
-		last = f.leader().driver.State().Clock()
-		require.LessOrEqual(t, last, f.now.Sub(time.Unix(1000, 0)), "it runs no faster than time")
-		require.True(t, f.leader().driver.Transfer(f.now))
-		f.run(time.Second)
+		last = c.leader().driver.State().Clock()
+		require.LessOrEqual(t, last, c.now.Sub(time.Unix(1000, 0)), "the replicated clock must not run faster than real time")
+		require.True(t, c.leader().driver.Transfer(c.now))
+		c.run(time.Second)
 	}
-	require.Greater(t, last, 2*time.Second, "and it does run")
+	require.Greater(t, last, 2*time.Second, "the replicated clock must advance")
 }
 
-// Symptom: a keeper's log grows without end, or a keeper that was away for long
-// cannot come back.
-func TestSnapshotsBoundTheLogAndBringBackWhoWasAway(t *testing.T) {
+// Guards against a log that grows without bound, and against a keeper that cannot
+// catch up after a long outage because the entries it lacks were truncated.
+func TestSnapshotsBoundTheLogAndRestoreLaggingKeeper(t *testing.T) {
 	t.Parallel()
-	f := healthy(t, 3)
-	away := f.follower()
-	f.crash(away)
+	c := newHealthyCluster(t, 3)
+	lagging := c.follower()
+	c.crash(lagging)
 	for i := range 60 {
-		f.apply(t, endpoint(fmt.Sprint("endpoint-", i)))
+		c.apply(t, endpointChange(fmt.Sprint("endpoint-", i)))
 	}
-	require.Positive(t, f.leader().driver.Counters().Snapshots)
-	require.Less(t, f.leader().driver.DiskBytes(), int64(20_000))
-	f.start(away)
-	f.run(2 * time.Second)
-	require.EqualValues(t, 60, away.driver.State().Configuration().Revision())
-	require.NoError(t, f.problem)
+	require.Positive(t, c.leader().driver.Counters().Snapshots)
+	require.Less(t, c.leader().driver.DiskBytes(), int64(20_000))
+	c.start(lagging)
+	c.run(2 * time.Second)
+	require.EqualValues(t, 60, lagging.driver.State().Configuration().Revision())
+	require.NoError(t, c.failure)
 }
--- a/keeper/internal/driver/leasing.go
+++ b/keeper/internal/driver/leasing.go
@@ -13,40 +13,41 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// LeaseDone is told the answer to a request for a lease, once.
+// LeaseDone receives the answer to a request for a lease. It is called once.
 type LeaseDone func(lessor.Answer, error)
 
-// Lease answers a request for a pool's lease. Only a leader whose own lease is
-// valid answers, because another one may renew what its successor gave away,
-// and only once it has applied what earlier leaders granted.
-func (d *Driver) Lease(now time.Time, request *messenger.LeaseRequest, done LeaseDone) {
-	if err := d.leads(now); err != nil {
+// Lease answers a request for a pool's lease. Only a leader with a valid leader
+// lease answers: any other leader might renew a pool's lease that its successor
+// has already granted to another holder. The leader must also have applied all
+// grants of earlier leaders.
+func (d *Driver) Lease(now time.Time, wire *messenger.LeaseRequest, done LeaseDone) {
+	if err := d.checkLeader(now); err != nil {
 		done(lessor.Answer{}, err)
 		return
 	}
 	status := d.Status(now)
-	if !status.Quorum || !d.settled(status) {
+	if !status.Quorum || !d.caughtUp(status) {
 		done(lessor.Answer{}, merry.Errorf("%w has answered yet; ask again", replicator.ErrNoQuorum))
 		return
 	}
-	ask := lessor.Request{
-		Pool: lessor.PoolFromWire(request.GetPool()), Holder: request.GetHolder(), Fence: request.GetFence(),
-		Loads: int(min(request.GetWantLoads(), lessor.MaxLoads)), Rate: d.loadRate(request.GetPool().GetService()),
+	request := lessor.Request{
+		Pool: lessor.PoolFromWire(wire.GetPool()), Holder: wire.GetHolder(), Fence: wire.GetFence(),
+		Loads: int(min(wire.GetWantLoads(), lessor.MaxLoads)), Rate: d.loadRate(wire.GetPool().GetService()),
 	}
-	answer := d.leases.Handle(now, status.Term, d.state.Leases(), ask)
+	answer := d.leases.Handle(now, status.Term, d.state.Leases(), request)
 	if answer.Propose == nil {
 		done(answer, nil)
 		return
 	}
 	d.Propose(now, &messenger.Command{Lease: answer.Propose}, func(_ applier.Result, err error) {
-		// The lease runs from the request: that is the earlier time, and the
-		// holder counts from when it sent it.
-		done(d.leases.Complete(now, status.Term, d.state.Leases(), ask, err != nil), err)
+		// The lease starts at the time of the request, not of the commit. The holder
+		// counts from when it sent the request, which is earlier still.
+		done(d.leases.Complete(now, status.Term, d.state.Leases(), request, err != nil), err)
 	})
 }
 
-// loadRate is how many loads per minute a service may begin; 0 for a service
-// that is not described.
+// loadRate returns the number of model loads per minute that a service may
+// start; 0 for a service without an object.
 func (d *Driver) loadRate(service string) float64 {
 	object, found := d.state.Configuration().Snapshot().Objects[describer.Key{Kind: describer.Service, Name: service}]
 	if !found {
--- a/keeper/internal/driver/snapshots.go
+++ b/keeper/internal/driver/snapshots.go
@@ -10,22 +10,23 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// Snapshot is a snapshot that waits to be written.
-type Snapshot struct {
-	disk     *recorder.Recorder
+// PendingSnapshot is a snapshot that has been taken and is not yet written.
+type PendingSnapshot struct {
+	disk     *recorder.Recorder // the disk as opened when the snapshot was taken
 	snapshot replicator.Snapshot
 }
 
-// Write makes the snapshot durable. It may run beside the driver.
-func (s *Snapshot) Write() error {
+// Write makes the snapshot durable. It may run concurrently with the driver.
+func (s *PendingSnapshot) Write() error {
 	return s.disk.WriteSnapshot(s.snapshot)
 }
 
-// TakeSnapshot returns a snapshot to write if one is due and none is being
-// written. Its outcome must be passed to SnapshotWritten.
-func (d *Driver) TakeSnapshot() (*Snapshot, error) {
-	due := d.sinceFrames >= d.config.SnapshotEntries || d.sinceBytes >= d.config.SnapshotBytes
-	if !due || d.taking || d.full {
+// TakeSnapshot returns a snapshot to write, or nil if none is needed yet or one
+// is still being written. The result of Write must be passed to
+// SnapshotWritten.
+func (d *Driver) TakeSnapshot() (*PendingSnapshot, error) {
+	due := d.entriesSinceSnapshot >= d.config.SnapshotEntries || d.bytesSinceSnapshot >= d.config.SnapshotBytes
+	if !due || d.writingSnapshot || d.diskFull {
 		return nil, nil
 	}
 	term, known := d.node.TermAt(d.applied)
@@ -36,19 +37,20 @@
 	if err != nil {
 		return nil, err
 	}
-	d.taking = true
-	d.sinceFrames, d.sinceBytes = 0, 0
-	return &Snapshot{disk: d.disk, snapshot: replicator.Snapshot{
+	d.writingSnapshot = true
+	d.entriesSinceSnapshot, d.bytesSinceSnapshot = 0, 0
+	return &PendingSnapshot{disk: d.disk, snapshot: replicator.Snapshot{
 		Position: replicator.Position{Index: d.applied, Term: term},
 		Group:    d.node.GroupAt(d.applied),
 		State:    state,
 	}}, nil
 }
 
-// SnapshotWritten says how writing a snapshot ended. An error means that the
-// keeper must stop; a full disk is none, because the log is whole without it.
-func (d *Driver) SnapshotWritten(written *Snapshot, err error) error {
-	d.taking = false
+// SnapshotWritten takes the result of writing a snapshot and truncates the log.
+// An error means that the keeper must stop. A full disk is no error, because the
+// log is complete without the snapshot.
+func (d *Driver) SnapshotWritten(written *PendingSnapshot, err error) error {
+	d.writingSnapshot = false
 	if errors.Is(err, recorder.ErrFull) {
 		return nil
 	}
@@ -56,7 +58,7 @@
 		return err
 	}
 	if written.disk != d.disk {
-		// The disk was full in between and the log was opened anew.
+		// The log was reopened in between, after the disk had been full.
 		return nil
 	}
 	d.counters.Snapshots++
@@ -64,26 +66,27 @@
 	return d.disk.Compact(written.snapshot.Index)
 }
 
-// fullPause is how often a full disk is looked at.
-const fullPause = time.Second
+// diskCheckInterval is the interval at which the space on a full disk is checked.
+const diskCheckInterval = time.Second
 
-// leave takes the keeper out of the group because its disk is full. To the
-// others it is as if it had crashed: whatever was not durable is forgotten.
-func (d *Driver) leave(now time.Time) {
-	d.full = true
-	d.looked = now
+// suspend stops the keeper's part in the group because its disk is full. To its
+// peers it has crashed: everything that was not durable is discarded. It remains
+// a member of the group.
+func (d *Driver) suspend(now time.Time) {
+	d.diskFull = true
+	d.diskChecked = now
 	for index := range d.waiting {
-		d.settle(index, noResult, unknown())
+		d.answerWaiters(index, noResult, unknownError())
 	}
-	d.changes.refuse(merry.Errorf("%w: the disk of this keeper is full; free space on it", replicator.ErrNotLeader))
+	d.changes.refuseAll(merry.Errorf("%w: the disk of this keeper is full; free space on it", replicator.ErrNotLeader))
 }
 
-// resume starts again from the disk once there is room on it.
+// resume reopens the driver from the disk once the disk has space again.
 func (d *Driver) resume(now time.Time) error {
-	if now.Sub(d.looked) < fullPause {
+	if now.Sub(d.diskChecked) < diskCheckInterval {
 		return nil
 	}
-	d.looked = now
+	d.diskChecked = now
 	if err := d.disk.CheckSpace(); err != nil {
 		if errors.Is(err, recorder.ErrFull) {
 			return nil
@@ -93,6 +96,6 @@
 	if err := d.disk.Close(); err != nil {
 		return err
 	}
-	d.full = false
+	d.diskFull = false
 	return d.open(now)
 }
--- a/keeper/internal/driver/walk_test.go
+++ b/keeper/internal/driver/walk_test.go
@@ -25,369 +25,390 @@
 )
 
 const (
-	seedsEnv     = "SHALLOTKEEL_SEEDS"
-	firstSeedEnv = "SHALLOTKEEL_FIRST_SEED"
-	seedsInCI    = 1000
-	steps        = 300
-	settleTime   = 30 * time.Second
+	seedsEnv        = "SHALLOTKEEL_SEEDS"
+	firstSeedEnv    = "SHALLOTKEEL_FIRST_SEED"
+	defaultSeeds    = 1000
+	stepsPerSeed    = 300
+	recoveryTimeout = 30 * time.Second
 )
 
-// keeper is one keeper of the walk: a driver on a disk that can fail.
+// keeper is one simulated keeper: a driver on an in-memory disk that can fail.
 type keeper struct {
-	name    string
-	files   *recorder.Memory
-	driver  *driver.Driver // nil while it is down
-	life    int
-	written *driver.Snapshot // taken and not yet written
-	reached uint64           // highest revision seen in this life
+	name            string
+	files           *recorder.Memory
+	driver          *driver.Driver          // nil while it is down
+	starts          int                     // of the process
+	pendingSnapshot *driver.PendingSnapshot // taken and not yet written
+	highestRevision uint64                  // of its configuration since the last start
 }
 
+// packet is a message on the simulated network.
 type packet struct {
-	message replicator.Message
-	due     time.Time
+	message   replicator.Message
+	deliverAt time.Time
 }
 
-// fleet is a group of keepers, its network and its clients, driven by one seed.
-type fleet struct {
-	random   *rand.Rand
-	now      time.Time
-	keepers  []*keeper
-	network  []packet
-	lossy    bool
-	nextID   replicator.ID
-	next     int
-	problem  error
-	granted  map[string]string // owner by key
-	accepted map[string]uint64 // revision by change id
-	highest  uint64            // of the accepted revisions
+// cluster simulates a group of keepers, their network and their clients. All its
+// randomness comes from one seed.
+type cluster struct {
+	random          *rand.Rand
+	now             time.Time
+	keepers         []*keeper
+	network         []packet
+	lossy           bool // the network drops and delays messages
+	nextID          replicator.ID
+	requests        int               // sent by clients
+	failure         error             // the first violated invariant
+	granted         map[string]string // owner by key
+	accepted        map[string]uint64 // revision by change id
+	highestRevision uint64            // of the accepted revisions
 }
 
-func newFleet(seed uint64, size int) *fleet {
-	f := &fleet{
+func newCluster(seed uint64, size int) *cluster {
+	c := &cluster{
 		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), lossy: true,
 		granted: make(map[string]string), accepted: make(map[string]uint64),
 	}
 	var group replicator.Group
 	for i := range size {
 		k := &keeper{name: fmt.Sprint("keeper-", i+1), files: recorder.NewMemory()}
-		f.keepers = append(f.keepers, k)
-		f.start(k)
+		c.keepers = append(c.keepers, k)
+		c.start(k)
 		group = append(group, replicator.Replica{ID: k.driver.Identity(), Name: k.name, Role: replicator.Voter})
 	}
-	if err := f.keepers[0].driver.Found(f.now, group); err != nil {
-		f.fail("found: %w", err)
+	if err := c.keepers[0].driver.Bootstrap(c.now, group); err != nil {
+		c.fail("bootstrap: %w", err)
 	}
-	return f
+	return c
 }
 
-func (f *fleet) fail(format string, values ...any) {
-	if f.problem == nil {
-		f.problem = fmt.Errorf(format, values...)
+// fail records the first violation of an invariant.
+func (c *cluster) fail(format string, values ...any) {
+	if c.failure == nil {
+		c.failure = fmt.Errorf(format, values...)
 	}
 }
 
-// Send is the drivers' transport.
-func (f *fleet) Send(messages []replicator.Message) {
+// Send implements driver.Transport.
+func (c *cluster) Send(messages []replicator.Message) {
 	for _, message := range messages {
-		if f.lossy && f.random.IntN(30) == 0 {
+		if c.lossy && c.random.IntN(30) == 0 {
 			continue
 		}
-		delay := time.Duration(f.random.Int64N(int64(5 * time.Millisecond)))
-		if f.lossy && f.random.IntN(20) == 0 {
-			delay = time.Duration(f.random.Int64N(int64(400 * time.Millisecond)))
+		delay := time.Duration(c.random.Int64N(int64(5 * time.Millisecond)))
+		if c.lossy && c.random.IntN(20) == 0 {
+			delay = time.Duration(c.random.Int64N(int64(400 * time.Millisecond)))
 		}
-		f.network = append(f.network, packet{message: message, due: f.now.Add(delay)})
+		c.network = append(c.network, packet{message: message, deliverAt: c.now.Add(delay)})
 	}
 }
 
-func (f *fleet) start(k *keeper) {
-	k.life++
+// start opens a keeper's driver from its disk.
+func (c *cluster) start(k *keeper) {
+	k.starts++
 	opened, err := driver.Open(driver.Config{
 		Files: k.files, Limits: recorder.Limits{SegmentBytes: 1000, ReserveBytes: 1000},
-		Transport: f, Random: rand.New(rand.NewPCG(f.random.Uint64(), 1)),
-		Mint:            func() replicator.ID { f.nextID++; return f.nextID },
-		SnapshotEntries: 5 + f.random.IntN(20),
-	}, f.now)
+		Transport: c, Random: rand.New(rand.NewPCG(c.random.Uint64(), 1)),
+		NewID:           func() replicator.ID { c.nextID++; return c.nextID },
+		SnapshotEntries: 5 + c.random.IntN(20),
+	}, c.now)
 	if err != nil {
-		f.stop(k, err)
+		c.stop(k, err)
 		return
 	}
-	k.driver, k.written, k.reached = opened, nil, 0
+	k.driver, k.pendingSnapshot, k.highestRevision = opened, nil, 0
 }
 
-// stop is the end of a keeper's process. Only injected faults may cause it.
-func (f *fleet) stop(k *keeper, err error) {
+// stop ends a keeper's process after an error. Only injected faults may cause it.
+func (c *cluster) stop(k *keeper, err error) {
 	if !errors.Is(err, recorder.ErrFailed) && !errors.Is(err, recorder.ErrUnusable) &&
 		!errors.Is(err, recorder.ErrFull) && !errors.Is(err, recorder.ErrInjected) {
-		f.fail("%s stopped: %w", k.name, err)
+		c.fail("%s stopped: %w", k.name, err)
 	}
-	f.crash(k)
+	c.crash(k)
 }
 
-func (f *fleet) crash(k *keeper) {
+// crash ends a keeper's process and loses what its disk has not synced.
+func (c *cluster) crash(k *keeper) {
 	k.driver = nil
-	k.files.Crash(f.random)
+	k.files.Crash(c.random)
 }
 
-func (f *fleet) flush(k *keeper) {
+// flush flushes a keeper's driver, and takes and writes its snapshots at random
+// later times. It checks that the revision never decreases.
+func (c *cluster) flush(k *keeper) {
 	if k.driver == nil {
 		return
 	}
-	err := k.driver.Flush(f.now)
-	if err == nil && k.written == nil {
-		k.written, err = k.driver.TakeSnapshot()
+	err := k.driver.Flush(c.now)
+	if err == nil && k.pendingSnapshot == nil {
+		k.pendingSnapshot, err = k.driver.TakeSnapshot()
 	}
-	if err == nil && k.written != nil && f.random.IntN(3) == 0 {
-		err = k.driver.SnapshotWritten(k.written, k.written.Write())
-		k.written = nil
+	if err == nil && k.pendingSnapshot != nil && c.random.IntN(3) == 0 {
+		err = k.driver.SnapshotWritten(k.pendingSnapshot, k.pendingSnapshot.Write())
+		k.pendingSnapshot = nil
 	}
 	if err != nil {
-		f.stop(k, err)
+		c.stop(k, err)
 		return
 	}
 	revision := k.driver.State().Configuration().Revision()
-	if revision < k.reached {
-		f.fail("revision at %s went from %d to %d", k.name, k.reached, revision)
+	if revision < k.highestRevision {
+		c.fail("revision at %s went from %d to %d", k.name, k.highestRevision, revision)
 	}
-	k.reached = revision
+	k.highestRevision = revision
 }
 
-func (f *fleet) pass(step time.Duration) {
-	f.now = f.now.Add(step)
+// advance moves the time forward by one step, delivers the messages that are due
+// in random order, and ticks and flushes all running keepers.
+func (c *cluster) advance(step time.Duration) {
+	c.now = c.now.Add(step)
 	var due, later []packet
-	for _, at := range f.network {
-		if at.due.After(f.now) {
-			later = append(later, at)
+	for _, p := range c.network {
+		if p.deliverAt.After(c.now) {
+			later = append(later, p)
 			continue
 		}
-		due = append(due, at)
-	}
-	f.network = later
-	f.random.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
-	for _, at := range due {
-		for _, k := range f.keepers {
-			if k.driver != nil && k.driver.Identity() == at.message.To {
-				k.driver.Receive(f.now, []replicator.Message{at.message})
+		due = append(due, p)
+	}
+	c.network = later
+	c.random.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
+	for _, p := range due {
+		for _, k := range c.keepers {
+			if k.driver != nil && k.driver.Identity() == p.message.To {
+				k.driver.Receive(c.now, []replicator.Message{p.message})
 			}
 		}
 	}
-	for _, k := range f.keepers {
+	for _, k := range c.keepers {
 		if k.driver != nil {
-			k.driver.Tick(f.now)
-			f.flush(k)
+			k.driver.Tick(c.now)
+			c.flush(k)
 		}
 	}
 }
 
-// act lets one random thing happen.
-func (f *fleet) act() {
-	f.pass(time.Duration(f.random.Int64N(int64(40 * time.Millisecond))))
-	k := f.keepers[f.random.IntN(len(f.keepers))]
-	switch f.random.IntN(80) {
+// randomEvent lets some time pass and causes one random event at one keeper.
+func (c *cluster) randomEvent() {
+	c.advance(time.Duration(c.random.Int64N(int64(40 * time.Millisecond))))
+	k := c.keepers[c.random.IntN(len(c.keepers))]
+	switch c.random.IntN(80) {
 	case 0:
-		f.crash(k)
+		c.crash(k)
 	case 1, 2, 3, 11, 12, 13, 14:
 		if k.driver == nil {
-			f.start(k)
+			c.start(k)
 		}
 	case 4:
-		k.files.FailAfter = f.random.IntN(30)
+		k.files.FailAfter = c.random.IntN(30)
 	case 5:
 		k.files.FailSyncs = true
 	case 6:
 		used := int64(1)
-		for _, name := range names(k.files) {
+		for _, name := range fileNames(k.files) {
 			data, _ := k.files.Read(name)
 			used += int64(len(data))
 		}
-		k.files.Capacity = used + 1000 + f.random.Int64N(500)
+		k.files.Capacity = used + 1000 + c.random.Int64N(500)
 	case 7, 8, 15, 16:
 		k.files.Capacity = 0
 	case 9:
-		f.lossy = !f.lossy
+		c.lossy = !c.lossy
 	case 10:
 		if k.driver != nil {
-			k.driver.Transfer(f.now)
+			k.driver.Transfer(c.now)
 		}
 	default:
-		for range f.random.IntN(5) {
-			f.ask(k)
+		for range c.random.IntN(5) {
+			c.sendRequest(k)
 		}
 	}
-	f.flush(k)
+	c.flush(k)
 }
 
-func names(files *recorder.Memory) []string {
+// fileNames lists the files of a simulated disk.
+func fileNames(files *recorder.Memory) []string {
 	listed, _ := files.List()
 	return listed
 }
 
-// ask lets a client ask a keeper for a key or a change, new or again.
-func (f *fleet) ask(k *keeper) {
+// sendRequest sends a keeper a claim or a change from a client, either new or
+// repeated.
+func (c *cluster) sendRequest(k *keeper) {
 	if k.driver == nil {
 		return
 	}
-	f.next++
-	if f.random.IntN(2) == 0 {
+	c.requests++
+	if c.random.IntN(2) == 0 {
 		entry := &messenger.ClaimEntry{
-			Workspace: "club", Key: fmt.Sprint("key-", f.random.IntN(1+f.next/4)), Owner: fmt.Sprint("owner-", f.next),
+			Workspace: "club", Key: fmt.Sprint("key-", c.random.IntN(1+c.requests/4)), Owner: fmt.Sprint("owner-", c.requests),
 		}
 		command := &messenger.Command{Claim: &messenger.ClaimRequest{Claims: []*messenger.ClaimEntry{entry}}}
-		k.driver.Propose(f.now, command, func(result applier.Result, err error) {
+		k.driver.Propose(c.now, command, func(result applier.Result, err error) {
 			if err == nil && result.Claims[0].GetOutcome() == messenger.ClaimOutcome_CLAIM_GRANTED {
-				f.grant(entry)
+				c.grant(entry)
 			}
 		})
 		return
 	}
-	id := fmt.Sprint("change-", f.random.IntN(1+f.next/2))
+	id := fmt.Sprint("change-", c.random.IntN(1+c.requests/2))
 	change := describer.Change{ID: id, Edits: []describer.Edit{{
-		Object: describer.Object{Kind: describer.Endpoint, Name: fmt.Sprint("endpoint-", f.random.IntN(5))},
-		Check:  f.random.IntN(3) == 0, Version: 1 << 40, // which no object has
+		Object: describer.Object{Kind: describer.Endpoint, Name: fmt.Sprint("endpoint-", c.random.IntN(5))},
+		Check:  c.random.IntN(3) == 0, Version: 1 << 40, // no object reaches it
 	}}}
-	known := f.highest
-	k.driver.Change(f.now, change, false, func(result configurer.Result, err error) {
+	known := c.highestRevision
+	k.driver.Change(c.now, change, false, func(result configurer.Result, err error) {
 		switch {
 		case err != nil:
 		case result.Outcome == configurer.Moved:
-			f.fail("change %s has no answer", id)
+			c.fail("change %s was answered with the internal outcome Moved", id)
 		case result.Outcome == configurer.Accepted:
-			f.accept(id, result)
+			c.accept(id, result)
 		case result.Revision < known:
-			f.fail("a conflict was found on revision %d although %d had been accepted", result.Revision, known)
+			c.fail("a change was checked against revision %d although revision %d had been accepted", result.Revision, known)
 		}
 	})
 }
 
-func (f *fleet) grant(entry *messenger.ClaimEntry) {
-	if owner, found := f.granted[entry.GetKey()]; found && owner != entry.GetOwner() {
-		f.fail("key %s was granted to %s and to %s", entry.GetKey(), owner, entry.GetOwner())
+// grant checks that a granted key has no other owner.
+func (c *cluster) grant(entry *messenger.ClaimEntry) {
+	if owner, found := c.granted[entry.GetKey()]; found && owner != entry.GetOwner() {
+		c.fail("key %s was granted to %s and to %s", entry.GetKey(), owner, entry.GetOwner())
 	}
-	f.granted[entry.GetKey()] = entry.GetOwner()
+	c.granted[entry.GetKey()] = entry.GetOwner()
 }
 
-func (f *fleet) accept(id string, result configurer.Result) {
-	if revision, found := f.accepted[id]; found && revision != result.Revision {
-		f.fail("change %s was accepted as revision %d and as %d", id, revision, result.Revision)
+// accept checks that an accepted change keeps its revision.
+func (c *cluster) accept(id string, result configurer.Result) {
+	if revision, found := c.accepted[id]; found && revision != result.Revision {
+		c.fail("change %s was accepted as revision %d and as %d", id, revision, result.Revision)
 	}
-	f.accepted[id] = result.Revision
-	f.highest = max(f.highest, result.Revision)
+	c.accepted[id] = result.Revision
+	c.highestRevision = max(c.highestRevision, result.Revision)
 }
 
-func (f *fleet) leader() *keeper {
-	for _, k := range f.keepers {
+// leader returns the keeper that leads with a quorum, nil if there is none.
+func (c *cluster) leader() *keeper {
+	for _, k := range c.keepers {
 		if k.driver == nil {
 			continue
 		}
-		if status := k.driver.Status(f.now); status.State == replicator.Leader && status.Quorum {
+		if status := k.driver.Status(c.now); status.State == replicator.Leader && status.Quorum {
 			return k
 		}
 	}
 	return nil
 }
 
-// settle mends everything and checks that all keepers reach the same state,
-// with everything in it that a client was told.
-func (f *fleet) settle() {
-	f.lossy = false
-	for _, k := range f.keepers {
-		f.crash(k)
+// recoverAndCheck removes all faults, restarts all keepers, and checks that they
+// reach the same state and that it agrees with all answers that clients got.
+func (c *cluster) recoverAndCheck() {
+	c.lossy = false
+	for _, k := range c.keepers {
+		c.crash(k)
 		k.files.Capacity = 0
-		f.start(k)
+		c.start(k)
 	}
-	for end := f.now.Add(settleTime); f.now.Before(end) && f.problem == nil; {
-		f.pass(20 * time.Millisecond)
-		if f.whole() {
-			f.checkAnswers(f.leader().driver)
+	for end := c.now.Add(recoveryTimeout); c.now.Before(end) && c.failure == nil; {
+		c.advance(20 * time.Millisecond)
+		if c.converged() {
+			c.checkAnswers(c.leader().driver)
 			return
 		}
 	}
-	f.fail("the group did not recover within %s:%s", settleTime, f.describe())
+	c.fail("the group did not recover within %s:%s", recoveryTimeout, c.describe())
 }
 
-func (f *fleet) describe() string {
+// describe lists the state of all keepers for a failure message.
+func (c *cluster) describe() string {
 	var text strings.Builder
-	for _, k := range f.keepers {
-		fmt.Fprintf(&text, "\n%s life %d", k.name, k.life)
+	for _, k := range c.keepers {
+		fmt.Fprintf(&text, "\n%s start %d", k.name, k.starts)
 		if k.driver != nil {
-			fmt.Fprintf(&text, " applied %d: %+v", k.driver.Applied(), k.driver.Status(f.now))
+			fmt.Fprintf(&text, " applied %d: %+v", k.driver.Applied(), k.driver.Status(c.now))
 		}
 	}
 	return text.String()
 }
 
-func (f *fleet) whole() bool {
-	leader := f.leader()
+// converged reports whether all keepers have applied the leader's whole log. If
+// they have, their encoded states must be equal.
+func (c *cluster) converged() bool {
+	leader := c.leader()
 	if leader == nil {
 		return false
 	}
-	for _, k := range f.keepers {
-		if k.driver == nil || k.driver.Applied() != leader.driver.Status(f.now).Last.Index {
+	for _, k := range c.keepers {
+		if k.driver == nil || k.driver.Applied() != leader.driver.Status(c.now).Last.Index {
 			return false
 		}
 	}
 	want, err := leader.driver.State().Encode()
 	if err != nil {
-		f.fail("encode: %w", err)
+		c.fail("encode: %w", err)
 	}
-	for _, k := range f.keepers {
+	for _, k := range c.keepers {
 		if got, err := k.driver.State().Encode(); err != nil || string(got) != string(want) {
-			f.fail("%s and %s differ: %w", k.name, leader.name, err)
+			c.fail("%s and %s differ: %w", k.name, leader.name, err)
 		}
 	}
 	return true
 }
 
-func (f *fleet) checkAnswers(leader *driver.Driver) {
-	for id, revision := range f.accepted {
+// checkAnswers checks that each accepted change and each granted key is still in
+// the leader's state.
+func (c *cluster) checkAnswers(leader *driver.Driver) {
+	for id, revision := range c.accepted {
 		again := leader.State().Configuration().Check(describer.Change{ID: id})
 		if !again.Resent || again.Revision != revision {
-			f.fail("change %s was accepted as revision %d and is now %+v", id, revision, again)
+			c.fail("change %s was accepted as revision %d and is now %+v", id, revision, again)
 		}
 	}
-	for key, owner := range f.granted {
-		f.probe(leader, key, owner)
+	for key, owner := range c.granted {
+		c.checkSpent(leader, key, owner)
 	}
 }
 
-// probe claims a key once more and expects that it is spent.
-func (f *fleet) probe(leader *driver.Driver, key, owner string) {
+// checkSpent claims a granted key for another owner and expects CLAIM_SPENT.
+func (c *cluster) checkSpent(leader *driver.Driver, key, owner string) {
 	answered := false
-	leader.Propose(f.now, &messenger.Command{Claim: &messenger.ClaimRequest{Claims: []*messenger.ClaimEntry{
+	leader.Propose(c.now, &messenger.Command{Claim: &messenger.ClaimRequest{Claims: []*messenger.ClaimEntry{
 		{Workspace: "club", Key: key, Owner: owner + " again"},
 	}}}, func(result applier.Result, err error) {
 		answered = true
 		if err != nil || result.Claims[0].GetOutcome() != messenger.ClaimOutcome_CLAIM_SPENT {
-			f.fail("key %s was granted and is now %v, %w", key, result.Claims, err)
+			c.fail("key %s was granted and is now %v, %w", key, result.Claims, err)
 		}
 	})
 	for range 50 {
 		if answered {
 			return
 		}
-		f.pass(10 * time.Millisecond)
+		c.advance(10 * time.Millisecond)
 	}
-	f.fail("no answer about key %s", key)
+	c.fail("no answer about key %s", key)
 }
 
-func fromEnv(t *testing.T, name string, standard int) int {
+// intFromEnv returns the number in an environment variable, or the fallback if it
+// is unset.
+func intFromEnv(t *testing.T, name string, fallback int) int {
 	text := os.Getenv(name)
 	if text == "" {
-		return standard
+		return fallback
 	}
 	number, err := strconv.Atoi(text)
 	require.NoError(t, err)
 	return number
 }
 
-// TestRandomWalk: the symptoms would be a keeper that doesn't start, states that
-// differ, or an answer that does not hold. The events are any sequence of
-// crashes at every disk operation, torn and lost writes, failed syncs, full
-// disks, lost and late messages, and handovers, with snapshots and installs
-// going on all the time.
+// Guards against a keeper that does not start, states that diverge, and answers
+// that do not hold. Random sequences of crashes at any disk operation, torn and
+// lost writes, failed syncs, full disks, lost and late messages, and leadership
+// transfers could cause these, while snapshots are taken and installed all the
+// time.
 func TestRandomWalk(t *testing.T) {
 	t.Parallel()
-	seeds, first := fromEnv(t, seedsEnv, seedsInCI), fromEnv(t, firstSeedEnv, 0)
+	seeds, first := intFromEnv(t, seedsEnv, defaultSeeds), intFromEnv(t, firstSeedEnv, 0)
 	var next, answered atomic.Int64
 	var group sync.WaitGroup
 	for range max(1, runtime.GOMAXPROCS(0)/2) {
@@ -397,18 +418,18 @@
 				if seed >= int64(seeds) {
 					return
 				}
-				f := newFleet(uint64(int64(first)+seed), 1+2*int(seed%3))
-				for range steps {
-					if f.act(); f.problem != nil {
+				c := newCluster(uint64(int64(first)+seed), 1+2*int(seed%3))
+				for range stepsPerSeed {
+					if c.randomEvent(); c.failure != nil {
 						break
 					}
 				}
-				if f.problem == nil {
-					f.settle()
+				if c.failure == nil {
+					c.recoverAndCheck()
 				}
-				answered.Add(int64(len(f.granted) + len(f.accepted)))
-				if f.problem != nil {
-					t.Errorf("seed %d: %v", int64(first)+seed, f.problem)
+				answered.Add(int64(len(c.granted) + len(c.accepted)))
+				if c.failure != nil {
+					t.Errorf("seed %d: %v", int64(first)+seed, c.failure)
 				}
 			}
 		})
--- a/keeper/internal/server/maintaining.go
+++ b/keeper/internal/server/maintaining.go
@@ -176,7 +176,7 @@
 			ID: replicator.ID(other.GetDisk()), Name: other.GetName(), Address: other.address, Role: replicator.Voter,
 		})
 	}
-	failure, err := callLoop(ctx, s, func(now time.Time, d *driver.Driver) error { return d.Found(now, group) })
+	failure, err := callLoop(ctx, s, func(now time.Time, d *driver.Driver) error { return d.Bootstrap(now, group) })
 	if err == nil {
 		err = failure
 	}
--- a/keeper/internal/server/server.go
+++ b/keeper/internal/server/server.go
@@ -120,7 +120,7 @@
 
 // snapshotWritten is the result of writing a snapshot outside the control loop.
 type snapshotWritten struct {
-	snapshot *driver.Snapshot
+	snapshot *driver.PendingSnapshot
 	err      error
 }
 
@@ -146,7 +146,7 @@
 	defer server.sender.Close()
 	d, err := driver.Open(driver.Config{
 		Files: folder, Timing: server.timing, Transport: server.sender,
-		Random: randomSource(), Mint: newDiskID,
+		Random: randomSource(), NewID: newDiskID,
 	}, clock.Now())
 	if err != nil {
 		return err
@@ -365,10 +365,10 @@
 func (s *Server) publish(d *driver.Driver) {
 	now := s.clock.Now()
 	next := &view{
-		status: d.Status(now), diskFull: d.Full(),
+		status: d.Status(now), diskFull: d.DiskFull(),
 		revision:           d.State().Configuration().Revision(),
 		quarantineRevision: d.State().QuarantineRevision(),
-		claims:             d.State().Claims(), appliedIndex: d.Applied(),
+		claims:             d.State().ClaimCount(), appliedIndex: d.Applied(),
 		plan: d.State().Plan(), evacuations: d.State().Evacuations(),
 		diskBytes: d.DiskBytes(), counters: d.Counters(), droppedMessages: s.sender.Dropped(),
 	}
--- a/lib/claimer/claimer.go
+++ b/lib/claimer/claimer.go
@@ -1,19 +1,20 @@
-// Package claimer is the replicated state machine of idempotency keys: which
-// request may be sent, once, and what became of it.
+// Package claimer implements the replicated state machine of idempotency keys. A
+// claim of a key gives its owner, one attempt at a request, the right to send the
+// request; a record stores the outcome.
 //
 // Invariants:
 //   - a key is granted to one owner only, until it expires or its owner reports
 //     that the request was not run; a repeat by the same owner, whose first
 //     answer was lost, is granted again;
-//   - a record of another owner changes nothing, so a late report cannot free a
-//     key that someone else has claimed since;
+//   - a record by another owner changes nothing, so a late report cannot free a
+//     key that has since been claimed by a different owner;
 //   - time is the replicated clock that the caller passes in, the same at all
 //     replicas; no local clock is read.
 //
-// Memory: at most Policy.PerWorkspace claims of a workspace, Policy.InAll
-// claims of all, and the recorded answers within Policy.WorkspaceBytes and
-// Policy.AllBytes. An answer beyond that is forgotten, oldest first, but not
-// that the request ran.
+// Memory: at most Policy.PerWorkspace claims per workspace and Policy.Total claims
+// in total; the bodies of recorded answers take at most Policy.WorkspaceBytes per
+// workspace and Policy.TotalBytes in total. Beyond that the bodies of the oldest
+// answers are dropped; the fact that the request ran is kept.
 package claimer
 
 import (
@@ -26,90 +27,94 @@
 )
 
 // Policy sets the window and the bounds. It is part of each command, so that
-// replicas of different versions decide alike. Zero values mean the defaults.
+// replicas of different versions or settings decide alike. Zero values mean the
+// defaults.
 type Policy struct {
-	// Window is how long a key is remembered after it was claimed.
+	// Window is the time from the claim of a key until it expires.
 	Window         time.Duration
 	PerWorkspace   int // claims of one workspace
-	InAll          int // claims of all workspaces
-	AnswerBytes    int // of one recorded answer
-	WorkspaceBytes int // of the recorded answers of one workspace
-	AllBytes       int // of all recorded answers
+	Total          int // claims of all workspaces
+	AnswerBytes    int // maximum size of one recorded answer
+	WorkspaceBytes int // of all recorded answers of one workspace
+	TotalBytes     int // of all recorded answers
 }
 
 // Defaults of Policy.
 const (
 	DefaultWindow         = time.Hour
 	DefaultPerWorkspace   = 4096
-	DefaultInAll          = 131072
+	DefaultTotal          = 131072
 	DefaultAnswerBytes    = 64 << 10
 	DefaultWorkspaceBytes = 512 << 10
-	DefaultAllBytes       = 32 << 20
+	DefaultTotalBytes     = 32 << 20
 )
 
-// MaxKey bounds a key, a workspace's name and an owner, in bytes.
+// MaxKey bounds the length of a key, of a workspace's name and of an owner, in
+// bytes.
 const MaxKey = 256
 
-// OrDefaults fills in what is zero.
+// OrDefaults returns the policy with zero values replaced by the defaults.
 func (p Policy) OrDefaults() Policy {
-	fill(&p.Window, DefaultWindow)
-	fill(&p.PerWorkspace, DefaultPerWorkspace)
-	fill(&p.InAll, DefaultInAll)
-	fill(&p.AnswerBytes, DefaultAnswerBytes)
-	fill(&p.WorkspaceBytes, DefaultWorkspaceBytes)
-	fill(&p.AllBytes, DefaultAllBytes)
+	setDefault(&p.Window, DefaultWindow)
+	setDefault(&p.PerWorkspace, DefaultPerWorkspace)
+	setDefault(&p.Total, DefaultTotal)
+	setDefault(&p.AnswerBytes, DefaultAnswerBytes)
+	setDefault(&p.WorkspaceBytes, DefaultWorkspaceBytes)
+	setDefault(&p.TotalBytes, DefaultTotalBytes)
 	return p
 }
 
-func fill[T comparable](field *T, standard T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
-		*field = standard
+		*field = value
 	}
 }
 
-// name is a key within its workspace.
-type name struct {
+// scopedKey is an idempotency key with the workspace that it belongs to.
+type scopedKey struct {
 	workspace string
 	key       string
 }
 
-// claim is one key that was claimed.
+// claim is a claimed key, with the answer once that is recorded.
 type claim struct {
-	name     name
-	digest   uint64
-	owner    string
-	expires  time.Duration
-	recorded bool
-	answer   []byte        // an encoded messenger.Answer
-	queued   *list.Element // in Machine.claims
-	kept     *list.Element // in Machine.answers, while the answer has its body
-	local    *list.Element // in its workspace's answers
+	id               scopedKey
+	digest           uint64
+	owner            string
+	expires          time.Duration // on the replicated clock
+	recorded         bool
+	answer           []byte        // an encoded messenger.Answer
+	expiryElement    *list.Element // in Machine.byExpiry
+	answerElement    *list.Element // in Machine.answers, nil unless the answer has its body
+	workspaceElement *list.Element // in workspace.answers, nil likewise
 }
 
-// workspace is what the bounds need to know of one.
+// workspace counts the claims and answers of one workspace, for its bounds.
 type workspace struct {
-	claims  int
-	bytes   int
-	answers list.List // of *claim, oldest first
+	claims      int
+	answerBytes int
+	answers     list.List // of *claim with a body, oldest answer first
 }
 
 // Machine is the replicated state. The zero value has no claims. It is not
 // safe for concurrent use.
 type Machine struct {
-	names      map[name]*claim
-	workspaces map[string]*workspace
-	claims     list.List // of *claim, in the order in which they expire
-	answers    list.List // of *claim, oldest answer first
-	bytes      int
+	byID        map[scopedKey]*claim
+	workspaces  map[string]*workspace
+	byExpiry    list.List // of *claim, first to expire first
+	answers     list.List // of *claim with a body, oldest answer first
+	answerBytes int
 }
 
-// Len returns the number of claims that are remembered.
+// Len returns the number of claims held. It includes expired claims that the next
+// Claim or Record will remove.
 func (m *Machine) Len() int {
-	return len(m.names)
+	return len(m.byID)
 }
 
-// Claim takes keys, in order, and answers each.
+// Claim claims keys in order, and returns a result for each. Expired claims are
+// removed first.
 func (m *Machine) Claim(now time.Duration, policy Policy, entries []*messenger.ClaimEntry) []*messenger.ClaimResult {
 	policy = policy.OrDefaults()
 	m.expire(now)
@@ -121,23 +126,23 @@
 }
 
 func (m *Machine) claim(now time.Duration, policy Policy, entry *messenger.ClaimEntry) *messenger.ClaimResult {
-	key := name{workspace: entry.GetWorkspace(), key: entry.GetKey()}
-	known, found := m.names[key]
+	key := scopedKey{workspace: entry.GetWorkspace(), key: entry.GetKey()}
+	known, found := m.byID[key]
 	if found {
-		return known.answerTo(entry)
+		return known.resultFor(entry)
 	}
-	if m.workspace(key.workspace).claims >= policy.PerWorkspace || len(m.names) >= policy.InAll {
-		m.tidy(key.workspace)
+	if m.workspace(key.workspace).claims >= policy.PerWorkspace || len(m.byID) >= policy.Total {
+		m.pruneWorkspace(key.workspace)
 		return &messenger.ClaimResult{Outcome: messenger.ClaimOutcome_CLAIM_FULL}
 	}
 	m.add(&claim{
-		name: key, digest: entry.GetDigest(), owner: entry.GetOwner(), expires: now + policy.Window,
+		id: key, digest: entry.GetDigest(), owner: entry.GetOwner(), expires: now + policy.Window,
 	})
 	return &messenger.ClaimResult{Outcome: messenger.ClaimOutcome_CLAIM_GRANTED}
 }
 
-// answerTo answers a claim of a key that is taken.
-func (c *claim) answerTo(entry *messenger.ClaimEntry) *messenger.ClaimResult {
+// resultFor returns the result of a further claim of the same key.
+func (c *claim) resultFor(entry *messenger.ClaimEntry) *messenger.ClaimResult {
 	switch {
 	case c.digest != entry.GetDigest():
 		return &messenger.ClaimResult{Outcome: messenger.ClaimOutcome_CLAIM_MISMATCH}
@@ -149,8 +154,8 @@
 	return &messenger.ClaimResult{Outcome: messenger.ClaimOutcome_CLAIM_SPENT}
 }
 
-// Record stores outcomes. The first answer to a claim stays; one that was not
-// run frees the key.
+// Record stores the outcomes of requests. Only the first answer to a claim is
+// recorded. A report that the request was not run frees the key.
 func (m *Machine) Record(now time.Duration, policy Policy, entries []*messenger.RecordEntry) {
 	policy = policy.OrDefaults()
 	m.expire(now)
@@ -160,7 +165,7 @@
 }
 
 func (m *Machine) record(policy Policy, entry *messenger.RecordEntry) {
-	known, found := m.names[name{workspace: entry.GetWorkspace(), key: entry.GetKey()}]
+	known, found := m.byID[scopedKey{workspace: entry.GetWorkspace(), key: entry.GetKey()}]
 	if !found || known.recorded || known.digest != entry.GetDigest() || known.owner != entry.GetOwner() {
 		return
 	}
@@ -171,52 +176,56 @@
 	known.recorded = true
 	known.answer = encode(entry.GetAnswer())
 	if len(known.answer) > policy.AnswerBytes {
-		known.answer = omit(known.answer)
+		known.answer = withoutBody(known.answer)
 		return
 	}
-	m.keep(known)
-	m.shrink(policy, known.name.workspace)
+	m.trackAnswer(known)
+	m.enforceAnswerBounds(policy, known.id.workspace)
 }
 
-// keep counts an answer.
-func (m *Machine) keep(c *claim) {
-	local := m.workspace(c.name.workspace)
-	c.kept = m.answers.PushBack(c)
-	c.local = local.answers.PushBack(c)
-	local.bytes += len(c.answer)
-	m.bytes += len(c.answer)
+// trackAnswer counts an answer with a body towards the bounds.
+func (m *Machine) trackAnswer(c *claim) {
+	local := m.workspace(c.id.workspace)
+	c.answerElement = m.answers.PushBack(c)
+	c.workspaceElement = local.answers.PushBack(c)
+	local.answerBytes += len(c.answer)
+	m.answerBytes += len(c.answer)
 }
 
-// forget stops counting an answer.
-func (m *Machine) forget(c *claim) {
-	if c.kept == nil {
+// untrackAnswer stops counting an answer towards the bounds. An answer that is not
+// counted is ignored.
+func (m *Machine) untrackAnswer(c *claim) {
+	if c.answerElement == nil {
 		return
 	}
-	local := m.workspace(c.name.workspace)
-	m.answers.Remove(c.kept)
-	local.answers.Remove(c.local)
-	local.bytes -= len(c.answer)
-	m.bytes -= len(c.answer)
-	c.kept, c.local = nil, nil
+	local := m.workspace(c.id.workspace)
+	m.answers.Remove(c.answerElement)
+	local.answers.Remove(c.workspaceElement)
+	local.answerBytes -= len(c.answer)
+	m.answerBytes -= len(c.answer)
+	c.answerElement, c.workspaceElement = nil, nil
 }
 
-// shrink forgets the bodies of the oldest answers, first of the workspace that
-// has too many, so that one workspace does not cost the others theirs.
-func (m *Machine) shrink(policy Policy, of string) {
-	local := m.workspace(of)
-	for local.bytes > policy.WorkspaceBytes {
-		m.drop(local.answers.Front().Value.(*claim))
+// enforceAnswerBounds drops the bodies of the oldest answers until the bounds hold. It starts
+// with the answers of the named workspace, so that one workspace that exceeds its bound does
+// not evict the answers of others.
+func (m *Machine) enforceAnswerBounds(policy Policy, name string) {
+	local := m.workspace(name)
+	for local.answerBytes > policy.WorkspaceBytes {
+		m.dropBody(local.answers.Front().Value.(*claim))
 	}
-	for m.bytes > policy.AllBytes {
-		m.drop(m.answers.Front().Value.(*claim))
+	for m.answerBytes > policy.TotalBytes {
+		m.dropBody(m.answers.Front().Value.(*claim))
 	}
 }
 
-func (m *Machine) drop(c *claim) {
-	m.forget(c)
-	c.answer = omit(c.answer)
+// dropBody removes the body of an answer and stops counting it.
+func (m *Machine) dropBody(c *claim) {
+	m.untrackAnswer(c)
+	c.answer = withoutBody(c.answer)
 }
 
+// workspace returns the counters of a workspace, and creates them if needed.
 func (m *Machine) workspace(name string) *workspace {
 	if m.workspaces == nil {
 		m.workspaces = make(map[string]*workspace)
@@ -229,45 +238,46 @@
 	return known
 }
 
-// tidy forgets a workspace that has no claims.
-func (m *Machine) tidy(name string) {
+// pruneWorkspace deletes the counters of a workspace without claims.
+func (m *Machine) pruneWorkspace(name string) {
 	if known, found := m.workspaces[name]; found && known.claims == 0 {
 		delete(m.workspaces, name)
 	}
 }
 
 func (m *Machine) add(c *claim) {
-	if m.names == nil {
-		m.names = make(map[name]*claim)
+	if m.byID == nil {
+		m.byID = make(map[scopedKey]*claim)
 	}
-	m.names[c.name] = c
-	m.workspace(c.name.workspace).claims++
-	m.queue(c)
+	m.byID[c.id] = c
+	m.workspace(c.id.workspace).claims++
+	m.insertByExpiry(c)
 }
 
-// queue keeps claims in the order in which they expire. The window hardly ever
-// changes, so the place is nearly always the last.
-func (m *Machine) queue(c *claim) {
-	for at := m.claims.Back(); at != nil; at = at.Prev() {
+// insertByExpiry inserts a claim into the list ordered by expiry. It searches from the end:
+// the window rarely changes, so a new claim nearly always expires last.
+func (m *Machine) insertByExpiry(c *claim) {
+	for at := m.byExpiry.Back(); at != nil; at = at.Prev() {
 		if at.Value.(*claim).expires <= c.expires {
-			c.queued = m.claims.InsertAfter(c, at)
+			c.expiryElement = m.byExpiry.InsertAfter(c, at)
 			return
 		}
 	}
-	c.queued = m.claims.PushFront(c)
+	c.expiryElement = m.byExpiry.PushFront(c)
 }
 
 func (m *Machine) remove(c *claim) {
-	m.forget(c)
-	m.claims.Remove(c.queued)
-	delete(m.names, c.name)
-	m.workspace(c.name.workspace).claims--
-	m.tidy(c.name.workspace)
+	m.untrackAnswer(c)
+	m.byExpiry.Remove(c.expiryElement)
+	delete(m.byID, c.id)
+	m.workspace(c.id.workspace).claims--
+	m.pruneWorkspace(c.id.workspace)
 }
 
+// expire removes the claims that have expired at now.
 func (m *Machine) expire(now time.Duration) {
 	for {
-		oldest := m.claims.Front()
+		oldest := m.byExpiry.Front()
 		if oldest == nil || oldest.Value.(*claim).expires > now {
 			return
 		}
@@ -275,7 +285,8 @@
 	}
 }
 
-// encode cannot fail: the texts were checked where they entered.
+// encode encodes an answer. Marshalling cannot fail, because the texts were
+// validated when they were received.
 func encode(answer *messenger.Answer) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(answer)
 	if err != nil {
@@ -284,8 +295,8 @@
 	return data
 }
 
-// omit leaves the body out of an encoded answer and says so.
-func omit(encoded []byte) []byte {
+// withoutBody returns an encoded answer without its body and with Omitted set.
+func withoutBody(encoded []byte) []byte {
 	var answer messenger.Answer
 	if err := proto.Unmarshal(encoded, &answer); err != nil {
 		return nil
--- a/lib/claimer/claimer_test.go
+++ b/lib/claimer/claimer_test.go
@@ -22,6 +22,7 @@
 	full     = messenger.ClaimOutcome_CLAIM_FULL
 )
 
+// entry returns a claim by an owner with a fixed workspace and request digest.
 func entry(key, owner string) *messenger.ClaimEntry {
 	return &messenger.ClaimEntry{Workspace: "club", Key: key, Digest: 7, Owner: owner}
 }
@@ -36,6 +37,8 @@
 	})
 }
 
+// Guards against a key that is granted to a second owner while the request may have
+// run, and against a key that is not free again when it should be.
 func TestClaims(t *testing.T) {
 	t.Parallel()
 	answer := &messenger.Answer{Status: 200, Body: []byte("booked")}
@@ -45,14 +48,14 @@
 		entry  *messenger.ClaimEntry
 		want   messenger.ClaimOutcome
 	}{
-		"the first is granted": {func(*claimer.Machine) {}, entry("k", "one"), granted},
-		"another owner finds it spent": {
+		"the first claim is granted": {func(*claimer.Machine) {}, entry("k", "one"), granted},
+		"the key is spent for another owner": {
 			func(m *claimer.Machine) { claim(m, 0, entry("k", "one")) }, entry("k", "two"), spent,
 		},
-		"a repeat by its owner is granted again": {
+		"a repeat by the same owner is granted again": {
 			func(m *claimer.Machine) { claim(m, 0, entry("k", "one")) }, entry("k", "one"), granted,
 		},
-		"another request with the same key is told so": {
+		"another request with the same key is a mismatch": {
 			func(m *claimer.Machine) { claim(m, 0, entry("k", "one")) },
 			&messenger.ClaimEntry{Workspace: "club", Key: "k", Digest: 8, Owner: "one"}, mismatch,
 		},
@@ -60,37 +63,37 @@
 			func(m *claimer.Machine) { claim(m, 0, entry("k", "one")) },
 			&messenger.ClaimEntry{Workspace: "house", Key: "k", Digest: 8, Owner: "two"}, granted,
 		},
-		"an answer is told again": {
+		"a recorded answer is returned": {
 			func(m *claimer.Machine) {
 				claim(m, 0, entry("k", "one"))
 				record(m, 0, "k", "one", answer)
 			}, entry("k", "two"), recorded,
 		},
-		"the first answer stays": {
+		"the first answer is kept": {
 			func(m *claimer.Machine) {
 				claim(m, 0, entry("k", "one"))
 				record(m, 0, "k", "one", answer)
 				record(m, 0, "k", "one", notRun)
 			}, entry("k", "two"), recorded,
 		},
-		"one that was not run is free again": {
+		"the key of a request that was not run is free again": {
 			func(m *claimer.Machine) {
 				claim(m, 0, entry("k", "one"))
 				record(m, 0, "k", "one", notRun)
 			}, entry("k", "two"), granted,
 		},
-		"a record of another owner changes nothing": {
+		"a record by another owner changes nothing": {
 			func(m *claimer.Machine) {
 				claim(m, 0, entry("k", "one"))
 				record(m, 0, "k", "two", notRun)
 			}, entry("k", "two"), spent,
 		},
-		"it is free again after the window": {
+		"the key is free again after the window": {
 			func(m *claimer.Machine) {
 				claim(m, -claimer.DefaultWindow, entry("k", "one"))
 			}, entry("k", "two"), granted,
 		},
-		"and not before": {
+		"the key is not free before the end of the window": {
 			func(m *claimer.Machine) {
 				claim(m, -claimer.DefaultWindow+time.Millisecond, entry("k", "one"))
 			}, entry("k", "two"), spent,
@@ -104,18 +107,18 @@
 			result := claim(m, 0, test.entry)
 			require.Equal(t, test.want.String(), result.GetOutcome().String())
 			if test.want == recorded {
-				var told messenger.Answer
-				require.NoError(t, proto.Unmarshal(result.GetRecorded(), &told))
-				require.Equal(t, "booked", string(told.GetBody()))
+				var answer messenger.Answer
+				require.NoError(t, proto.Unmarshal(result.GetRecorded(), &answer))
+				require.Equal(t, "booked", string(answer.GetBody()))
 			}
 		})
 	}
 }
 
-// Symptom: a booking is made twice. Sequence: the endpoint did not start a
-// request, its router reports so, the answer to the report is lost, a resend
-// through another router claims the key and runs, and then the first router
-// reports again.
+// Guards against a booking that is made twice: an endpoint did not start a
+// request, its router reports that, and the answer to the report is lost; a resend
+// through another router claims the key and runs; then the first router repeats
+// its report, which must not free the key.
 func TestLateReportFreesNoOtherClaim(t *testing.T) {
 	t.Parallel()
 	m := &claimer.Machine{}
@@ -127,11 +130,12 @@
 	require.Equal(t, spent, claim(m, 0, entry("k", "three")).GetOutcome())
 }
 
-// Symptom: one workspace's claims fill the keepers' memory, or cost others theirs.
+// Guards against the claims of one workspace filling the keepers' memory or using
+// up the bounds of other workspaces.
 func TestFloodIsBounded(t *testing.T) {
 	t.Parallel()
 	m := &claimer.Machine{}
-	policy := claimer.Policy{PerWorkspace: 3, InAll: 5}
+	policy := claimer.Policy{PerWorkspace: 3, Total: 5}
 	flood := func(workspace string) []string {
 		var outcomes []string
 		for i := range 4 {
@@ -147,10 +151,12 @@
 	require.Equal(t, granted.String(), flood("three")[0])
 }
 
-func TestAnswersAreBoundedButNotThatTheyRan(t *testing.T) {
+// Guards against recorded answers that fill the keepers' memory, and against a
+// request that runs again because its answer was dropped.
+func TestAnswerBodiesAreBoundedButOutcomesAreKept(t *testing.T) {
 	t.Parallel()
 	m := &claimer.Machine{}
-	policy := claimer.Policy{AnswerBytes: 100, WorkspaceBytes: 150, AllBytes: 250}
+	policy := claimer.Policy{AnswerBytes: 100, WorkspaceBytes: 150, TotalBytes: 250}
 	run := func(workspace, key string, size int) {
 		m.Claim(0, policy, []*messenger.ClaimEntry{{Workspace: workspace, Key: key}})
 		m.Record(0, policy, []*messenger.RecordEntry{{
@@ -160,35 +166,35 @@
 	omitted := func(workspace, key string) bool {
 		result := m.Claim(0, policy, []*messenger.ClaimEntry{{Workspace: workspace, Key: key, Owner: "resend"}})[0]
 		require.Equal(t, recorded, result.GetOutcome())
-		var told messenger.Answer
-		require.NoError(t, proto.Unmarshal(result.GetRecorded(), &told))
-		require.EqualValues(t, 200, told.GetStatus())
-		return told.GetOmitted()
+		var answer messenger.Answer
+		require.NoError(t, proto.Unmarshal(result.GetRecorded(), &answer))
+		require.EqualValues(t, 200, answer.GetStatus())
+		return answer.GetOmitted()
 	}
 	run("one", "large", 101)
 	run("one", "a", 60)
 	run("one", "b", 60)
 	run("one", "c", 60)
 	require.True(t, omitted("one", "large"))
-	require.True(t, omitted("one", "a"), "the oldest of the workspace that has too many")
+	require.True(t, omitted("one", "a"), "the oldest answer of the workspace that exceeds its bound")
 	require.False(t, omitted("one", "b"))
 	run("two", "d", 60)
 	require.False(t, omitted("one", "b"))
 	run("three", "e", 60)
-	require.True(t, omitted("one", "b"), "the oldest of all")
+	require.True(t, omitted("one", "b"), "the oldest answer of all workspaces")
 	require.False(t, omitted("two", "d"))
 }
 
-// TestAnySequence compares random claims, records and restarts with a model
-// that is a plain map, and checks that a replica that started from a snapshot
-// goes on exactly as one that did not.
+// TestAnySequence compares random claims, records and restarts with a plain map as
+// the model, and checks that a replica that restarts from snapshots gives exactly
+// the same results as a replica that does not.
 func TestAnySequence(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		policy := claimer.Policy{Window: 200 * time.Millisecond, PerWorkspace: 4, WorkspaceBytes: 100, AllBytes: 100}
+		policy := claimer.Policy{Window: 200 * time.Millisecond, PerWorkspace: 4, WorkspaceBytes: 100, TotalBytes: 100}
 		m, restarted := &claimer.Machine{}, &claimer.Machine{}
-		owners := make(map[string]string) // of the running claim, by key
-		until := make(map[string]time.Duration)
+		owners := make(map[string]string) // of the current claim, by key
+		expires := make(map[string]time.Duration)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 5).Draw(t, "ms")) * time.Millisecond
@@ -208,9 +214,9 @@
 				require.True(t, proto.Equal(result, restarted.Claim(now, policy, entries)[0]))
 				if result.GetOutcome() == granted {
 					holder, held := owners[key]
-					require.True(t, !held || holder == owner || until[key] <= now, "%s is held by %s", key, holder)
-					if !held || until[key] <= now {
-						until[key] = now + policy.Window
+					require.True(t, !held || holder == owner || expires[key] <= now, "%s is held by %s", key, holder)
+					if !held || expires[key] <= now {
+						expires[key] = now + policy.Window
 					}
 					owners[key] = owner
 				}
--- a/lib/configurer/configurer_test.go
+++ b/lib/configurer/configurer_test.go
@@ -34,7 +34,7 @@
 	return describer.Change{ID: id, Author: "operator", Edits: edits}
 }
 
-// apply does what a leader and then every replica does.
+// apply checks a change as a leader does and then applies it as every replica does.
 func apply(m *configurer.Machine, wanted describer.Change) configurer.Result {
 	verdict := m.Check(wanted)
 	if verdict.Outcome != configurer.Accepted || verdict.Resent {
@@ -43,9 +43,9 @@
 	return m.Apply(wanted, verdict.Findings, m.Revision(), time.Unix(100, 0))
 }
 
-// Symptom: a change takes effect twice, or undoes a later one. Sequence: the
-// answer is lost, another operator's change comes in between, and the first
-// operator sends the change again.
+// Guards against a change that takes effect twice or undoes a later change: its
+// answer is lost, a change of another operator is accepted, and the first operator
+// sends the change again.
 func TestResendGetsTheFirstAnswer(t *testing.T) {
 	t.Parallel()
 	m := &configurer.Machine{}
@@ -53,33 +53,33 @@
 	require.Equal(t, configurer.Accepted, first.Outcome)
 	apply(m, change("b", set(workspace("club", "silver"))))
 
-	again := apply(m, change("a", checked(workspace("club", "gold"), 0)))
-	require.True(t, again.Resent)
-	require.Equal(t, first.Revision, again.Revision)
-	require.Equal(t, first.Findings, again.Findings)
+	resent := apply(m, change("a", checked(workspace("club", "gold"), 0)))
+	require.True(t, resent.Resent)
+	require.Equal(t, first.Revision, resent.Revision)
+	require.Equal(t, first.Findings, resent.Findings)
 	require.Equal(t, "silver", m.Snapshot().Objects[workspace("club", "").Key()].Labels["tier"])
 
 	replicated := m.Apply(change("a", set(workspace("club", "gold"))), nil, m.Revision(), time.Unix(0, 0))
-	require.True(t, replicated.Resent, "also when two copies were in the log already")
+	require.True(t, replicated.Resent, "a second copy in the log is a resend as well")
 }
 
-// Symptom: an operator's change vanishes without a trace. Sequence: two
-// operators see the same version and both write.
-func TestRaceHasOneWinnerThatTheLoserSees(t *testing.T) {
+// Guards against a change that another operator's change overwrites unnoticed: both
+// operators read the same version of an object and both write it.
+func TestConflictReturnsWinningObject(t *testing.T) {
 	t.Parallel()
 	m := &configurer.Machine{}
 	apply(m, change("a", set(workspace("club", "gold"))))
 	version := m.Snapshot().Objects[workspace("club", "").Key()].Version
 	require.Equal(t, configurer.Accepted, apply(m, change("b", checked(workspace("club", "silver"), version))).Outcome)
 
-	lost := apply(m, change("c", checked(workspace("club", "bronze"), version)))
-	require.Equal(t, configurer.Conflict, lost.Outcome)
-	require.Equal(t, "silver", lost.Winners[0].Labels["tier"])
-	require.Equal(t, version+1, lost.Winners[0].Version)
+	conflict := apply(m, change("c", checked(workspace("club", "bronze"), version)))
+	require.Equal(t, configurer.Conflict, conflict.Outcome)
+	require.Equal(t, "silver", conflict.Winners[0].Labels["tier"])
+	require.Equal(t, version+1, conflict.Winners[0].Version)
 }
 
-// Symptom: an operator overwrites an object that is not the one they saw.
-// Sequence: it is deleted and made anew, and its version counts from 1 again.
+// Guards against an operator who overwrites another object than the one they read:
+// the object is deleted and created again, and its versions start from 1 again.
 func TestVersionsOfANameAreNeverUsedTwice(t *testing.T) {
 	t.Parallel()
 	m := &configurer.Machine{}
@@ -88,14 +88,14 @@
 	apply(m, change("b", remove("club")))
 	gone := apply(m, change("c", checked(workspace("club", "silver"), seen)))
 	require.Equal(t, configurer.Conflict, gone.Outcome)
-	require.Zero(t, gone.Winners[0].Version, "the loser sees that it was deleted")
+	require.Zero(t, gone.Winners[0].Version, "version 0 shows that the object was deleted")
 	apply(m, change("d", set(workspace("club", "bronze"))))
 	require.Equal(t, configurer.Conflict, apply(m, change("e", checked(workspace("club", "silver"), seen))).Outcome)
 }
 
-// Symptom: two services offer one model although validation forbids it.
-// Sequence: two changes are valid alone, both are checked on the same revision,
-// and both are in the log before either is applied.
+// Guards against two services that offer the same model, which validation forbids:
+// two changes that are valid alone are both checked against the same revision, and
+// both are in the log before either is applied.
 func TestVerdictHoldsForOneRevision(t *testing.T) {
 	t.Parallel()
 	m := &configurer.Machine{}
@@ -113,7 +113,8 @@
 	require.EqualValues(t, 1, m.Revision())
 }
 
-func TestSnapshotsStayAsTheyWere(t *testing.T) {
+// Guards against a snapshot that changes while readers in other goroutines use it.
+func TestSnapshotsAreImmutable(t *testing.T) {
 	t.Parallel()
 	m := &configurer.Machine{}
 	apply(m, change("a", set(workspace("club", "gold"))))
@@ -123,25 +124,28 @@
 	require.Equal(t, "gold", before.Objects[workspace("club", "").Key()].Labels["tier"])
 }
 
-func TestSinceTellsWhatChanged(t *testing.T) {
+// Guards against routers that miss edits or deletions after the revision they have.
+func TestSinceReturnsDifference(t *testing.T) {
 	t.Parallel()
 	m := &configurer.Machine{}
 	apply(m, change("a", set(workspace("club", "gold")), set(workspace("house", "gold"))))
 	apply(m, change("b", set(workspace("club", "silver"))))
 	apply(m, change("c", remove("house")))
 
-	everything := m.Since(0)
-	require.True(t, everything.Full)
-	require.Len(t, everything.Objects, 1)
+	complete := m.Since(0)
+	require.True(t, complete.Full)
+	require.Len(t, complete.Objects, 1)
 
 	difference := m.Since(1)
 	require.False(t, difference.Full)
 	require.Equal(t, "silver", difference.Objects[0].Labels["tier"])
 	require.Equal(t, []describer.Key{{Kind: describer.Workspace, Name: "house"}}, difference.Deletions)
 	require.Empty(t, m.Since(3).Objects)
-	require.EqualValues(t, 3, m.Since(9).Revision, "a router that is ahead hears of the lower revision and keeps its own")
+	require.EqualValues(t, 3, m.Since(9).Revision, "a router with a higher revision gets the lower one and no objects, and keeps its own")
 }
 
+// Guards against a history that grows without bound, and against wrong answers about
+// revisions that are no longer in it.
 func TestMemoryIsBounded(t *testing.T) {
 	t.Parallel()
 	m := &configurer.Machine{}
@@ -149,16 +153,16 @@
 		apply(m, change(fmt.Sprint(i), set(workspace("club", "gold"))))
 	}
 	require.Len(t, m.History(0, 1<<20), configurer.HistoryLength)
-	require.True(t, m.Since(1).Full, "what lies before the history is told in full")
+	require.True(t, m.Since(1).Full, "a revision older than the history gets the full configuration")
 	_, err := m.At(1)
 	require.ErrorIs(t, err, configurer.ErrForgotten)
 	require.ErrorContains(t, err, "ask for 10 to")
-	require.True(t, apply(m, change("0")).Resent, "change ids are remembered for longer")
+	require.True(t, apply(m, change("0")).Resent, "change ids are remembered for longer than the history")
 }
 
-// TestAnyHistory applies random changes and checks against all earlier states:
-// every revision can be looked up, a difference leads from any of them to the
-// last, and a state that was encoded goes on exactly as the original.
+// TestAnyHistory applies random changes and compares with all earlier states: every
+// revision can be looked up, a difference leads from each of them to the last, and
+// a decoded state behaves exactly like the encoded one.
 func TestAnyHistory(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -187,15 +191,15 @@
 	})
 }
 
-// reopen returns the machine as a keeper has it after a restart.
+// reopen encodes and decodes the machine, as a restart of a keeper does.
 func reopen(t require.TestingT, m *configurer.Machine) *configurer.Machine {
 	state := m.Encode()
-	again := configurer.Decode(state)
-	require.True(t, proto.Equal(state, again.Encode()))
-	return again
+	decoded := configurer.Decode(state)
+	require.True(t, proto.Equal(state, decoded.Encode()))
+	return decoded
 }
 
-// follow does what a router does with a difference.
+// follow applies a difference as a router does.
 func follow(objects map[describer.Key]describer.Object, difference configurer.Difference) map[describer.Key]describer.Object {
 	followed := make(map[describer.Key]describer.Object)
 	if !difference.Full {
--- a/lib/configurer/wire.go
+++ b/lib/configurer/wire.go
@@ -14,8 +14,8 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 }
 
-// sorted lists objects in a fixed order, so that every replica encodes the
-// same state to the same bytes.
+// sorted lists objects by kind and name, so that every replica encodes the same
+// state to the same bytes.
 func sorted(objects map[describer.Key]describer.Object) []describer.Object {
 	listed := make([]describer.Object, 0, len(objects))
 	for _, key := range slices.SortedFunc(maps.Keys(objects), compareKeys) {
@@ -24,7 +24,7 @@
 	return listed
 }
 
-// ObjectToWire converts an object.
+// ObjectToWire converts an object to its wire form.
 func ObjectToWire(object describer.Object) *messenger.Object {
 	return &messenger.Object{
 		Kind: string(object.Kind), Name: object.Name, Labels: object.Labels,
@@ -32,7 +32,7 @@
 	}
 }
 
-// ObjectFromWire converts an object back.
+// ObjectFromWire converts an object from its wire form.
 func ObjectFromWire(wire *messenger.Object) describer.Object {
 	return describer.Object{
 		Kind: describer.Kind(wire.GetKind()), Name: wire.GetName(), Labels: wire.GetLabels(),
@@ -40,7 +40,7 @@
 	}
 }
 
-// ObjectsToWire converts objects.
+// ObjectsToWire converts objects to their wire form.
 func ObjectsToWire(objects []describer.Object) []*messenger.Object {
 	var wire []*messenger.Object
 	for _, object := range objects {
@@ -49,7 +49,7 @@
 	return wire
 }
 
-// KeysToWire converts the keys of deleted objects.
+// KeysToWire converts the keys of deleted objects to their wire form.
 func KeysToWire(keys []describer.Key) []*messenger.Deletion {
 	var wire []*messenger.Deletion
 	for _, key := range keys {
@@ -58,12 +58,12 @@
 	return wire
 }
 
-// ChangeToWire converts a change.
+// ChangeToWire converts a change to its wire form.
 func ChangeToWire(change describer.Change) *messenger.ApplyRequest {
 	return &messenger.ApplyRequest{Change: change.ID, Author: change.Author, Edits: editsToWire(change.Edits)}
 }
 
-// ChangeFromWire converts a change back.
+// ChangeFromWire converts a change from its wire form.
 func ChangeFromWire(wire *messenger.ApplyRequest) describer.Change {
 	return describer.Change{ID: wire.GetChange(), Author: wire.GetAuthor(), Edits: editsFromWire(wire.GetEdits())}
 }
@@ -89,7 +89,7 @@
 	return edits
 }
 
-// FindingsToWire converts findings.
+// FindingsToWire converts findings to their wire form.
 func FindingsToWire(findings []describer.Finding) []*messenger.Finding {
 	var wire []*messenger.Finding
 	for _, finding := range findings {
@@ -101,7 +101,7 @@
 	return wire
 }
 
-// FindingsFromWire converts findings back.
+// FindingsFromWire converts findings from their wire form.
 func FindingsFromWire(wire []*messenger.Finding) []describer.Finding {
 	var findings []describer.Finding
 	for _, finding := range wire {
@@ -113,7 +113,7 @@
 	return findings
 }
 
-// RevisionsToWire converts a part of the history.
+// RevisionsToWire converts revisions of the history to their wire form.
 func RevisionsToWire(revisions []Revision) []*messenger.Revision {
 	var wire []*messenger.Revision
 	for _, revision := range revisions {
@@ -122,7 +122,8 @@
 	return wire
 }
 
-// ResultToWire converts the answer to a change. A Moved has no answer yet.
+// ResultToWire converts the answer to a change to its wire form. The outcome Moved
+// has none, because the change is not answered yet.
 func ResultToWire(result Result) *messenger.ApplyResponse {
 	outcomes := map[Outcome]messenger.ApplyOutcome{
 		Accepted: messenger.ApplyOutcome_APPLY_ACCEPTED,
--- a/lib/describer/describer.go
+++ b/lib/describer/describer.go
@@ -1,17 +1,17 @@
-// Package describer holds the objects that operators describe, workspaces,
-// services and endpoints, and the changes to them.
+// Package describer defines the objects of the configuration, which are
+// workspaces, services and endpoints, and validates changes to them.
 //
-// An object is a kind, a name, labels and one selector; there is nothing else
-// to configure. What the selector selects depends on the kind:
+// An object has a kind, a name, labels and one selector; there are no other
+// settings. What the selector selects depends on the kind:
 //
-//   - workspace: the endpoints that its work may go to;
+//   - workspace: the endpoints to which its requests may be sent;
 //   - service: the workspaces that may use it;
-//   - endpoint: the workspaces whose work it takes. An endpoint object's labels
-//     are laid over the labels that the endpoint announces.
+//   - endpoint: the workspaces whose requests it accepts. The labels of an endpoint
+//     object override the labels that the endpoint announces.
 //
-// Invariants: a Snapshot is never changed in place once it has been handed
-// out, an object's version rises by one with every accepted edit, and a
-// snapshot's revision rises by one with every accepted change.
+// Invariants: a Snapshot is not modified once it has been returned, the version of
+// an object rises by one with every accepted edit, and the revision of a snapshot
+// rises by one with every accepted change.
 package describer
 
 import (
@@ -20,7 +20,7 @@
 	"shallotkeel.example/lib/labeler"
 )
 
-// Kind says what an object describes.
+// Kind is the kind of an object.
 type Kind string
 
 // The kinds of object.
@@ -30,35 +30,35 @@
 	Endpoint  Kind = "endpoint"
 )
 
-// Labels with a meaning to the system. Every other label is the operators' own.
+// Labels with a meaning to the system. Operators may use any other label as they like.
 const (
-	// LabelWeight is a workspace's share relative to others, a positive number; 1 if absent.
+	// LabelWeight is a workspace's share relative to other workspaces, a positive number; 1 if absent.
 	LabelWeight = "weight"
-	// LabelQueue bounds a workspace's waiting requests at one router; DefaultQueue if absent.
+	// LabelQueue is the maximum number of a workspace's waiting requests at one router; DefaultQueue if absent.
 	LabelQueue = "queue"
-	// LabelToken is the hex SHA-256 of a workspace's bearer token, cut to 63 characters.
-	// On a service it is that of the token with which the service's endpoints may announce themselves.
+	// LabelToken on a workspace is the hex SHA-256 of its bearer token, cut to 63 characters. On a
+	// service it is the same digest of the token with which the service's endpoints announce themselves.
 	LabelToken = "token"
-	// LabelOperator on a workspace, with value "yes", lets its token open the operators' paths too.
+	// LabelOperator on a workspace, with value "yes", gives its token access to the operators' paths.
 	LabelOperator = "operator"
-	// LabelTokenNext is a second valid token while the first is being rotated.
+	// LabelTokenNext is the digest of a second valid token, for the time of a token rotation.
 	LabelTokenNext = "token-next"
 	// LabelType is a service's type: TypeModel or TypePlain.
 	LabelType = "type"
-	// LabelRepeat on a plain service says whether its calls may be repeated: RepeatSafe, RepeatNever or RepeatMethod.
+	// LabelRepeat on a plain service decides whether its requests may be retried: RepeatSafe, RepeatNever or RepeatMethod.
 	LabelRepeat = "repeat"
-	// LabelDrain on an endpoint object, with value "yes", stops new work to that endpoint.
+	// LabelDrain on an endpoint object, with value "yes", stops new requests to that endpoint.
 	LabelDrain = "drain"
-	// LabelLoads on a service bounds how many loads of models it begins per minute, which
-	// the weight store's rate gives; a positive number, DefaultLoads if absent.
+	// LabelLoads on a service is the maximum number of model loads that it starts per minute, a
+	// positive number that follows from the throughput of the weight store; DefaultLoads if absent.
 	LabelLoads = "loads-per-minute"
-	// LabelRoom of an endpoint is how many models fit into it. Only an endpoint that
-	// announces it, or has it from its object, gets orders.
+	// LabelRoom on an endpoint is the number of models that fit into its memory. Only an endpoint
+	// with this label, announced or on its object, gets orders to load and unload models.
 	LabelRoom = "room"
-	// PrefixCopies starts the labels that say in how many copies a model is wanted in
-	// each availability zone: "copies.draft-7b": "2"; 1 if absent.
+	// PrefixCopies starts the labels that give the wanted number of copies of a model in each
+	// availability zone, such as "copies.draft-7b": "2"; 1 if absent.
 	PrefixCopies = "copies."
-	// PrefixModel starts the labels that name a service's models: "model.draft-7b": "yes".
+	// PrefixModel starts the labels that list a service's models, such as "model.draft-7b": "yes".
 	PrefixModel = "model."
 )
 
@@ -72,26 +72,26 @@
 	Yes          = "yes"
 	DefaultQueue = 256
 	DefaultLoads = 6
-	// MaxCopies and MaxRoom bound what labels may ask for.
+	// MaxCopies and MaxRoom bound the values of the copies labels and of LabelRoom.
 	MaxCopies = 1000
 	MaxRoom   = 256
 )
 
-// Labels that the system itself adds to an endpoint's announced labels, so
-// that selectors can mention them.
+// Labels that the system adds to an endpoint's announced labels, so that
+// selectors can refer to them.
 const (
 	LabelZone     = "zone"
 	LabelService  = "service"
 	LabelEndpoint = "endpoint"
 )
 
-// Key names an object.
+// Key identifies an object.
 type Key struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// Object is one thing that operators describe.
+// Object is one object of the configuration.
 type Object struct {
 	Kind     Kind           `json:"kind"`
 	Name     string         `json:"name"`
@@ -100,7 +100,7 @@
 	Version  uint64         `json:"version,omitempty"`
 }
 
-// Key returns the object's name with its kind.
+// Key returns the key of the object.
 func (o Object) Key() Key {
 	return Key{Kind: o.Kind, Name: o.Name}
 }
@@ -109,28 +109,28 @@
 type Edit struct {
 	Object Object `json:"object"`
 	Delete bool   `json:"delete,omitempty"`
-	// Check refuses the edit unless the object's version is Version, where 0
-	// means that the object must not exist.
+	// Check makes the edit conflict unless the object's version equals Version.
+	// Version 0 means that the object must not exist.
 	Check   bool   `json:"check,omitempty"`
 	Version uint64 `json:"version,omitempty"`
 }
 
-// Change is a set of edits that is accepted or refused as a whole. A change
-// that is sent again with the same ID gets the first answer.
+// Change is a set of edits that is accepted or refused as a whole. A change that
+// is sent again with the same ID gets the answer of the first time.
 type Change struct {
 	ID     string `json:"id"`
 	Author string `json:"author,omitempty"`
 	Edits  []Edit `json:"edits"`
 }
 
-// Snapshot is all objects as of a revision.
+// Snapshot holds all objects as of a revision.
 type Snapshot struct {
 	Revision uint64
 	Objects  map[Key]Object
 }
 
-// Clone copies the map of objects, so that the copy can be edited. Objects
-// themselves are replaced whole, never edited, and so are shared.
+// Clone copies the map of objects, so that the copy can be edited. The objects are
+// shared: they are replaced as a whole and never modified.
 func (s Snapshot) Clone() Snapshot {
 	return Snapshot{Revision: s.Revision, Objects: maps.Clone(s.Objects)}
 }
--- a/lib/describer/differ.go
+++ b/lib/describer/differ.go
@@ -5,21 +5,22 @@
 	"slices"
 )
 
-// Difference is one object that differs from what is in force.
+// Difference is one wanted object that differs from the object in force.
 type Difference struct {
 	Key    Key
 	Before *Object // nil: the object does not exist yet
 	After  *Object // nil: the object is to be deleted
 }
 
-// Same tells whether two objects say the same, whatever their versions.
-func Same(a, b Object) bool {
+// Equivalent reports whether two objects are equal apart from their versions.
+func Equivalent(a, b Object) bool {
 	return a.Key() == b.Key() && a.Selector == b.Selector && maps.Equal(a.Labels, b.Labels)
 }
 
-// Diff lists how the wanted objects differ from the current ones, in order of
-// kind and name. Objects that are not wanted are listed as deletions only with
-// prune, because a file usually describes a part of the configuration.
+// Diff lists the differences between the wanted and the current objects, each group
+// in order of kind and name. Current objects that are not wanted are listed as
+// deletions, at the end, only with prune: a file usually describes just a part of
+// the configuration.
 func Diff(current, wanted []Object, prune bool) []Difference {
 	known := byKey(current)
 	want := byKey(wanted)
@@ -29,7 +30,7 @@
 		switch {
 		case !found:
 			differences = append(differences, Difference{Key: object.Key(), After: &object})
-		case !Same(before, object):
+		case !Equivalent(before, object):
 			differences = append(differences, Difference{Key: object.Key(), Before: &before, After: &object})
 		}
 	}
@@ -44,8 +45,8 @@
 	return differences
 }
 
-// Edits turns differences into edits that are refused if anybody has changed
-// one of the objects since it was read.
+// Edits converts differences to edits that conflict if one of the objects has been
+// changed since it was read.
 func Edits(differences []Difference) []Edit {
 	edits := make([]Edit, 0, len(differences))
 	for _, difference := range differences {
--- a/lib/describer/document.go
+++ b/lib/describer/document.go
@@ -9,16 +9,16 @@
 	"shallotkeel.example/lib/loader"
 )
 
-// ErrDocument is the kind of every error about a file of objects.
+// ErrDocument is wrapped by every error about a file of objects.
 var ErrDocument = merry.Sentinel("document of objects is not usable")
 
-// Document is the content of one file of objects: JSON with comments.
+// Document is the content of a file of objects, which is JSON with comments.
 type Document struct {
 	Objects []Object `json:"objects"`
 }
 
-// ParseDocument reads a file of objects. The name stands in errors, which tell
-// the line and the remedy.
+// ParseDocument parses a file of objects. Errors contain the given name of the
+// file, the remedy, and the line if the JSON is at fault.
 func ParseDocument(name string, text []byte) ([]Object, error) {
 	var document Document
 	if err := loader.Unmarshal(name, text, &document); err != nil {
@@ -41,7 +41,7 @@
 	return document.Objects, nil
 }
 
-// SortObjects orders objects by kind and name, for people and for stable output.
+// SortObjects sorts objects by kind and name, for stable and readable output.
 func SortObjects(objects []Object) {
 	slices.SortFunc(objects, func(a, b Object) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
--- a/lib/describer/document_test.go
+++ b/lib/describer/document_test.go
@@ -8,6 +8,8 @@
 	"shallotkeel.example/lib/labeler"
 )
 
+// Guards against documents with unknown keys, missing names or duplicates that are
+// accepted, and against errors without the line or the remedy.
 func TestParseDocument(t *testing.T) {
 	tests := map[string]struct {
 		text string
@@ -35,6 +37,8 @@
 	}
 }
 
+// Guards against a panic, or an error of another kind than ErrDocument, on any
+// content of a file.
 func FuzzParseDocument(f *testing.F) {
 	f.Add([]byte(`{"objects":[{"kind":"service","name":"a","labels":{"x":"y"}}]}`))
 	f.Add([]byte(`{/**/}`))
@@ -48,6 +52,8 @@
 	})
 }
 
+// Guards against edits that touch unchanged objects, lack the version check, or
+// delete objects without prune.
 func TestDiff(t *testing.T) {
 	kept := Object{Kind: Workspace, Name: "kept", Version: 4}
 	before := Object{Kind: Workspace, Name: "changed", Selector: "a=b", Version: 2}
--- a/lib/describer/examples_test.go
+++ b/lib/describer/examples_test.go
@@ -11,8 +11,9 @@
 	"shallotkeel.example/lib/matcher"
 )
 
-// Every example deployment must be accepted as it stands, without a warning,
-// and its tokens must work, because operators start from these files.
+// Guards against example deployments that do not work as they are. Operators start
+// from these files, so each must be accepted without a warning and its tokens must
+// be valid.
 func TestExamplesAreAccepted(t *testing.T) {
 	tests := map[string]struct {
 		workspace string
@@ -33,6 +34,8 @@
 	}
 }
 
+// apply validates all files of a directory as one change to an empty configuration,
+// and returns the result.
 func apply(t *testing.T, directory string) describer.Snapshot {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(directory, "*.jsonc"))
--- a/lib/describer/validate.go
+++ b/lib/describer/validate.go
@@ -11,17 +11,17 @@
 	"shallotkeel.example/lib/labeler"
 )
 
-// Severity says what a finding means for the change.
+// Severity is the severity of a finding.
 type Severity string
 
-// The severities. A change with an error is refused.
+// The severities. A change with an error is refused; warnings do not stop it.
 const (
 	Error   Severity = "error"
 	Warning Severity = "warning"
 )
 
-// Finding is a remark on a change: the object, what is wrong or unusual, and
-// what to do about it.
+// Finding is an error or a warning about a change: the object, if it concerns one,
+// the problem, and the remedy.
 type Finding struct {
 	Severity Severity `json:"severity"`
 	Kind     Kind     `json:"kind,omitempty"`
@@ -30,8 +30,8 @@
 	Remedy   string   `json:"remedy,omitempty"`
 }
 
-// Bounds on what operators describe. Together they bound the memory of the
-// configuration at every keeper and router.
+// Bounds on changes and objects. Together they bound the memory that the
+// configuration takes at every keeper and router.
 const (
 	MaxEdits    = 1000
 	MaxObjects  = 10000
@@ -42,16 +42,18 @@
 	MaxFindings = 100
 )
 
-// tokenLength is the length of LabelToken's value.
+// tokenLength is the length in characters of the values of LabelToken and
+// LabelTokenNext.
 const tokenLength = 63
 
-// Failed tells whether any finding is an error.
+// Failed reports whether any finding is an error.
 func Failed(findings []Finding) bool {
 	return slices.ContainsFunc(findings, func(f Finding) bool { return f.Severity == Error })
 }
 
-// Validate checks a change against the objects as they are and lists errors
-// first. It does not look at versions: a conflict is no fault of the change.
+// Validate checks a change against the objects of a snapshot and returns the
+// findings, errors first. It ignores versions: a conflict is not an error in the
+// change itself.
 func Validate(snapshot Snapshot, change Change) []Finding {
 	v := &validator{before: snapshot, after: snapshot.Clone()}
 	v.checkChange(change)
@@ -60,13 +62,13 @@
 		v.checkEdit(edit, seen)
 	}
 	if !Failed(v.findings) {
-		v.checkWhole(change)
+		v.checkResult(change)
 	}
 	return v.sorted()
 }
 
-// Apply returns the snapshot's objects with the change's edits carried out and
-// without regard to versions.
+// Apply returns a copy of the snapshot with the edits of the change applied. It
+// neither checks nor sets versions.
 func Apply(snapshot Snapshot, change Change) Snapshot {
 	after := snapshot.Clone()
 	if after.Objects == nil {
@@ -82,11 +84,13 @@
 	return after
 }
 
+// validator collects the findings about one change.
 type validator struct {
 	before   Snapshot
 	after    Snapshot
 	findings []Finding
-	// kinds and labels are of after, gathered once: a change may have many edits.
+	// kinds and labels hold the objects and the label keys of after, by kind. They
+	// are gathered once, because a change may have many edits.
 	kinds  map[Kind][]Object
 	labels map[Kind]map[string]bool
 }
@@ -98,8 +102,9 @@
 	})
 }
 
-// sorted lists errors first and cuts the list, so that one change cannot fill
-// the memory of the answers that are kept.
+// sorted returns the findings with errors first, at most MaxFindings of them. The
+// keepers remember the findings of accepted changes, and one change must not fill
+// their memory.
 func (v *validator) sorted() []Finding {
 	slices.SortStableFunc(v.findings, func(a, b Finding) int {
 		return cmp.Compare(a.Severity, b.Severity)
@@ -115,6 +120,7 @@
 	})
 }
 
+// checkChange checks the id, the author and the number of edits.
 func (v *validator) checkChange(change Change) {
 	var none Key
 	if change.ID == "" {
@@ -131,6 +137,7 @@
 	}
 }
 
+// checkEdit checks one edit by itself. seen holds the keys of the earlier edits.
 func (v *validator) checkEdit(edit Edit, seen map[Key]bool) {
 	key := edit.Object.Key()
 	if seen[key] {
@@ -154,6 +161,7 @@
 	v.checkObject(edit.Object)
 }
 
+// checkDelete checks the deletion of an object, and warns of its effect on requests.
 func (v *validator) checkDelete(key Key) {
 	if _, found := v.before.Objects[key]; !found {
 		v.add(Error, key, "leave the edit out", "there is no such object to delete")
@@ -167,6 +175,7 @@
 	}
 }
 
+// checkObject checks the labels and the selector of an object that is set.
 func (v *validator) checkObject(object Object) {
 	key := object.Key()
 	if len(object.Labels) > MaxLabels {
@@ -214,6 +223,7 @@
 	}
 }
 
+// isDigest reports whether a text has the form of a token digest.
 func isDigest(text string) bool {
 	return len(text) == tokenLength && strings.Trim(text, "0123456789abcdef") == ""
 }
@@ -243,7 +253,8 @@
 	}
 }
 
-// checkOrders checks what a service asks of its engines.
+// checkOrders checks the labels of a service that govern model loads: their rate and
+// the number of copies.
 func (v *validator) checkOrders(object Object) {
 	key := object.Key()
 	if text, found := object.Labels[LabelLoads]; found {
@@ -283,8 +294,8 @@
 	}
 }
 
-// checkWhole checks what the change does to the configuration as a whole.
-func (v *validator) checkWhole(change Change) {
+// checkResult checks the configuration that results from the change.
+func (v *validator) checkResult(change Change) {
 	v.after = Apply(v.before, change)
 	v.gather()
 	if len(v.after.Objects) > MaxObjects {
@@ -296,11 +307,12 @@
 		}
 		v.checkTokens(edit.Object)
 		v.checkModels(edit.Object)
-		v.checkMentions(edit.Object)
+		v.checkSelectorLabels(edit.Object)
 	}
 	v.checkAdmission(change)
 }
 
+// checkTokens checks that no two workspaces share a token.
 func (v *validator) checkTokens(object Object) {
 	if object.Kind != Workspace {
 		return
@@ -318,6 +330,7 @@
 	}
 }
 
+// checkModels checks that no two services offer the same model.
 func (v *validator) checkModels(object Object) {
 	if object.Kind != Service {
 		return
@@ -331,9 +344,9 @@
 	}
 }
 
-// checkMentions warns of a selector that asks for a label which nothing
-// carries: most often it is misspelt, and then it selects nothing.
-func (v *validator) checkMentions(object Object) {
+// checkSelectorLabels warns of a selector that refers to a label which no object has.
+// Usually the label is misspelt, and the selector then selects nothing.
+func (v *validator) checkSelectorLabels(object Object) {
 	selector, err := labeler.Parse(object.Selector)
 	if err != nil {
 		return
@@ -349,16 +362,16 @@
 	}
 }
 
-// checkAdmission warns of workspaces that no service admits after the change,
-// if they are edited or were admitted before, and of edited services that
-// admit no one.
+// checkAdmission warns of workspaces that no service admits after the change, if the
+// change edits them or they were admitted before, and of edited services that admit
+// no workspace.
 func (v *validator) checkAdmission(change Change) {
 	edited := make(map[Key]bool)
 	for _, edit := range change.Edits {
 		edited[edit.Object.Key()] = true
 	}
 	services := selectorsOf(v.kind(Service))
-	earlier := selectorsOf(kindOf(v.before, Service))
+	servicesBefore := selectorsOf(kindOf(v.before, Service))
 	admits := make(map[Key]bool)
 	for _, workspace := range v.kind(Workspace) {
 		admitted := false
@@ -368,8 +381,8 @@
 				admits[key] = true
 			}
 		}
-		concerned := edited[workspace.Key()] || v.wasAdmitted(workspace.Key(), earlier)
-		if admitted || !concerned {
+		affected := edited[workspace.Key()] || v.wasAdmitted(workspace.Key(), servicesBefore)
+		if admitted || !affected {
 			continue
 		}
 		v.add(Warning, workspace.Key(), "add a label that a service's selector asks for, or widen a service's selector",
@@ -382,6 +395,8 @@
 	}
 }
 
+// wasAdmitted reports whether one of the services admitted a workspace before the
+// change.
 func (v *validator) wasAdmitted(key Key, services map[Key]labeler.Selector) bool {
 	before, found := v.before.Objects[key]
 	if !found {
@@ -395,8 +410,8 @@
 	return false
 }
 
-// gather lists objects and the label keys that they carry after the change.
-// Endpoints carry what the system adds besides.
+// gather collects the objects and their label keys after the change. For endpoints
+// it includes the labels that the system adds and LabelDrain.
 func (v *validator) gather() {
 	v.kinds = make(map[Kind][]Object)
 	v.labels = make(map[Kind]map[string]bool)
@@ -414,11 +429,12 @@
 	}
 }
 
-// kind lists the objects of a kind after the change, by name.
+// kind lists the objects of a kind after the change, sorted by name.
 func (v *validator) kind(kind Kind) []Object {
 	return v.kinds[kind]
 }
 
+// kindOf lists the objects of a kind in a snapshot, sorted by name.
 func kindOf(snapshot Snapshot, kind Kind) []Object {
 	var objects []Object
 	for key, object := range snapshot.Objects {
@@ -430,6 +446,7 @@
 	return objects
 }
 
+// selectorsOf parses the selectors of objects and leaves out malformed ones.
 func selectorsOf(objects []Object) map[Key]labeler.Selector {
 	selectors := make(map[Key]labeler.Selector, len(objects))
 	for _, object := range objects {
@@ -440,6 +457,7 @@
 	return selectors
 }
 
+// modelsOf lists the models of a service, sorted.
 func modelsOf(object Object) []string {
 	var models []string
 	for _, label := range sortedKeys(object.Labels) {
--- a/lib/describer/validate_test.go
+++ b/lib/describer/validate_test.go
@@ -20,19 +20,21 @@
 	return describer.Object{Kind: kind, Name: name, Selector: selector, Labels: labels}
 }
 
+// setting returns a change that sets objects.
 func setting(objects ...describer.Object) describer.Change {
 	change := describer.Change{ID: "id"}
-	for _, at := range objects {
-		change.Edits = append(change.Edits, describer.Edit{Object: at})
+	for _, edited := range objects {
+		change.Edits = append(change.Edits, describer.Edit{Object: edited})
 	}
 	return change
 }
 
+// deleting returns a change that deletes one object.
 func deleting(kind describer.Kind, name string) describer.Change {
 	return describer.Change{ID: "id", Edits: []describer.Edit{{Object: object(kind, name, "", nil), Delete: true}}}
 }
 
-// inForce is a small configuration without any finding.
+// inForce returns a small configuration that causes no findings.
 func inForce() describer.Snapshot {
 	return describer.Apply(describer.Snapshot{}, setting(
 		object(describer.Workspace, "club", "zone=trento-a", labeler.Labels{"tier": "club", "token": digest}),
@@ -43,6 +45,8 @@
 	))
 }
 
+// Guards against invalid changes that are accepted, and against findings without a
+// remedy.
 func TestValidate(t *testing.T) {
 	t.Parallel()
 	workspace := func(labels labeler.Labels) describer.Change {
@@ -58,7 +62,7 @@
 	)
 	tests := map[string]struct {
 		change   describer.Change
-		severity describer.Severity // of the first finding; none if empty
+		severity describer.Severity // of the first finding; empty if no finding is expected
 		message  string
 	}{
 		"a good change":                      {change: workspace(labeler.Labels{"weight": "2.5", "queue": "10", "token": digest})},
@@ -126,7 +130,7 @@
 	}
 }
 
-// Symptom: one change fills the keepers' memory with findings.
+// Guards against a change whose findings fill the keepers' memory.
 func TestFindingsAreBounded(t *testing.T) {
 	t.Parallel()
 	var objects []describer.Object
@@ -139,6 +143,7 @@
 	require.True(t, describer.Failed(describer.Validate(inForce(), setting(append(objects, objects...)...))))
 }
 
+// Guards against a validation that modifies the snapshot in force.
 func TestValidateChangesNothing(t *testing.T) {
 	t.Parallel()
 	before, after := inForce(), inForce()
--- a/skctl/internal/commander/changes.go
+++ b/skctl/internal/commander/changes.go
@@ -239,7 +239,7 @@
 	if found {
 		difference.Before = &before
 	}
-	if found && describer.Same(before, after) {
+	if found && describer.Equivalent(before, after) {
 		c.note("nothing to change")
 		return nil
 	}
