--- a/lib/detector/detector_test.go
+++ b/lib/detector/detector_test.go
@@ -24,7 +24,7 @@
 }
 
 // callOverheadBytes is the size of a unary call on a kept connection without its payload, both
-// directions; as determined by the test of package conductor.
+// directions; as determined by the test of package coordinator.
 const callOverheadBytes = 54
 
 func address(zone, i int) netip.AddrPort {
--- a/lib/enlister/simulation_test.go
+++ b/lib/enlister/simulation_test.go
@@ -235,7 +235,7 @@
 	}
 }
 
-// endStaleSessions ends the sessions of former router incarnations, as the conductor
+// endStaleSessions ends the sessions of former router incarnations, as the coordinator
 // does after the detector has found out.
 func (w *simulation) endStaleSessions() {
 	for _, router := range w.registrar.Routers() {
--- a/router/internal/assembler/assembler.go
+++ b/router/internal/assembler/assembler.go
@@ -35,7 +35,7 @@
 	"shallotkeel.example/router/internal/administrator"
 	"shallotkeel.example/router/internal/claimant"
 	"shallotkeel.example/router/internal/commander"
-	"shallotkeel.example/router/internal/conductor"
+	"shallotkeel.example/router/internal/coordinator"
 	"shallotkeel.example/router/internal/enroller"
 	"shallotkeel.example/router/internal/follower"
 	"shallotkeel.example/router/internal/registrar"
@@ -61,19 +61,19 @@
 
 // Router is a router process: its servers, and the components behind them.
 type Router struct {
-	settings  Settings
-	log       zerolog.Logger
-	clock     clockwork.Clock
-	registry  *prometheus.Registry
-	counter   *dialer.Counter
-	tracer    *tracer.Tracer
-	conductor *conductor.Conductor
-	follower  *follower.Follower
-	claimant  *claimant.Claimant
-	relayer   *relayer.Relayer
-	public    *http.Server
-	control   *http.Server
-	stopping  atomic.Bool
+	settings    Settings
+	log         zerolog.Logger
+	clock       clockwork.Clock
+	registry    *prometheus.Registry
+	counter     *dialer.Counter
+	tracer      *tracer.Tracer
+	coordinator *coordinator.Coordinator
+	follower    *follower.Follower
+	claimant    *claimant.Claimant
+	relayer     *relayer.Relayer
+	public      *http.Server
+	control     *http.Server
+	stopping    atomic.Bool
 }
 
 // New builds a router. It opens no listening address before Run.
@@ -86,7 +86,7 @@
 		counter:  &dialer.Counter{},
 	}
 	r.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	conductor.CountBytes(r.registry, r.counter)
+	coordinator.CountBytes(r.registry, r.counter)
 	traces, err := tracer.New(ctx, settings.Trace, settings.Name, settings.Zone, r.log)
 	if err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 	r.tracer = traces
 	// The incarnation must increase with each restart of the process.
 	r.build(uint64(clock.Now().UnixMilli()))
-	r.registry.MustRegister(conductor.NewCollector(r.conductor))
+	r.registry.MustRegister(coordinator.NewCollector(r.coordinator))
 	return r, nil
 }
 
@@ -103,7 +103,7 @@
 	s := r.settings
 	client := dialer.Client(s.Secret, r.counter)
 	keepers := rotator.New(client, s.Keepers)
-	r.conductor = conductor.New(conductor.Options{
+	r.coordinator = coordinator.New(coordinator.Options{
 		Name: s.Name, Zone: s.Zone, Incarnation: incarnation, Address: s.advertisedAddress(), Seeds: s.seeds(),
 		Standalone: s.Scheduling == SchedulingStandalone,
 		Heartbeat:  s.Timing.Heartbeat.Duration, SuspectAfter: s.Timing.SuspectAfter.Duration,
@@ -113,14 +113,14 @@
 	})
 	r.follower = follower.New(follower.Options{
 		Name: s.Name, Zone: s.Zone, Keepers: keepers.Keepers(), Publisher: keepers,
-		Peer: r.conductor.Peer, Peers: r.conductor.Peers, Changed: r.conductor.SetRules,
+		Peer: r.coordinator.Peer, Peers: r.coordinator.Peers, Changed: r.coordinator.SetRules,
 		Clock: r.clock, Log: r.log, Registry: r.registry,
 	})
 	r.claimant = claimant.New(claimant.Options{
 		Keeping: keepers, Name: s.Name, Incarnation: incarnation, Clock: r.clock, Registry: r.registry,
 	})
 	r.relayer = relayer.New(relayer.Options{
-		Enroller: &enroller.Enroller{Conductor: r.conductor, Clock: r.clock},
+		Enroller: &enroller.Enroller{Coordinator: r.coordinator, Clock: r.clock},
 		Ruler:    r.follower, Claimer: r.claimant, Quarantine: r.follower,
 		Tracer: r.tracer, Clock: r.clock, Log: r.log, Registry: r.registry, Zone: s.Zone, Name: s.Name,
 		Limits: relayer.Limits{
@@ -132,7 +132,7 @@
 		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ConnContext: framer.WithConn,
 	}
 	controlMux := http.NewServeMux()
-	r.conductor.Register(controlMux, r.follower)
+	r.coordinator.Register(controlMux, r.follower)
 	r.control = dialer.Server(s.Secret, controlMux)
 }
 
@@ -141,7 +141,7 @@
 	mux := http.NewServeMux()
 	r.relayer.Register(mux)
 	registrar.New(registrar.Options{
-		Announcer: r.conductor, Token: r.settings.EndpointToken, Zone: r.settings.Zone,
+		Announcer: r.coordinator, Token: r.settings.EndpointToken, Zone: r.settings.Zone,
 		Clock: r.clock, Log: r.log, Registry: r.registry,
 		Scoped: func(token string) (string, bool) { return r.follower.Rules().Announcer(token) },
 	}).Register(mux)
@@ -185,7 +185,7 @@
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var group sync.WaitGroup
-	group.Go(func() { r.conductor.Run(background) })
+	group.Go(func() { r.coordinator.Run(background) })
 	group.Go(func() { r.follower.Run(background) })
 	r.log.Info().Stringer("listen", public.Addr()).Stringer("control", control.Addr()).Msg("serving")
 	select {
@@ -225,7 +225,7 @@
 	r.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, r.settings.Limits.StopTimeout.Or(defaultStopTimeout))
 	defer cancel()
-	r.conductor.Leave(ctx)
+	r.coordinator.Leave(ctx)
 	r.sleep(ctx, loadBalancerDelay)
 	cut := r.relayer.Drain(ctx)
 	err := r.public.Shutdown(ctx)
@@ -234,7 +234,7 @@
 	if unrecorded := r.claimant.Drain(settleCtx); unrecorded != nil {
 		r.log.Warn().Err(unrecorded).Msg("outcomes of requests were not recorded before the stop and are lost")
 	}
-	r.conductor.Flush(settleCtx)
+	r.coordinator.Flush(settleCtx)
 	_ = r.tracer.Shutdown(settleCtx) // spans are lost if the collector cannot be reached
 	if err = errors.Join(cut, err); err != nil {
 		return err
--- a/router/internal/assembler/health.go
+++ b/router/internal/assembler/health.go
@@ -15,7 +15,7 @@
 func (r *Router) healthz(w http.ResponseWriter, h *http.Request) {
 	ctx, cancel := context.WithTimeout(h.Context(), healthTimeout)
 	defer cancel()
-	if !r.conductor.Alive(ctx) {
+	if !r.coordinator.Alive(ctx) {
 		http.Error(w, "the control goroutine does not answer; restart the router", http.StatusServiceUnavailable)
 		return
 	}
@@ -30,7 +30,7 @@
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 	case !r.follower.HasConfiguration():
 		http.Error(w, "no configuration yet; check that a keeper or another router can be reached", http.StatusServiceUnavailable)
-	case !r.conductor.Ready():
+	case !r.coordinator.Ready():
 		http.Error(w, "no contact with the zone's routers yet", http.StatusServiceUnavailable)
 	default:
 		fmt.Fprintln(w, "ok")
--- a/router/internal/assembler/status.go
+++ b/router/internal/assembler/status.go
@@ -37,7 +37,7 @@
 // fleet do not answer.
 func (s *status) Status(ctx context.Context) (reporter.Status, error) {
 	answers := s.queryKeepers(ctx)
-	answer, silent := s.router.conductor.Report(ctx)
+	answer, silent := s.router.coordinator.Report(ctx)
 	rules := s.router.follower.Rules()
 	answer.Warnings = []string{}
 	answer.Revision, answer.Stale = rules.Revision, s.router.follower.Stale()
--- a/router/internal/conductor/announcements.go
+++ b/router/internal/coordinator/announcements.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"context"
@@ -51,7 +51,7 @@
 // Announce forwards an endpoint's announcement to the scheduler of its pool. An
 // announcement that changes nothing but the load is sent as a renewal with the next
 // batch.
-func (c *Conductor) Announce(ctx context.Context, message *messenger.Announcement) error {
+func (c *Coordinator) Announce(ctx context.Context, message *messenger.Announcement) error {
 	result := make(chan error, 1)
 	c.post(func() { c.acceptAnnouncement(message, func(err error) { result <- err }) })
 	select {
@@ -66,7 +66,7 @@
 
 // acceptAnnouncement stores an announcement and sends it to the scheduler, at once or
 // with the next renewals. finish gets the result.
-func (c *Conductor) acceptAnnouncement(message *messenger.Announcement, finish func(error)) {
+func (c *Coordinator) acceptAnnouncement(message *messenger.Announcement, finish func(error)) {
 	now := c.clock.Now()
 	if c.announcements.byID == nil {
 		c.announcements.byID = make(map[string]*announcement)
@@ -114,7 +114,7 @@
 }
 
 // reannounce schedules the announcements that new schedulers do not have yet.
-func (c *Conductor) reannounce(now time.Time) {
+func (c *Coordinator) reannounce(now time.Time) {
 	for _, a := range c.announcements.byID {
 		if owner, found := c.owner(a.message.GetService()); found && !sameIncarnation(owner, a.acknowledgedBy) {
 			a.resendAt = now
@@ -123,7 +123,7 @@
 }
 
 // reannounceTo schedules all announcements of a service to be sent again.
-func (c *Conductor) reannounceTo(now time.Time, service string) {
+func (c *Coordinator) reannounceTo(now time.Time, service string) {
 	for _, a := range c.announcements.byID {
 		if a.message.GetService() == service {
 			a.resendAt = now
@@ -133,7 +133,7 @@
 
 // stepAnnouncements drops expired announcements, sends those whose time has come,
 // and returns the time of the next step.
-func (c *Conductor) stepAnnouncements(now time.Time) (next time.Time) {
+func (c *Coordinator) stepAnnouncements(now time.Time) (next time.Time) {
 	for id, a := range c.announcements.byID {
 		switch {
 		case !now.Before(a.expires):
@@ -153,7 +153,7 @@
 }
 
 // announceToScheduler sends the full announcement to the scheduler of its pool.
-func (c *Conductor) announceToScheduler(now time.Time, a *announcement) {
+func (c *Coordinator) announceToScheduler(now time.Time, a *announcement) {
 	message := a.message
 	owner, found := c.owner(message.GetService())
 	if c.options.Standalone {
@@ -189,7 +189,7 @@
 }
 
 // acknowledge records that a scheduler has the full announcement.
-func (c *Conductor) acknowledge(a *announcement, owner detector.Member) {
+func (c *Coordinator) acknowledge(a *announcement, owner detector.Member) {
 	a.acknowledgedBy, a.resendAt, a.renew = owner, time.Time{}, false
 	// Cache events are sent once. Sending them again would not be wrong, but would
 	// make messages long.
@@ -205,7 +205,7 @@
 
 // broadcast sends an announcement to all routers of the zone. It serves the
 // standalone baseline, where every router schedules its own requests.
-func (c *Conductor) broadcast(message *messenger.Announcement) {
+func (c *Coordinator) broadcast(message *messenger.Announcement) {
 	for _, m := range c.detector.Live() {
 		if m.Name != c.self.Name {
 			method := c.peers.get(m.Address).scheduling.Announce
@@ -217,7 +217,7 @@
 }
 
 // renewAll sends the collected renewals, one call for each pool.
-func (c *Conductor) renewAll(now time.Time) {
+func (c *Coordinator) renewAll(now time.Time) {
 	pools := make(map[string][]*announcement)
 	for _, a := range c.announcements.byID {
 		if a.renew {
@@ -230,7 +230,7 @@
 	}
 }
 
-func (c *Conductor) renew(now time.Time, service string, endpoints []*announcement) {
+func (c *Coordinator) renew(now time.Time, service string, endpoints []*announcement) {
 	request := &messenger.AnnounceRequest{Pool: &messenger.Pool{Zone: c.options.Zone, Service: service}}
 	for _, a := range endpoints {
 		request.Renewals = append(request.Renewals, &messenger.Renewal{
--- a/router/internal/conductor/collector.go
+++ b/router/internal/coordinator/collector.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"context"
@@ -26,13 +26,13 @@
 //
 // The label is the service, so there are at most as many rows as services.
 type Collector struct {
-	conductor *Conductor
-	measures  []measure
+	coordinator *Coordinator
+	measures    []measure
 }
 
-// NewCollector returns the collector of a conductor's pools.
-func NewCollector(conductor *Conductor) *Collector {
-	c := &Collector{conductor: conductor}
+// NewCollector returns the collector of a coordinator's pools.
+func NewCollector(coordinator *Coordinator) *Collector {
+	c := &Collector{coordinator: coordinator}
 	c.add("shallotkeel_pool_gap_units", "Largest difference of weighted service between two workspaces that both wait and reach a common endpoint.",
 		prometheus.GaugeValue, func(s scheduler.Stats) float64 { return s.Gap })
 	c.add("shallotkeel_pool_gap_bound_units", "What the formula of docs/FAIRNESS.md allows for the gap now.",
@@ -87,10 +87,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
 	defer cancel()
 	taken := make(chan []scheduler.Stats, 1)
-	c.conductor.do(ctx, func() {
+	c.coordinator.do(ctx, func() {
 		var list []scheduler.Stats
-		now := c.conductor.clock.Now()
-		for _, h := range c.conductor.pools {
+		now := c.coordinator.clock.Now()
+		for _, h := range c.coordinator.pools {
 			list = append(list, h.desk.Pool.Stats(now))
 		}
 		taken <- list
--- a/router/internal/conductor/compare.go
+++ b/router/internal/coordinator/compare.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"net/netip"
@@ -37,7 +37,7 @@
 
 // compare sends the offers of the pools whose exchange time has come to the
 // schedulers of the same services in the other zones.
-func (c *Conductor) compare(now time.Time) {
+func (c *Coordinator) compare(now time.Time) {
 	c.checkRouters(now)
 	c.removeExpiredEndpoints(now)
 	zones := len(c.detector.Zones())
@@ -57,7 +57,7 @@
 
 // comparePool sends one pool's offer to each other zone without an exchange in flight.
 // A zone gets no offer without changes until idleCompareInterval has passed.
-func (c *Conductor) comparePool(now time.Time, h *hostedPool) {
+func (c *Coordinator) comparePool(now time.Time, h *hostedPool) {
 	c.compareRound++
 	totals, demand, returned, renewed, idle := h.desk.Pool.Offer(now)
 	changed := len(totals)+len(demand)+len(returned)+len(renewed) > 0 || h.joining
@@ -92,7 +92,7 @@
 	}
 }
 
-func (c *Conductor) compareWith(sentAt time.Time, h *hostedPool, zone string, owner detector.Member, request *messenger.CompareRequest) {
+func (c *Coordinator) compareWith(sentAt time.Time, h *hostedPool, zone string, owner detector.Member, request *messenger.CompareRequest) {
 	h.comparing[zone] = true
 	method := c.peers.get(owner.Address).scheduling.Compare
 	call(c, kindCompare, method, request, func(answer *messenger.CompareResponse, err error) {
@@ -115,7 +115,7 @@
 // join ends the joining state of a pool with the first history received, or when
 // every zone has answered without a history. A peer that is joining as well has no
 // history, and its answer must not hide the history that another zone has.
-func (c *Conductor) join(now time.Time, h *hostedPool, answer *messenger.CompareResponse) {
+func (c *Coordinator) join(now time.Time, h *hostedPool, answer *messenger.CompareResponse) {
 	if len(answer.GetHistory()) > 0 {
 		h.desk.Apply(now, scheduler.History{Totals: decodeTotals(answer.GetNames(), answer.GetHistory())})
 		h.joining = false
@@ -154,7 +154,7 @@
 }
 
 // receiveCompare answers the offer of another zone's scheduler.
-func (c *Conductor) receiveCompare(now time.Time, request *messenger.CompareRequest) *messenger.CompareResponse {
+func (c *Coordinator) receiveCompare(now time.Time, request *messenger.CompareRequest) *messenger.CompareResponse {
 	from := request.GetFrom()
 	if c.options.Standalone || from.GetZone() == c.options.Zone {
 		return &messenger.CompareResponse{NotHere: true}
@@ -177,7 +177,7 @@
 	return c.answerCompare(h, request.GetJoining(), h.desk.Apply(now, event))
 }
 
-func (c *Conductor) answerCompare(h *hostedPool, joining bool, loans []scheduler.Loan) *messenger.CompareResponse {
+func (c *Coordinator) answerCompare(h *hostedPool, joining bool, loans []scheduler.Loan) *messenger.CompareResponse {
 	var table interner.Writer
 	response := &messenger.CompareResponse{Origin: h.desk.Incarnation}
 	for _, l := range loans {
--- a/router/internal/conductor/compare_test.go
+++ b/router/internal/coordinator/compare_test.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"testing"
--- a/router/internal/conductor/conductor.go
+++ b/router/internal/coordinator/coordinator.go
@@ -1,4 +1,4 @@
-// Package conductor coordinates this router with the other routers of the fleet. It
+// Package coordinator coordinates this router with the other routers of the fleet. It
 // owns the router's control state: the membership list, the clients through which
 // the router's requests wait for slots of a pool, and the pools whose scheduler runs
 // on this router.
@@ -13,7 +13,7 @@
 // timeout; a pool that this router no longer schedules is handed over and dropped;
 // all pools are dropped after this process has stalled for longer than the other
 // routers wait before they take its pools over.
-package conductor
+package coordinator
 
 import (
 	"context"
@@ -50,7 +50,7 @@
 	minTickInterval = 5 * time.Millisecond
 )
 
-// Options configure a Conductor.
+// Options configure a Coordinator.
 type Options struct {
 	Name        string
 	Zone        string
@@ -76,8 +76,8 @@
 	Sender commander.Sender
 }
 
-// Conductor owns a router's control state.
-type Conductor struct {
+// Coordinator owns a router's control state.
+type Coordinator struct {
 	options Options
 	clock   clockwork.Clock
 	log     zerolog.Logger
@@ -108,8 +108,8 @@
 	handovers     []handover // handovers to be retried
 }
 
-// New returns a conductor. Run starts it.
-func New(options Options) *Conductor {
+// New returns a coordinator. Run starts it.
+func New(options Options) *Coordinator {
 	if options.CompareInterval <= 0 {
 		options.CompareInterval = DefaultCompareInterval
 	}
@@ -117,7 +117,7 @@
 		options.CompareBytesPerSecond = DefaultCompareBytesPerSecond
 	}
 	now := options.Clock.Now()
-	c := &Conductor{
+	c := &Coordinator{
 		options: options,
 		clock:   options.Clock,
 		log:     options.Log,
@@ -147,7 +147,7 @@
 }
 
 // Run is the control goroutine. It returns when the context ends.
-func (c *Conductor) Run(ctx context.Context) {
+func (c *Coordinator) Run(ctx context.Context) {
 	defer close(c.done)
 	timer := c.clock.NewTimer(0)
 	defer timer.Stop()
@@ -166,7 +166,7 @@
 }
 
 // drainQueue handles the queued events, so that many events form one batch.
-func (c *Conductor) drainQueue() {
+func (c *Coordinator) drainQueue() {
 	for range eventQueueLength {
 		select {
 		case event := <-c.events:
@@ -179,7 +179,7 @@
 
 // post sends an event to the control goroutine. The event is dropped if that
 // goroutine has ended, since no decision is left to make.
-func (c *Conductor) post(event func()) {
+func (c *Coordinator) post(event func()) {
 	select {
 	case c.events <- event:
 	case <-c.done:
@@ -188,7 +188,7 @@
 
 // do runs a function on the control goroutine and waits for it. It returns
 // false if the goroutine has ended or the context ends first.
-func (c *Conductor) do(ctx context.Context, event func()) bool {
+func (c *Coordinator) do(ctx context.Context, event func()) bool {
 	ran := make(chan struct{})
 	c.post(func() {
 		event()
@@ -206,7 +206,7 @@
 
 // step advances the control state to now, sends pending calls, and returns the time
 // of the next step if no event comes before.
-func (c *Conductor) step(now time.Time) time.Time {
+func (c *Coordinator) step(now time.Time) time.Time {
 	if !now.Before(c.heartbeatAt) {
 		c.heartbeatAt = now.Add(c.options.Heartbeat)
 		c.sendHeartbeats(c.detector.Tick(now))
@@ -241,7 +241,7 @@
 
 // resetAfterStall drops all pools. While this process stalled, other routers took
 // its pools over and gave their slots to other requests, so its state is stale.
-func (c *Conductor) resetAfterStall(now time.Time) {
+func (c *Coordinator) resetAfterStall(now time.Time) {
 	c.log.Warn().Msg("this process stood still for longer than its lease; its pools start anew")
 	clear(c.pools)
 	for _, l := range c.poolClients {
@@ -251,7 +251,7 @@
 
 // applyMembership acts on a change of the membership lists: it updates the
 // schedulers in use and hands over the pools that belong to another router.
-func (c *Conductor) applyMembership(now time.Time) {
+func (c *Coordinator) applyMembership(now time.Time) {
 	c.metrics.live.Set(float64(len(c.detector.Live())))
 	var peers []netip.AddrPort
 	for _, m := range c.detector.Live() {
@@ -274,7 +274,7 @@
 }
 
 // owner returns the router that schedules this zone's pool of a service.
-func (c *Conductor) owner(service string) (detector.Member, bool) {
+func (c *Coordinator) owner(service string) (detector.Member, bool) {
 	if c.options.Standalone {
 		return c.detector.Self(), true
 	}
@@ -284,7 +284,7 @@
 // origin returns a number that identifies one incarnation of a scheduler in the
 // whole fleet. It has 40 bits to keep messages short; the few origins of a service
 // collide with a probability of one in a million million incarnations.
-func (c *Conductor) origin(service string) uint64 {
+func (c *Coordinator) origin(service string) uint64 {
 	const bits = 40
 	c.origins++
 	hash := xxhash.New()
@@ -294,7 +294,7 @@
 }
 
 // SetRules applies new rules to all pools.
-func (c *Conductor) SetRules(rules *matcher.Rules) {
+func (c *Coordinator) SetRules(rules *matcher.Rules) {
 	c.post(func() {
 		c.rules = rules
 		now := c.clock.Now()
@@ -311,7 +311,7 @@
 }
 
 // Leave announces that this router is about to stop, and hands its pools over.
-func (c *Conductor) Leave(ctx context.Context) {
+func (c *Coordinator) Leave(ctx context.Context) {
 	c.do(ctx, func() {
 		c.log.Info().Int("pools", len(c.pools)).Msg("router is leaving; handing its pools over to other routers")
 		c.sendHeartbeats(c.detector.Leave())
@@ -320,7 +320,7 @@
 
 // Peers returns the control addresses of other routers, live ones first, then the
 // seeds.
-func (c *Conductor) Peers() []netip.AddrPort {
+func (c *Coordinator) Peers() []netip.AddrPort {
 	var peers []netip.AddrPort
 	if live := c.livePeers.Load(); live != nil {
 		peers = append(peers, *live...)
@@ -329,14 +329,14 @@
 }
 
 // Peer returns the membership client of another router.
-func (c *Conductor) Peer(address netip.AddrPort) messenger.Membership {
+func (c *Coordinator) Peer(address netip.AddrPort) messenger.Membership {
 	return c.peers.get(address).membership
 }
 
 // Flush waits until the schedulers have acknowledged the end of every request, or
 // the context ends. A scheduler without that acknowledgement frees the slots when
 // the router's lease expires.
-func (c *Conductor) Flush(ctx context.Context) {
+func (c *Coordinator) Flush(ctx context.Context) {
 	const pollInterval = 10 * time.Millisecond
 	for flushed := false; !flushed && ctx.Err() == nil; {
 		ran := c.do(ctx, func() {
@@ -356,12 +356,12 @@
 }
 
 // Alive reports whether the control goroutine answers before the context ends.
-func (c *Conductor) Alive(ctx context.Context) bool {
+func (c *Coordinator) Alive(ctx context.Context) bool {
 	return c.do(ctx, func() {})
 }
 
 // Ready reports whether this router has joined its zone: it has had contact with
 // another router, or the time to wait for contact has passed.
-func (c *Conductor) Ready() bool {
+func (c *Coordinator) Ready() bool {
 	return c.settled.Load()
 }
--- a/router/internal/conductor/endpoints.go
+++ b/router/internal/coordinator/endpoints.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"net/netip"
@@ -14,7 +14,7 @@
 
 // receiveAnnouncement handles what a router forwarded: an announcement, or the
 // renewals of a pool.
-func (c *Conductor) receiveAnnouncement(now time.Time, request *messenger.AnnounceRequest) *messenger.AnnounceResponse {
+func (c *Coordinator) receiveAnnouncement(now time.Time, request *messenger.AnnounceRequest) *messenger.AnnounceResponse {
 	if message := request.GetAnnouncement(); message != nil {
 		if message.GetZone() != c.options.Zone || !c.applyAnnouncement(now, message, time.Duration(request.GetAgeMs())*time.Millisecond) {
 			return &messenger.AnnounceResponse{NotHere: true}
@@ -37,7 +37,7 @@
 	return response
 }
 
-func (c *Conductor) applyRenewal(now time.Time, h *hostedPool, renewal *messenger.Renewal) bool {
+func (c *Coordinator) applyRenewal(now time.Time, h *hostedPool, renewal *messenger.Renewal) bool {
 	known := h.endpoints[renewal.GetId()]
 	if known == nil || known.GetIncarnation() != renewal.GetIncarnation() {
 		return false
@@ -52,7 +52,7 @@
 
 // applyAnnouncement applies an announcement that a router received that long ago. It
 // returns false if this router does not schedule the pool or the address is invalid.
-func (c *Conductor) applyAnnouncement(now time.Time, message *messenger.Announcement, age time.Duration) bool {
+func (c *Coordinator) applyAnnouncement(now time.Time, message *messenger.Announcement, age time.Duration) bool {
 	h := c.pool(now, message.GetService())
 	address, err := netip.ParseAddrPort(message.GetAddress())
 	if h == nil || err != nil {
@@ -82,7 +82,7 @@
 
 // removeExpiredEndpoints drops the announcements of endpoints that expired more than
 // endpointRetention ago.
-func (c *Conductor) removeExpiredEndpoints(now time.Time) {
+func (c *Coordinator) removeExpiredEndpoints(now time.Time) {
 	for _, h := range c.pools {
 		for id, expires := range h.expires {
 			if now.Sub(expires) > endpointRetention {
@@ -99,7 +99,7 @@
 
 // slots returns how many requests this router's pool may run at an endpoint. In
 // standalone mode every router takes an equal part, and at least one.
-func (c *Conductor) slots(message *messenger.Announcement) int {
+func (c *Coordinator) slots(message *messenger.Announcement) int {
 	slots := int(message.GetSlots())
 	if !c.options.Standalone {
 		return slots
@@ -109,7 +109,7 @@
 
 // rescale applies announcements again when a change of the number of live routers
 // changes the part of each endpoint that a standalone router may use.
-func (c *Conductor) rescale(now time.Time) {
+func (c *Coordinator) rescale(now time.Time) {
 	if !c.options.Standalone {
 		return
 	}
--- a/router/internal/conductor/heartbeats.go
+++ b/router/internal/coordinator/heartbeats.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"shallotkeel.example/lib/detector"
@@ -10,7 +10,7 @@
 const settleHeartbeats = 4
 
 // sendHeartbeats sends heartbeats. An answer may ask for further heartbeats.
-func (c *Conductor) sendHeartbeats(beats []detector.Beat) {
+func (c *Coordinator) sendHeartbeats(beats []detector.Beat) {
 	self := c.detector.Self()
 	if c.detector.Contacts() > 0 || self.Beat >= settleHeartbeats {
 		c.settled.Store(true)
--- a/router/internal/conductor/metrics.go
+++ b/router/internal/coordinator/metrics.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"github.com/prometheus/client_golang/prometheus"
--- a/router/internal/conductor/ordering.go
+++ b/router/internal/coordinator/ordering.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"context"
@@ -27,13 +27,13 @@
 // ordersEngines reports whether this router orders engines. In standalone mode it
 // does not, because every router schedules every pool and sees only its own
 // requests.
-func (c *Conductor) ordersEngines() bool {
+func (c *Coordinator) ordersEngines() bool {
 	return c.options.Leaser != nil && c.options.Sender != nil && !c.options.Standalone
 }
 
 // modelCapacity returns how many models fit into an endpoint, or 0 if it accepts no
 // orders.
-func (c *Conductor) modelCapacity(message *messenger.Announcement) int {
+func (c *Coordinator) modelCapacity(message *messenger.Announcement) int {
 	labels := labelsOf(message)
 	if c.rules != nil {
 		if c.rules.Draining(message.GetId(), labels) {
@@ -51,7 +51,7 @@
 // updateCommander passes an engine's announcement to the pool's commander. It runs
 // after the announcement was applied: otherwise a request could be granted for a
 // model that was hidden before and then be read as not in use.
-func (c *Conductor) updateCommander(now time.Time, h *hostedPool, message *messenger.Announcement, address netip.AddrPort, age time.Duration) {
+func (c *Coordinator) updateCommander(now time.Time, h *hostedPool, message *messenger.Announcement, address netip.AddrPort, age time.Duration) {
 	capacity := 0
 	if c.ordersEngines() && !message.GetLeaving() {
 		capacity = c.modelCapacity(message)
@@ -85,7 +85,7 @@
 }
 
 // stepCommander runs a pool's commander, and returns the time of its next step.
-func (c *Conductor) stepCommander(now time.Time, h *hostedPool) time.Time {
+func (c *Coordinator) stepCommander(now time.Time, h *hostedPool) time.Time {
 	if h.commander == nil || c.rules == nil {
 		return time.Time{}
 	}
@@ -104,7 +104,7 @@
 
 // sendOrder sends an order. Its timeout counts from the step that checked the lease,
 // so that a process that stalled in between sends nothing.
-func (c *Conductor) sendOrder(now time.Time, from *commander.Commander, order orderer.Order) {
+func (c *Coordinator) sendOrder(now time.Time, from *commander.Commander, order orderer.Order) {
 	ctx, cancel := clockwork.WithDeadline(context.Background(), c.clock, now.Add(orderer.OrderTimeout))
 	c.metrics.messages.WithLabelValues(kindOrder).Inc()
 	c.log.Info().Str("endpoint", order.Endpoint).Str("order", string(order.Kind)).Str("model", order.Model).
@@ -120,7 +120,7 @@
 }
 
 // requestLease sends a lease request to the keepers. The lease counts from sent.
-func (c *Conductor) requestLease(sent time.Time, from *commander.Commander, request *messenger.LeaseRequest) {
+func (c *Coordinator) requestLease(sent time.Time, from *commander.Commander, request *messenger.LeaseRequest) {
 	c.metrics.messages.WithLabelValues(kindLease).Inc()
 	c.launch(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
--- a/router/internal/conductor/ordering_test.go
+++ b/router/internal/coordinator/ordering_test.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"context"
@@ -189,7 +189,7 @@
 	e := newFakeEngine(t, w, true, old)
 	n := w.nodes[w.scheduler(0)]
 	enrol := func() *Waiter {
-		waiter := &Waiter{Outcome: make(chan enlister.Outcome, 1), conductor: n.Conductor, service: service}
+		waiter := &Waiter{Outcome: make(chan enlister.Outcome, 1), coordinator: n.Coordinator, service: service}
 		n.enrol(waiter, scheduler.Ticket{Workspace: "small", Model: old, Hint: 10})
 		return waiter
 	}
--- a/router/internal/conductor/peers.go
+++ b/router/internal/coordinator/peers.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"context"
@@ -55,7 +55,7 @@
 
 // call runs a call to another router in a goroutine of its own and passes the result
 // to finish on the control goroutine.
-func call[Q, A any](c *Conductor, kind string, method func(context.Context, *Q) (*A, error), request *Q, finish func(*A, error)) {
+func call[Q, A any](c *Coordinator, kind string, method func(context.Context, *Q) (*A, error), request *Q, finish func(*A, error)) {
 	c.metrics.messages.WithLabelValues(kind).Inc()
 	c.launch(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
--- a/router/internal/conductor/pool_clients.go
+++ b/router/internal/coordinator/pool_clients.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"context"
@@ -22,16 +22,16 @@
 // Waiter is a request that waits for a slot or holds one.
 type Waiter struct {
 	// Outcome receives exactly one value, unless the request is withdrawn before.
-	Outcome   chan enlister.Outcome
-	conductor *Conductor
-	service   string
-	seq       uint64
+	Outcome     chan enlister.Outcome
+	coordinator *Coordinator
+	service     string
+	seq         uint64
 }
 
 // Enrol queues a request for a slot of a service. It returns nil if the context ends
 // first or the control goroutine has ended.
-func (c *Conductor) Enrol(ctx context.Context, service string, ticket scheduler.Ticket) *Waiter {
-	w := &Waiter{Outcome: make(chan enlister.Outcome, 1), conductor: c, service: service}
+func (c *Coordinator) Enrol(ctx context.Context, service string, ticket scheduler.Ticket) *Waiter {
+	w := &Waiter{Outcome: make(chan enlister.Outcome, 1), coordinator: c, service: service}
 	if !c.do(ctx, func() { c.enrol(w, ticket) }) {
 		// The event may still run. It must not leave an abandoned request in the
 		// queue.
@@ -41,7 +41,7 @@
 	return w
 }
 
-func (c *Conductor) enrol(w *Waiter, ticket scheduler.Ticket) {
+func (c *Coordinator) enrol(w *Waiter, ticket scheduler.Ticket) {
 	c.seq++
 	w.seq = c.seq
 	ticket.Seq = w.seq
@@ -51,19 +51,19 @@
 
 // Progress reports the total units that the request has used so far.
 func (w *Waiter) Progress(charged uint32) {
-	w.conductor.post(func() { w.conductor.poolClient(w.service).enlister.Progress(w.seq, charged) })
+	w.coordinator.post(func() { w.coordinator.poolClient(w.service).enlister.Progress(w.seq, charged) })
 }
 
 // Finish returns the slot, or withdraws the request if it holds none.
 func (w *Waiter) Finish(finish scheduler.Finish) {
-	w.conductor.post(func() {
+	w.coordinator.post(func() {
 		finish.Seq = w.seq
-		delete(w.conductor.pending, w.seq)
-		w.conductor.poolClient(w.service).enlister.Finish(finish)
+		delete(w.coordinator.pending, w.seq)
+		w.coordinator.poolClient(w.service).enlister.Finish(finish)
 	})
 }
 
-func (c *Conductor) poolClient(service string) *poolClient {
+func (c *Coordinator) poolClient(service string) *poolClient {
 	if known := c.poolClients[service]; known != nil {
 		return known
 	}
@@ -77,7 +77,7 @@
 }
 
 // reassign makes the client enrol with the current scheduler of the pool.
-func (c *Conductor) reassign(now time.Time, l *poolClient) {
+func (c *Coordinator) reassign(now time.Time, l *poolClient) {
 	owner, found := c.owner(l.service)
 	same := owner.Name == l.owner.Name && owner.Incarnation == l.owner.Incarnation
 	if found == l.assigned && same {
@@ -89,7 +89,7 @@
 
 // stepPoolClients sends the batches that are ready, and returns the time of the next
 // step.
-func (c *Conductor) stepPoolClients(now time.Time) (next time.Time) {
+func (c *Coordinator) stepPoolClients(now time.Time) (next time.Time) {
 	for _, l := range c.poolClients {
 		for l.assigned {
 			batch := l.enlister.Next(now)
@@ -105,7 +105,7 @@
 
 // exchange sends a batch to the pool's scheduler. A scheduler on this router needs
 // no call.
-func (c *Conductor) exchange(now time.Time, l *poolClient, batch *messenger.ExchangeRequest) {
+func (c *Coordinator) exchange(now time.Time, l *poolClient, batch *messenger.ExchangeRequest) {
 	if l.owner.Name == c.self.Name {
 		c.deliver(l.enlister.Answered(now, batch.GetNumber(), c.receiveExchange(now, batch)))
 		return
@@ -121,7 +121,7 @@
 }
 
 // deliver passes the outcomes to the waiting requests.
-func (c *Conductor) deliver(outcomes []enlister.Outcome) {
+func (c *Coordinator) deliver(outcomes []enlister.Outcome) {
 	for _, outcome := range outcomes {
 		switch o := outcome.(type) {
 		case enlister.Granted:
@@ -133,7 +133,7 @@
 	}
 }
 
-func (c *Conductor) notify(seq uint64, outcome enlister.Outcome) {
+func (c *Coordinator) notify(seq uint64, outcome enlister.Outcome) {
 	if w := c.pending[seq]; w != nil {
 		delete(c.pending, seq)
 		w.Outcome <- outcome
@@ -141,7 +141,7 @@
 }
 
 // receiveGrant handles the grants that a scheduler sends.
-func (c *Conductor) receiveGrant(request *messenger.GrantRequest) *messenger.GrantResponse {
+func (c *Coordinator) receiveGrant(request *messenger.GrantRequest) *messenger.GrantResponse {
 	for _, l := range c.poolClients {
 		if l.enlister.Scheduler() == request.GetScheduler() {
 			response, outcomes := l.enlister.Grant(request)
@@ -154,7 +154,7 @@
 }
 
 // addressOf returns the control address of a live router of this zone.
-func (c *Conductor) addressOf(router scheduler.RouterID) (netip.AddrPort, bool) {
+func (c *Coordinator) addressOf(router scheduler.RouterID) (netip.AddrPort, bool) {
 	for _, m := range c.detector.Live() {
 		if m.Name == router.Name && m.Incarnation == router.Incarnation {
 			return m.Address, true
--- a/router/internal/conductor/pools.go
+++ b/router/internal/coordinator/pools.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"time"
@@ -37,7 +37,7 @@
 
 // pool returns the pool of a service, which it creates if this router is its
 // scheduler and has none yet. It returns nil if another router is the scheduler.
-func (c *Conductor) pool(now time.Time, service string) *hostedPool {
+func (c *Coordinator) pool(now time.Time, service string) *hostedPool {
 	if known := c.pools[service]; known != nil {
 		return known
 	}
@@ -69,7 +69,7 @@
 }
 
 // plain reports whether the rules give a service the type describer.TypePlain.
-func (c *Conductor) plain(service string) bool {
+func (c *Coordinator) plain(service string) bool {
 	if c.rules == nil {
 		return false
 	}
@@ -78,7 +78,7 @@
 }
 
 // receiveExchange answers a batch of a router's requests.
-func (c *Conductor) receiveExchange(now time.Time, request *messenger.ExchangeRequest) *messenger.ExchangeResponse {
+func (c *Coordinator) receiveExchange(now time.Time, request *messenger.ExchangeRequest) *messenger.ExchangeResponse {
 	if !request.GetFull() {
 		for _, h := range c.pools {
 			if h.desk.Incarnation == request.GetScheduler() {
@@ -104,7 +104,7 @@
 
 // stepPools advances the pools to now and sends their grants. It returns the time of
 // the next step.
-func (c *Conductor) stepPools(now time.Time) (next time.Time) {
+func (c *Coordinator) stepPools(now time.Time) (next time.Time) {
 	for _, h := range c.pools {
 		wakeAt := h.desk.Pool.NextDeadline(now)
 		if !wakeAt.IsZero() && !wakeAt.After(now) {
@@ -128,7 +128,7 @@
 }
 
 // sendGrants sends a batch of grants. Grants to this router itself need no call.
-func (c *Conductor) sendGrants(now time.Time, h *hostedPool, batch enlister.Call) {
+func (c *Coordinator) sendGrants(now time.Time, h *hostedPool, batch enlister.Call) {
 	if batch.Router == c.self {
 		h.desk.Answered(now, batch, c.receiveGrant(batch.Request))
 		return
@@ -151,7 +151,7 @@
 // checkRouters ends the sessions of routers that have died. A router that has
 // enrolled before its heartbeats arrived here has the suspect time to appear in the
 // list of live routers.
-func (c *Conductor) checkRouters(now time.Time) {
+func (c *Coordinator) checkRouters(now time.Time) {
 	for _, h := range c.pools {
 		h.desk.Expire(now)
 		for _, router := range h.desk.Routers() {
@@ -183,7 +183,7 @@
 
 // handOver sends a pool's service counters to its new scheduler and drops the pool.
 // Routers and endpoints find the new scheduler by themselves.
-func (c *Conductor) handOver(now time.Time, h *hostedPool, owner detector.Member) {
+func (c *Coordinator) handOver(now time.Time, h *hostedPool, owner detector.Member) {
 	delete(c.pools, h.service)
 	c.metrics.pools.Set(float64(len(c.pools)))
 	request := &messenger.HandoverRequest{
@@ -197,7 +197,7 @@
 }
 
 // sendHandover sends a handover once and queues it for a retry if it fails.
-func (c *Conductor) sendHandover(p handover) {
+func (c *Coordinator) sendHandover(p handover) {
 	p.attempts--
 	method := c.peers.get(p.owner.Address).scheduling.Handover
 	call(c, kindHandover, method, p.request, func(answer *messenger.HandoverResponse, err error) {
@@ -210,7 +210,7 @@
 
 // retryHandovers sends the handovers whose retry time has come, and returns the time
 // of the next retry.
-func (c *Conductor) retryHandovers(now time.Time) (next time.Time) {
+func (c *Coordinator) retryHandovers(now time.Time) (next time.Time) {
 	waiting := c.handovers
 	c.handovers = nil
 	for _, p := range waiting {
@@ -225,7 +225,7 @@
 }
 
 // receiveHandover applies the counters of a pool's previous scheduler.
-func (c *Conductor) receiveHandover(now time.Time, request *messenger.HandoverRequest) *messenger.HandoverResponse {
+func (c *Coordinator) receiveHandover(now time.Time, request *messenger.HandoverRequest) *messenger.HandoverResponse {
 	if request.GetPool().GetZone() != c.options.Zone {
 		return &messenger.HandoverResponse{NotHere: true}
 	}
--- a/router/internal/conductor/report.go
+++ b/router/internal/coordinator/report.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"cmp"
@@ -34,7 +34,7 @@
 
 // Report returns the status of the pools and endpoints of the whole fleet as their
 // schedulers see them, and the names of the routers that did not answer.
-func (c *Conductor) Report(ctx context.Context) (reporter.Status, []string) {
+func (c *Coordinator) Report(ctx context.Context) (reporter.Status, []string) {
 	var gathered reporter.Status
 	var members []routerAddress
 	c.do(ctx, func() {
@@ -73,7 +73,7 @@
 
 // otherRouters returns the names and control addresses of the other routers of all
 // zones.
-func (c *Conductor) otherRouters() []routerAddress {
+func (c *Coordinator) otherRouters() []routerAddress {
 	var members []routerAddress
 	for _, zone := range append(c.detector.Zones(), c.options.Zone) {
 		for _, m := range c.detector.Members(zone) {
@@ -85,7 +85,7 @@
 	return members
 }
 
-func (c *Conductor) fetchReport(ctx context.Context, address netip.AddrPort) (reporter.Status, error) {
+func (c *Coordinator) fetchReport(ctx context.Context, address netip.AddrPort) (reporter.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	c.metrics.messages.WithLabelValues(kindReport).Inc()
@@ -111,7 +111,7 @@
 }
 
 // report returns the status of what this router schedules.
-func (c *Conductor) report(now time.Time) reporter.Status {
+func (c *Coordinator) report(now time.Time) reporter.Status {
 	var status reporter.Status
 	self := reporter.Router{Name: c.self.Name, Zone: c.options.Zone, Leaving: c.detector.Self().Leaving}
 	if c.rules != nil {
@@ -139,7 +139,7 @@
 	return status
 }
 
-func (c *Conductor) reportEndpoint(h *hostedPool, e scheduler.EndpointStats) reporter.Endpoint {
+func (c *Coordinator) reportEndpoint(h *hostedPool, e scheduler.EndpointStats) reporter.Endpoint {
 	message := h.endpoints[e.Endpoint]
 	labels := labelsOf(message)
 	if c.rules != nil {
@@ -163,7 +163,7 @@
 // Report answers a report call of another router.
 func (s *server) Report(ctx context.Context, _ *messenger.ReportRequest) (*messenger.ReportResponse, error) {
 	var status reporter.Status
-	s.conductor.do(ctx, func() { status = s.conductor.report(s.conductor.clock.Now()) })
+	s.coordinator.do(ctx, func() { status = s.coordinator.report(s.coordinator.clock.Now()) })
 	encoded, err := json.Marshal(status)
 	if err != nil {
 		return nil, err
--- a/router/internal/conductor/simulation_test.go
+++ b/router/internal/coordinator/simulation_test.go
@@ -1,4 +1,4 @@
-package conductor
+package coordinator
 
 import (
 	"context"
@@ -43,14 +43,14 @@
 
 // node is one router of the simulation.
 type node struct {
-	*Conductor
+	*Coordinator
 	server  *server
 	work    []func()
 	stalled bool
 	stopped bool
 }
 
-// simulation runs conductors step by step in one goroutine, with one clock.
+// simulation runs coordinators step by step in one goroutine, with one clock.
 type simulation struct {
 	t           *testing.T
 	clock       *clockwork.FakeClock
@@ -106,7 +106,7 @@
 		Seeds: []netip.AddrPort{addressOf(0, 0), addressOf(zone, 0)},
 		Clock: w.clock, Log: zerolog.Nop(),
 	})
-	n := &node{Conductor: c, server: &server{conductor: c}}
+	n := &node{Coordinator: c, server: &server{coordinator: c}}
 	c.launch = func(work func()) { n.work = append(n.work, work) }
 	c.peers.dial = func(to netip.AddrPort) *peer {
 		peerLink := &link{sim: w, from: at, to: to}
@@ -123,39 +123,39 @@
 	from, to netip.AddrPort
 }
 
-func deliverCall[Q, A any](l *link, request *Q, answer func(*Conductor, time.Time, *Q) *A) (*A, error) {
+func deliverCall[Q, A any](l *link, request *Q, answer func(*Coordinator, time.Time, *Q) *A) (*A, error) {
 	target := l.sim.nodes[l.to]
 	if target == nil || target.stalled || target.stopped || (l.sim.partitioned != nil && l.sim.partitioned(l.from, l.to)) {
 		return nil, errPartitioned
 	}
 	l.sim.calls++
-	return answer(target.Conductor, l.sim.clock.Now(), request), nil
+	return answer(target.Coordinator, l.sim.clock.Now(), request), nil
 }
 
 func (l *link) Exchange(_ context.Context, q *messenger.ExchangeRequest) (*messenger.ExchangeResponse, error) {
-	return deliverCall(l, q, (*Conductor).receiveExchange)
+	return deliverCall(l, q, (*Coordinator).receiveExchange)
 }
 
 func (l *link) Announce(_ context.Context, q *messenger.AnnounceRequest) (*messenger.AnnounceResponse, error) {
-	return deliverCall(l, q, (*Conductor).receiveAnnouncement)
+	return deliverCall(l, q, (*Coordinator).receiveAnnouncement)
 }
 
 func (l *link) Compare(_ context.Context, q *messenger.CompareRequest) (*messenger.CompareResponse, error) {
-	return deliverCall(l, q, (*Conductor).receiveCompare)
+	return deliverCall(l, q, (*Coordinator).receiveCompare)
 }
 
 func (l *link) Handover(_ context.Context, q *messenger.HandoverRequest) (*messenger.HandoverResponse, error) {
-	return deliverCall(l, q, (*Conductor).receiveHandover)
+	return deliverCall(l, q, (*Coordinator).receiveHandover)
 }
 
 func (l *link) Grant(_ context.Context, q *messenger.GrantRequest) (*messenger.GrantResponse, error) {
-	return deliverCall(l, q, func(c *Conductor, _ time.Time, q *messenger.GrantRequest) *messenger.GrantResponse {
+	return deliverCall(l, q, func(c *Coordinator, _ time.Time, q *messenger.GrantRequest) *messenger.GrantResponse {
 		return c.receiveGrant(q)
 	})
 }
 
 func (l *link) Heartbeat(_ context.Context, q *messenger.HeartbeatRequest) (*messenger.HeartbeatResponse, error) {
-	return deliverCall(l, q, func(c *Conductor, now time.Time, q *messenger.HeartbeatRequest) *messenger.HeartbeatResponse {
+	return deliverCall(l, q, func(c *Coordinator, now time.Time, q *messenger.HeartbeatRequest) *messenger.HeartbeatResponse {
 		return c.detector.Receive(now, q)
 	})
 }
@@ -186,7 +186,7 @@
 func (w *simulation) add(at netip.AddrPort, workspace string) {
 	n := w.nodes[at]
 	j := &job{router: n.options.Name, workspace: workspace, added: w.clock.Now()}
-	j.waiter = &Waiter{Outcome: make(chan enlister.Outcome, 1), conductor: n.Conductor, service: service}
+	j.waiter = &Waiter{Outcome: make(chan enlister.Outcome, 1), coordinator: n.Coordinator, service: service}
 	n.enrol(j.waiter, scheduler.Ticket{Workspace: workspace, Model: model, Hint: 100})
 	w.jobs = append(w.jobs, j)
 }
@@ -251,7 +251,7 @@
 
 func (w *simulation) owner(j *job) *node {
 	for _, n := range w.nodes {
-		if n.Conductor == j.waiter.conductor {
+		if n.Coordinator == j.waiter.coordinator {
 			return n
 		}
 	}
@@ -263,7 +263,7 @@
 func (w *simulation) kill(at netip.AddrPort) {
 	w.nodes[at].stopped = true
 	for _, j := range w.jobs {
-		j.done = j.done || j.waiter.conductor == w.nodes[at].Conductor
+		j.done = j.done || j.waiter.coordinator == w.nodes[at].Coordinator
 	}
 }
 
--- a/router/internal/director/bounds.go
+++ b/router/internal/director/bounds.go
@@ -33,7 +33,7 @@
 // admitConnection reports whether one more client may connect. While requests are screened, an
 // admitted connection takes one of the permitted entries.
 func (d *Director) admitConnection() bool {
-	return d.hasCapacity() && (!d.passer.ScreeningActive() || d.takeEntry())
+	return d.hasCapacity() && (!d.proxier.ScreeningActive() || d.takeEntry())
 }
 
 // hasCapacity reports whether one more client connection fits. While the process lags, the number
@@ -41,7 +41,7 @@
 // would delay all others, until no request is served in time.
 func (d *Director) hasCapacity() bool {
 	open, busy := d.clientConnections.counts()
-	if d.pacer.Lags() && busy-d.passer.Running() >= d.maxWaiting() {
+	if d.pacer.Lags() && busy-d.proxier.Running() >= d.maxWaiting() {
 		return false
 	}
 	byMemory := d.settings.Memory * connectionsPerMB
--- a/router/internal/director/cost.go
+++ b/router/internal/director/cost.go
@@ -38,7 +38,7 @@
 // reserveStarts sets the floor of the start rate from the measured cost of a request, so that a
 // share of the processor time stays reserved for requests that are served.
 func (d *Director) reserveStarts() {
-	cost := d.requestCost.update(d.processorTime(), d.passer.Started(), d.passer.Refused())
+	cost := d.requestCost.update(d.processorTime(), d.proxier.Started(), d.proxier.Refused())
 	if cost > 0 {
 		d.pacer.Starts.SetFloor(reservedShare * d.settings.Processors / cost)
 	}
--- a/router/internal/director/director.go
+++ b/router/internal/director/director.go
@@ -33,10 +33,10 @@
 	"shallotkeel.example/lib/starter"
 	"shallotkeel.example/lib/subscriber"
 	"shallotkeel.example/platform"
-	"shallotkeel.example/router/internal/newsreader"
-	"shallotkeel.example/router/internal/passer"
+	"shallotkeel.example/router/internal/proxier"
 	"shallotkeel.example/router/internal/recaller"
 	"shallotkeel.example/router/internal/screener"
+	"shallotkeel.example/router/internal/updatereader"
 )
 
 const (
@@ -75,9 +75,9 @@
 	budget     *budgeter.Budgeter
 	shares     *apportioner.Apportioner
 	client     *forwarder.Client
-	reader     *newsreader.Reader
+	reader     *updatereader.Reader
 	streams    *recaller.Recaller
-	passer     *passer.Passer
+	proxier    *proxier.Proxier
 	subscriber *subscriber.Subscriber
 
 	clientConnections connections
@@ -112,7 +112,7 @@
 	d.streams = recaller.New(recaller.Options{
 		Name: settings.Name, Keepers: d.answeringKeepers, Dial: d.dial, Learn: d.learnEndpoints, Clock: clock, Log: log,
 	})
-	d.reader = newsreader.New(newsreader.Options{
+	d.reader = updatereader.New(updatereader.Options{
 		Name: settings.Name, Zone: settings.Zone, Dialect: dialect, Clock: clock, Log: log, Dial: d.dial,
 		Endpoints: d.updateEndpoints, Plan: d.preparePlan, Routers: d.updateRouterCount,
 		Uses: func() map[string]apportioner.Use { return d.shares.Uses(clock.Now()) }, Loads: d.balancer.UnreadTokens, Fleet: d.updateFleet,
@@ -130,16 +130,16 @@
 	})
 	d.pacer.Starts = &pacer.Rate{Min: settings.Processors * minStartsPerCore, Initial: settings.Processors * startsPerCore}
 	d.pacer.Entries = &pacer.Rate{Min: settings.Processors * minEntriesPerCore, Initial: settings.Processors * refusalsPerCore}
-	d.passer = passer.New(passer.Options{
+	d.proxier = proxier.New(proxier.Options{
 		Dialect: dialect, FleetState: d.reader, Streams: d.streams, Balancer: d.balancer, Budget: d.budget, Shares: d.shares,
-		Client: d.client, Clock: clock, Log: log, Metrics: passer.NewMetrics(d.registry),
+		Client: d.client, Clock: clock, Log: log, Metrics: proxier.NewMetrics(d.registry),
 		Crowded:       d.disablesKeepAlive,
 		Diverting:     d.shedder.diverting.Load,
 		CoalesceDelay: time.Duration(coalesceShare * float64(settings.Pass.Duration)),
 		// MaxRequests limits the load before the process lags: lag arises only once too many requests
 		// have been accepted, and lasts until they are done.
 		MaxRequests:       d.maxRunning(),
-		MaxTotalBodyBytes: passer.MaxTotalBodyBytes(settings.Memory),
+		MaxTotalBodyBytes: proxier.MaxTotalBodyBytes(settings.Memory),
 		CPUStarved:        d.pacer.Lags,
 		StartRate:         d.pacer.Starts,
 	})
@@ -194,7 +194,7 @@
 // updateFleet applies the fleet's total demand, the load that other routers have at the endpoints,
 // and the engines' backlog as the median router estimates it. The median is used because a late
 // router overestimates the backlog, and would limit its workspaces to less than other routers do.
-func (d *Director) updateFleet(fleet newsreader.Fleet) {
+func (d *Director) updateFleet(fleet updatereader.Fleet) {
 	now := d.clock.Now()
 	d.balancer.SetOtherLoads(now, fleet.Loads)
 	d.shares.SetFleetUse(now, fleet.Uses, fleet.Backlog)
@@ -221,7 +221,7 @@
 	d.budget.SetRouters(count)
 	d.shares.SetRouterCount(count)
 	d.balancer.SetRouterCount(count)
-	rate := d.rate.update(d.clock.Now(), d.passer.Received())
+	rate := d.rate.update(d.clock.Now(), d.proxier.Received())
 	d.subscriber.Pace(d.pollWaits(rate, count, d.subscriber.Keepers()))
 }
 
@@ -268,7 +268,7 @@
 	defer scraped.Close()
 	front := &http.Server{
 		ConnContext: framer.WithConn, ConnState: d.clientConnections.setState, ErrorLog: stdlog.New(d.log, "", 0),
-		Handler: d.passer, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		Handler: d.proxier, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	ready := &http.Server{Handler: platform.Ready(d.ready), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	metrics := http.NewServeMux()
@@ -277,7 +277,7 @@
 	failures := make(chan error, 3)
 	go func() { failures <- metricsServer.Serve(scraped) }()
 	screened := screener.New(clients, screener.Options{
-		Admit: d.admitConnection, ScreeningActive: d.passer.ScreeningActive, Judge: d.passer.Screen, MaxWaiting: maxScreened, Clock: d.clock, Log: d.log,
+		Admit: d.admitConnection, ScreeningActive: d.proxier.ScreeningActive, Judge: d.proxier.Screen, MaxWaiting: maxScreened, Clock: d.clock, Log: d.log,
 	})
 	d.screened.Store(screened)
 	go func() { failures <- front.Serve(screened) }()
@@ -299,7 +299,7 @@
 	}
 	endBackground()
 	group.Wait()
-	d.log.Info().Int("running", d.passer.Running()).Msg("router stopped")
+	d.log.Info().Int("running", d.proxier.Running()).Msg("router stopped")
 	return err
 }
 
@@ -334,9 +334,9 @@
 // stop performs the planned stop: it reports not ready, accepts requests for drainTime longer, and
 // then closes the listener and waits for the requests in flight within the grace time.
 func (d *Director) stop(front *http.Server) {
-	d.log.Info().Int("running", d.passer.Running()).Msg("planned stop begins")
+	d.log.Info().Int("running", d.proxier.Running()).Msg("planned stop begins")
 	close(d.stopping)
-	d.passer.Stop()
+	d.proxier.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Grace.Duration-stopMargin)
 	defer cancel()
 	select {
@@ -344,6 +344,6 @@
 	case <-d.clock.After(drainTime):
 	}
 	if err := front.Shutdown(ctx); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		d.log.Warn().Err(err).Int("running", d.passer.Running()).Msg("requests cut because the grace time for the stop is over")
+		d.log.Warn().Err(err).Int("running", d.proxier.Running()).Msg("requests cut because the grace time for the stop is over")
 	}
 }
--- a/router/internal/director/flooded_test.go
+++ b/router/internal/director/flooded_test.go
@@ -64,7 +64,7 @@
 		h.Header.Set("X-Shallotkeel-Token-Counts", "1000,10")
 		i.judged++
 		cost = refusingCost
-		if i.passer.Screen(h) == nil {
+		if i.proxier.Screen(h) == nil {
 			i.pacer.Starts.Take(i.clock.Now(), workspace)
 			i.served++
 			cost = servingCost
--- a/router/internal/director/pressure.go
+++ b/router/internal/director/pressure.go
@@ -56,8 +56,8 @@
 // counts returns the current counters.
 func (d *Director) counts() counts {
 	return counts{
-		capacityRefusals: d.passer.RefusedForCapacity(),
-		received:         d.passer.Received(),
+		capacityRefusals: d.proxier.RefusedForCapacity(),
+		received:         d.proxier.Received(),
 		connections:      d.clientConnections.total(),
 		screened:         d.screener((*screener.Listener).Refused)(),
 		abandoned:        d.screener((*screener.Listener).Abandoned)(),
@@ -78,7 +78,7 @@
 		waiting = screened.Waiting()
 	}
 	d.log.Info().Dur("late_ms", d.pacer.Lateness()).Float64("starts", d.pacer.Starts.Value()).Float64("entries", d.pacer.Entries.Value()).
-		Int("running", d.passer.Running()).Int("open", open).Int("busy", busy).Int("waiting", waiting).
+		Int("running", d.proxier.Running()).Int("open", open).Int("busy", busy).Int("waiting", waiting).
 		Dur("span_ms", span).Uint64("refused", increase.capacityRefusals).Uint64("taken", increase.received).Uint64("connections", increase.connections).
 		Uint64("screened", increase.screened).Uint64("left", increase.abandoned).Uint64("unread", increase.closedUnread).
 		Dur("processor_ms", increase.processorTime).Msg("under pressure")
--- a/router/internal/director/shedder.go
+++ b/router/internal/director/shedder.go
@@ -58,7 +58,7 @@
 // updateDiversion decides whether new clients are diverted to other routers, and logs a change.
 func (d *Director) updateDiversion() {
 	now := d.clock.Now()
-	refused := d.passer.RefusalRatio(now)
+	refused := d.proxier.RefusalRatio(now)
 	own, fleet := d.shares.ShedRates(now)
 	if d.shedder.update(now, refused, own, fleet) {
 		d.log.Warn().Bool("away", d.shedder.diverting.Load()).Float64("refused", refused).Float64("own", own).Float64("fleet", fleet).
--- a/router/internal/enroller/enroller.go
+++ b/router/internal/enroller/enroller.go
@@ -16,7 +16,7 @@
 
 	"shallotkeel.example/lib/enlister"
 	"shallotkeel.example/lib/scheduler"
-	"shallotkeel.example/router/internal/conductor"
+	"shallotkeel.example/router/internal/coordinator"
 	"shallotkeel.example/router/internal/relayer"
 )
 
@@ -30,13 +30,13 @@
 
 // Enroller implements relayer.Enroller.
 type Enroller struct {
-	Conductor *conductor.Conductor
-	Clock     clockwork.Clock
+	Coordinator *coordinator.Coordinator
+	Clock       clockwork.Clock
 }
 
 // Enrol waits for a slot until the context ends.
 func (e *Enroller) Enrol(ctx context.Context, waiting relayer.WaitingRequest) (relayer.Slot, error) {
-	waiter := e.Conductor.Enrol(ctx, waiting.Service, scheduler.Ticket{
+	waiter := e.Coordinator.Enrol(ctx, waiting.Service, scheduler.Ticket{
 		Workspace: waiting.Workspace, Model: waiting.Model, Hint: waiting.Hint, Prompt: waiting.Prompt,
 		Prefix: waiting.Prefix, Waited: waiting.Waited, Avoid: waiting.Avoid, Alone: waiting.Alone,
 	})
@@ -56,7 +56,7 @@
 	}
 }
 
-func (e *Enroller) answer(waiter *conductor.Waiter, outcome enlister.Outcome) (relayer.Slot, error) {
+func (e *Enroller) answer(waiter *coordinator.Waiter, outcome enlister.Outcome) (relayer.Slot, error) {
 	switch o := outcome.(type) {
 	case enlister.Granted:
 		return &slot{waiter: waiter, granted: o, clock: e.Clock}, nil
@@ -69,7 +69,7 @@
 
 // slot implements relayer.Slot.
 type slot struct {
-	waiter         *conductor.Waiter
+	waiter         *coordinator.Waiter
 	granted        enlister.Granted
 	clock          clockwork.Clock
 	progressSentAt time.Time
--- a/router/internal/follower/follower.go
+++ b/router/internal/follower/follower.go
@@ -300,7 +300,7 @@
 	return result
 }
 
-// Snapshot implements conductor.Snapshots: it returns this router's configuration if it
+// Snapshot implements coordinator.Snapshots: it returns this router's configuration if it
 // is newer than the requested revision, and an empty answer marked stale otherwise.
 func (f *Follower) Snapshot(_ context.Context, request *messenger.WatchRequest) (*messenger.WatchResponse, error) {
 	f.mutex.Lock()
--- a/router/internal/passer/admission.go
+++ b/router/internal/proxier/admission.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"encoding/binary"
@@ -37,7 +37,7 @@
 
 // admit resolves the request's route and workspace, reads its body and applies the admission
 // rules. It answers a request that it does not admit, and returns false.
-func (p *Passer) admit(q *request) bool {
+func (p *Proxier) admit(q *request) bool {
 	q.table = p.firstTable(q)
 	if q.table == nil {
 		p.refuse(q, byConfiguration, http.StatusServiceUnavailable, "no configuration yet", noConfigurationRetryAfter)
@@ -76,7 +76,7 @@
 }
 
 // locate resolves the request's route and service, and the time of its first arrival.
-func (p *Passer) locate(q *request) bool {
+func (p *Proxier) locate(q *request) bool {
 	q.target = targetOf(q.http)
 	path, _, _ := strings.Cut(q.target, "?")
 	route, found := q.table.Route(q.http.Host, path)
@@ -91,7 +91,7 @@
 }
 
 // firstTable returns the configuration in force. It waits up to firstConfigurationWait for the first one.
-func (p *Passer) firstTable(q *request) *resolver.Table {
+func (p *Proxier) firstTable(q *request) *resolver.Table {
 	if table := p.options.FleetState.Table(); table != nil {
 		return table
 	}
@@ -104,7 +104,7 @@
 }
 
 // withinShare reports whether the request's workspace may use engines now. It answers the request if not.
-func (p *Passer) withinShare(q *request) bool {
+func (p *Proxier) withinShare(q *request) bool {
 	if !p.sharesEngines(q) {
 		return true
 	}
@@ -126,13 +126,13 @@
 
 // sharesEngines reports whether workspace shares limit the request. Only engines are shared, by
 // tokens; plain services have no shares.
-func (p *Passer) sharesEngines(q *request) bool {
+func (p *Proxier) sharesEngines(q *request) bool {
 	service, found := q.table.Service(q.service)
 	return found && service.Engine != nil
 }
 
 // noteShareUsed records a refusal because the share is used up, and logs the figures it is based on.
-func (p *Passer) noteShareUsed(q *request, d apportioner.Decision) {
+func (p *Proxier) noteShareUsed(q *request, d apportioner.Decision) {
 	q.refusedBy, q.logged = byShare, true
 	p.notePressure(q.received)
 	if p.logDamper.Admit(q.received, p.options.Log) {
@@ -160,12 +160,12 @@
 }
 
 // busy reports whether the router has no capacity for another request of the request's workspace.
-func (p *Passer) busy(q *request) bool {
+func (p *Proxier) busy(q *request) bool {
 	return p.full(q.received) && (q.late() || p.overFairShare(q.received, q.workspace))
 }
 
 // full reports whether the router has no capacity for another request of any workspace.
-func (p *Passer) full(now time.Time) bool {
+func (p *Proxier) full(now time.Time) bool {
 	if p.options.MaxRequests == 0 {
 		return false
 	}
@@ -177,7 +177,7 @@
 }
 
 // overFairShare reports whether a workspace uses at least its even part of a full router.
-func (p *Passer) overFairShare(now time.Time, workspace string) bool {
+func (p *Proxier) overFairShare(now time.Time, workspace string) bool {
 	return p.options.StartRate.ExceedsShare(now, workspace) || p.inFlight.overFairShare(workspace, p.options.MaxRequests)
 }
 
@@ -191,7 +191,7 @@
 
 // identify resolves the request's workspace by its key. It returns false if the configuration
 // requires keys, no workspace holds this one and the route does not allow anonymous requests.
-func (p *Passer) identify(q *request) bool {
+func (p *Proxier) identify(q *request) bool {
 	if !q.table.RequiresKey() {
 		return true
 	}
@@ -208,7 +208,7 @@
 
 // logRefusedKey logs why a key is refused: the version of the configuration that decided it, and
 // the workspace that held the key before.
-func (p *Passer) logRefusedKey(q *request) {
+func (p *Proxier) logRefusedKey(q *request) {
 	q.logged = true
 	if !p.keyLogDamper.Admit(q.received, p.options.Log) {
 		return
--- a/router/internal/passer/answer.go
+++ b/router/internal/proxier/answer.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 }
 
 // relayPlain relays an answer that is not an event stream.
-func (p *Passer) relayPlain(ctx context.Context, q *request, slot *balancer.Slot, x *forwarder.Exchange) *attemptFailure {
+func (p *Proxier) relayPlain(ctx context.Context, q *request, slot *balancer.Slot, x *forwarder.Exchange) *attemptFailure {
 	body, err := io.ReadAll(io.LimitReader(x.Body, maxBufferedAnswerBytes))
 	if err != nil {
 		return p.failed(ctx, q, merry.Errorf("%w: %w", forwarder.ErrBroken, err))
@@ -46,7 +46,7 @@
 }
 
 // sendAnswer sends a buffered answer of an endpoint to the client.
-func (p *Passer) sendAnswer(q *request, a *bufferedAnswer) {
+func (p *Proxier) sendAnswer(q *request, a *bufferedAnswer) {
 	q.framing = a.framing
 	length := int64(len(a.body))
 	switch {
@@ -78,7 +78,7 @@
 // head from the first one. An answer without a length is sent chunked, unless the client does not
 // support chunks or the endpoint's answer ends with its connection; then the answer ends with the
 // client's connection.
-func (p *Passer) sendHead(q *request, x *forwarder.Exchange, length int64) error {
+func (p *Proxier) sendHead(q *request, x *forwarder.Exchange, length int64) error {
 	if q.answerStarted {
 		return nil
 	}
@@ -104,7 +104,7 @@
 // relayUnbuffered relays an answer piece by piece. It is sent with its length or chunked, so that
 // the client can detect truncation. An answer that ends with its connection is relayed in the same
 // way, and the client's connection is reset if the answer is truncated.
-func (p *Passer) relayUnbuffered(ctx context.Context, q *request, x *forwarder.Exchange, head []byte) *attemptFailure {
+func (p *Proxier) relayUnbuffered(ctx context.Context, q *request, x *forwarder.Exchange, head []byte) *attemptFailure {
 	err := p.sendHead(q, x, x.ContentLength)
 	if err == nil {
 		_, err = q.writer.Write(head)
--- a/router/internal/passer/attempt.go
+++ b/router/internal/proxier/attempt.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"context"
@@ -28,7 +28,7 @@
 
 // attempt sends the request to one endpoint. It returns nil once the client has its answer, and
 // otherwise how the attempt failed.
-func (p *Passer) attempt(ctx context.Context, q *request) *attemptFailure {
+func (p *Proxier) attempt(ctx context.Context, q *request) *attemptFailure {
 	tried := func(id string) bool { return q.tried[id] }
 	now := p.options.Clock.Now()
 	slot := p.options.Balancer.Pick(now, q.service, &q.in.Work, tried)
@@ -64,7 +64,7 @@
 
 // exchange sends the request to the endpoint of a slot and relays the answer. It returns nil once
 // the client has its answer.
-func (p *Passer) exchange(ctx context.Context, cancel context.CancelCauseFunc, q *request, slot *balancer.Slot) *attemptFailure {
+func (p *Proxier) exchange(ctx context.Context, cancel context.CancelCauseFunc, q *request, slot *balancer.Slot) *attemptFailure {
 	outgoing := &forwarder.Outgoing{
 		ID: q.in.ID, Method: q.http.Method, Target: q.target, Host: q.http.Host, Body: q.body,
 		Header: p.options.Dialect.Outgoing(q.http.Header, forwarder.Mark{
@@ -103,7 +103,7 @@
 }
 
 // noteAnswer applies the hints that the endpoint gives about itself in an answer: backoff and leaving.
-func (p *Passer) noteAnswer(q *request, slot *balancer.Slot, answer forwarder.Answer) {
+func (p *Proxier) noteAnswer(q *request, slot *balancer.Slot, answer forwarder.Answer) {
 	q.endpointAnswer = answer
 	if answer.Backoff > 0 && slot.BackOff(p.options.Clock.Now(), answer.Backoff) {
 		p.options.Log.Info().Str("endpoint", slot.ID).Dur("backoff_ms", answer.Backoff).Msg("endpoint asks for backoff")
@@ -117,7 +117,7 @@
 }
 
 // failed returns the failure of an attempt that got no answer, and reports a possible crash.
-func (p *Passer) failed(ctx context.Context, q *request, err error) *attemptFailure {
+func (p *Proxier) failed(ctx context.Context, q *request, err error) *attemptFailure {
 	e := &attemptFailure{outcome: balancer.ConnectionBroken, reason: err.Error()}
 	switch {
 	case errors.Is(err, forwarder.ErrUnsent):
@@ -141,7 +141,7 @@
 // unsentOutcome returns what the error of an unsent request says about the endpoint. A router that is
 // starved of processor time sees its own dials time out: counted against the endpoints, two such
 // timeouts would put their whole zone under a health penalty.
-func (p *Passer) unsentOutcome(err error) balancer.Outcome {
+func (p *Proxier) unsentOutcome(err error) balancer.Outcome {
 	var dialed net.Error
 	switch {
 	case errors.Is(err, forwarder.ErrWithdrawn):
@@ -153,7 +153,7 @@
 }
 
 // declined returns the failure of an attempt that the endpoint did not run.
-func (p *Passer) declined(q *request, x *forwarder.Exchange, answer forwarder.Answer) *attemptFailure {
+func (p *Proxier) declined(q *request, x *forwarder.Exchange, answer forwarder.Answer) *attemptFailure {
 	if _, err := io.Copy(io.Discard, io.LimitReader(x.Body, maxBufferedAnswerBytes)); err != nil {
 		p.options.Log.Debug().Err(err).Str("id", q.in.ID).Msg("body of the endpoint's refusal was truncated; its connection is closed")
 	}
@@ -165,7 +165,7 @@
 }
 
 // noteAnswerStarted records that the endpoint is sending its answer.
-func (p *Passer) noteAnswerStarted(q *request, slot *balancer.Slot) {
+func (p *Proxier) noteAnswerStarted(q *request, slot *balancer.Slot) {
 	now := p.options.Clock.Now()
 	slot.NoteResponse(now)
 	if q.endpointAnswered {
--- a/router/internal/passer/backoff_test.go
+++ b/router/internal/proxier/backoff_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"context"
@@ -124,7 +124,7 @@
 				if elapsed == 5*step && test.before {
 					close(s.release)
 					require.Equal(t, eventsUpTo(1), <-streamed)
-					require.Eventually(t, func() bool { return f.passer.Running() == 0 }, waitTimeout, pollInterval)
+					require.Eventually(t, func() bool { return f.proxier.Running() == 0 }, waitTimeout, pollInterval)
 				}
 				response := f.do("GET", test.path, "")
 				_, err := readText(response)
@@ -224,13 +224,13 @@
 	}
 	ctx, cancel := context.WithCancelCause(t.Context())
 	defer cancel(nil)
-	failure := f.passer.exchange(ctx, cancel, q, slot)
+	failure := f.proxier.exchange(ctx, cancel, q, slot)
 	require.NotNil(t, failure)
 	require.True(t, failure.unsent)
 	require.Equal(t, balancer.Cancelled, failure.outcome)
 	require.Zero(t, s.received())
 	clock.Advance(time.Second)
-	require.Nil(t, f.passer.exchange(ctx, cancel, q, slot))
+	require.Nil(t, f.proxier.exchange(ctx, cancel, q, slot))
 	require.Equal(t, 1, s.received())
 }
 
@@ -240,13 +240,13 @@
 	clock := clockwork.NewFakeClock()
 	f := newFixtureAt(t, clock)
 	var lines lineCounter
-	f.passer.options.Log = zerolog.New(&lines)
+	f.proxier.options.Log = zerolog.New(&lines)
 	f.startScripted(&scriptedEndpoint{status: http.StatusServiceUnavailable, header: notRunHeader + ": 1\r\n" + retryAfterHeader + ": 3\r\n"})
 	for range requests {
 		_, err := f.fetch("GET", "/read/x", "")
 		require.NoError(t, err)
 	}
-	require.Eventually(t, func() bool { return f.passer.Running() == 0 }, waitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return f.proxier.Running() == 0 }, waitTimeout, pollInterval)
 	require.Less(t, lines.count.Load(), int64(requests/2))
 }
 
--- a/router/internal/passer/beyondshare.go
+++ b/router/internal/proxier/beyondshare.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import "time"
 
@@ -15,7 +15,7 @@
 
 // wouldDelayOthers reports whether a request beyond its workspace's share would be prefilled before, or
 // together with, requests that are within the share of theirs.
-func (p *Passer) wouldDelayOthers(q *request) bool {
+func (p *Proxier) wouldDelayOthers(q *request) bool {
 	if !q.beyondShare {
 		return false
 	}
--- a/router/internal/passer/body.go
+++ b/router/internal/proxier/body.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 
 // readBody reads the complete body, so that it can be sent again and so that no endpoint waits
 // for a slow client. It answers the request if that fails, and returns false.
-func (p *Passer) readBody(q *request) bool {
+func (p *Proxier) readBody(q *request) bool {
 	limit := q.table.Limits().BodyBytes
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
@@ -50,7 +50,7 @@
 
 // readAll reads a body, into one buffer if its length is known and small. The memory reserved
 // for it is released when the request ends.
-func (p *Passer) readAll(q *request, body io.Reader) ([]byte, error) {
+func (p *Proxier) readAll(q *request, body io.Reader) ([]byte, error) {
 	length := q.http.ContentLength
 	size := int64(initialBodyBytes)
 	if length > 0 {
--- a/router/internal/passer/bodymemory_test.go
+++ b/router/internal/proxier/bodymemory_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 // without available memory is refused as not run, and memory is released after each request.
 func TestTotalBodyMemoryIsBounded(t *testing.T) {
 	f := newFixture(t)
-	f.passer.bodyMemory.limit = 300 << 10
+	f.proxier.bodyMemory.limit = 300 << 10
 	waiting, release := make(chan struct{}), make(chan struct{})
 	f.endpoint(func(conn net.Conn, request *http.Request) {
 		if request.URL.Path == "/read/held" {
@@ -54,7 +54,7 @@
 	again, err := f.fetch("POST", "/read/", large)
 	require.NoError(t, err)
 	require.Equal(t, fmt.Sprint(len(large)), again)
-	require.Eventually(t, func() bool { return f.passer.bodyMemory.reserved.Load() == 0 }, waitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return f.proxier.bodyMemory.reserved.Load() == 0 }, waitTimeout, pollInterval)
 }
 
 // Guards against memory that is reserved for a client that declares a length and sends nothing.
@@ -64,8 +64,8 @@
 	require.NoError(t, err)
 	defer conn.Close()
 	fmt.Fprintf(conn, "POST /read/ HTTP/1.1\r\nHost: h\r\n%s: 1\r\nContent-Length: 1000000\r\n\r\n", idHeader)
-	require.Eventually(t, func() bool { return f.passer.bodyMemory.reserved.Load() > 0 }, waitTimeout, pollInterval)
-	require.LessOrEqual(t, f.passer.bodyMemory.reserved.Load(), int64(initialBodyBytes))
+	require.Eventually(t, func() bool { return f.proxier.bodyMemory.reserved.Load() > 0 }, waitTimeout, pollInterval)
+	require.LessOrEqual(t, f.proxier.bodyMemory.reserved.Load(), int64(initialBodyBytes))
 }
 
 // Guards against bodies that are altered because they arrive in several parts.
@@ -111,8 +111,8 @@
 	require.NoError(t, err)
 	defer conn.Close()
 	fmt.Fprintf(conn, "POST /draft/ HTTP/1.1\r\nHost: h\r\n%s: 1\r\n%s: 200\r\nAuthorization: Bearer key\r\nContent-Length: 0\r\n\r\n", idHeader, deadlineHeader)
-	require.Eventually(t, func() bool { return f.passer.Running() == 1 }, waitTimeout, pollInterval)
-	require.Eventually(t, func() bool { return f.passer.Running() == 0 }, waitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return f.proxier.Running() == 1 }, waitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return f.proxier.Running() == 0 }, waitTimeout, pollInterval)
 }
 
 // Guards against an answer that is cut off because the write deadline of an earlier request on the same
--- a/router/internal/passer/harness_test.go
+++ b/router/internal/proxier/harness_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"bufio"
@@ -76,11 +76,11 @@
 	return append([]uint64(nil), s.crashed...)
 }
 
-// fixture is a passer with its dependencies behind an HTTP server, in front of endpoints that tests script.
+// fixture is a proxier with its dependencies behind an HTTP server, in front of endpoints that tests script.
 type fixture struct {
 	t          *testing.T
 	fleetState *stubFleetState
-	passer     *Passer
+	proxier    *Proxier
 	balancer   *balancer.Balancer
 	shares     *apportioner.Apportioner
 	server     *http.Server
@@ -145,7 +145,7 @@
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true}},
 	}
 	f.fleetState.table.Store(newTable(t, 1))
-	f.passer = New(Options{
+	f.proxier = New(Options{
 		Dialect: platform.Dialect{}, FleetState: f.fleetState, Streams: recaller.New(recaller.Options{Clock: clock}), Balancer: f.balancer, Shares: f.shares,
 		Budget: &budgeter.Budgeter{Bound: budgeter.Bound{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}},
 		Client: &forwarder.Client{Clock: clock}, Clock: clock, Log: zerolog.Nop(),
@@ -153,7 +153,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	f.address = listener.Addr().String()
-	f.server = &http.Server{Handler: f.passer, ConnContext: framer.WithConn, ReadHeaderTimeout: time.Minute}
+	f.server = &http.Server{Handler: f.proxier, ConnContext: framer.WithConn, ReadHeaderTimeout: time.Minute}
 	go f.server.Serve(listener) //nolint:errcheck // it ends with the test
 	t.Cleanup(func() { f.server.Close() })
 	return f
--- a/router/internal/passer/inflight.go
+++ b/router/internal/proxier/inflight.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"sync"
@@ -70,12 +70,12 @@
 
 // Stop makes every answer from now on close its connection. Requests that still
 // arrive are served.
-func (p *Passer) Stop() {
+func (p *Proxier) Stop() {
 	p.inFlight.closing.Store(true)
 }
 
 // Running returns the number of requests in flight.
-func (p *Passer) Running() int {
+func (p *Proxier) Running() int {
 	p.inFlight.mutex.Lock()
 	defer p.inFlight.mutex.Unlock()
 	return p.inFlight.running
--- a/router/internal/passer/inflight_test.go
+++ b/router/internal/proxier/inflight_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"context"
@@ -47,8 +47,8 @@
 // Guards against requests that wait at a router whose limit of requests in flight is reached.
 func TestFullRouterRefusesAtOnce(t *testing.T) {
 	f := newFixture(t)
-	f.passer.options.MaxRequests = 2
-	f.passer.options.CPUStarved = func() bool { return false }
+	f.proxier.options.MaxRequests = 2
+	f.proxier.options.CPUStarved = func() bool { return false }
 	end := make(chan struct{})
 	var once sync.Once
 	var arrived atomic.Int64
@@ -70,7 +70,7 @@
 	}
 	// A running request may not yet count against its workspace; one that has reached its endpoint does.
 	require.Eventually(t, func() bool { return arrived.Load() == 2 }, waitTimeout, pollInterval)
-	require.Equal(t, 2, f.passer.Running())
+	require.Equal(t, 2, f.proxier.Running())
 	response := f.do("POST", "/book/", "")
 	_, err := readText(response)
 	require.NoError(t, err)
--- a/router/internal/passer/key_test.go
+++ b/router/internal/proxier/key_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"bytes"
@@ -35,7 +35,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var written bytes.Buffer
-			p := Passer{options: Options{Log: zerolog.New(&written)}, keyLogDamper: damper.Damper{LinesPerSecond: maxKeyLogLines}}
+			p := Proxier{options: Options{Log: zerolog.New(&written)}, keyLogDamper: damper.Damper{LinesPerSecond: maxKeyLogLines}}
 			q := &request{table: after, route: &resolver.Route{Name: "draft"}, received: time.Unix(1000, 0)}
 			q.in.Key = test.key
 			for range 100 {
@@ -72,8 +72,8 @@
 			}
 			h := httptest.NewRequest(http.MethodPost, "http://h"+test.path, nil)
 			h.Header.Set("Authorization", "Bearer "+test.key)
-			q := &request{http: h, writer: httptest.NewRecorder(), received: time.Now(), in: f.passer.options.Dialect.Read(h.Header)}
-			require.False(t, f.passer.admit(q))
+			q := &request{http: h, writer: httptest.NewRecorder(), received: time.Now(), in: f.proxier.options.Dialect.Read(h.Header)}
+			require.False(t, f.proxier.admit(q))
 			require.Equal(t, test.want, q.refusedBy)
 		})
 	}
--- a/router/internal/passer/metrics.go
+++ b/router/internal/proxier/metrics.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"strconv"
@@ -19,7 +19,7 @@
 	duration    prometheus.Histogram
 }
 
-// NewMetrics registers the passer's metrics.
+// NewMetrics registers the proxier's metrics.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/router/internal/passer/passer.go
+++ b/router/internal/proxier/proxier.go
@@ -1,4 +1,4 @@
-// Package passer proxies clients' requests to endpoints, and the answers back to the clients, byte
+// Package proxier proxies clients' requests to endpoints, and the answers back to the clients, byte
 // for byte.
 //
 // Each request runs in its own goroutine from its arrival to its single final answer, under the
@@ -14,7 +14,7 @@
 //   - a stream contains events from one version of the endpoints' software;
 //   - nothing is sent for a client that has disconnected, and attempts that run for it are cancelled;
 //   - every request has its final answer by the timeout of its route.
-package passer
+package proxier
 
 import (
 	"context"
@@ -55,7 +55,7 @@
 	writeGrace = time.Second
 )
 
-// FleetState is the state of the fleet that the passer needs.
+// FleetState is the state of the fleet that the proxier needs.
 type FleetState interface {
 	// Table returns the configuration in force, nil if there is none yet.
 	Table() *resolver.Table
@@ -77,7 +77,7 @@
 	Widen(ctx context.Context, origin versioner.Origin)
 }
 
-// Options configures a Passer.
+// Options configures a Proxier.
 type Options struct {
 	Dialect    forwarder.Dialect
 	FleetState FleetState
@@ -108,8 +108,8 @@
 	StartRate *pacer.Rate
 }
 
-// Passer is an http.Handler that proxies each request to an endpoint.
-type Passer struct {
+// Proxier is an http.Handler that proxies each request to an endpoint.
+type Proxier struct {
 	options            Options
 	inFlight           inFlight
 	bodyMemory         bodyMemory
@@ -125,9 +125,9 @@
 	lastPressure       atomic.Int64  // Unix time in ns of the last refusal for lack of capacity or share
 }
 
-// New returns a Passer.
-func New(options Options) *Passer {
-	p := &Passer{options: options, bodyMemory: bodyMemory{limit: options.MaxTotalBodyBytes}, keyLogDamper: damper.Damper{LinesPerSecond: maxKeyLogLines}}
+// New returns a Proxier.
+func New(options Options) *Proxier {
+	p := &Proxier{options: options, bodyMemory: bodyMemory{limit: options.MaxTotalBodyBytes}, keyLogDamper: damper.Damper{LinesPerSecond: maxKeyLogLines}}
 	options.Client.OwnAnswer = options.Dialect.Own
 	return p
 }
@@ -175,7 +175,7 @@
 }
 
 // ServeHTTP serves one request.
-func (p *Passer) ServeHTTP(w http.ResponseWriter, h *http.Request) {
+func (p *Proxier) ServeHTTP(w http.ResponseWriter, h *http.Request) {
 	q := &request{http: h, writer: w, received: p.options.Clock.Now()}
 	p.received.Add(1)
 	p.inFlight.enter()
@@ -196,7 +196,7 @@
 }
 
 // boundWrites sets the deadline of writes to the client. A write blocks while the client does not read.
-func (p *Passer) boundWrites(q *request, until time.Time) {
+func (p *Proxier) boundWrites(q *request, until time.Time) {
 	err := http.NewResponseController(q.writer).SetWriteDeadline(until)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		p.options.Log.Debug().Err(err).Str("id", q.in.ID).Msg("write deadline could not be set; writes to the client have no time limit")
@@ -204,27 +204,27 @@
 }
 
 // Received returns the number of requests received since the start.
-func (p *Passer) Received() uint64 {
+func (p *Proxier) Received() uint64 {
 	return p.received.Load()
 }
 
 // Started returns the number of requests admitted since the start.
-func (p *Passer) Started() uint64 {
+func (p *Proxier) Started() uint64 {
 	return p.started.Load()
 }
 
 // Refused returns the number of requests refused since the start.
-func (p *Passer) Refused() uint64 {
+func (p *Proxier) Refused() uint64 {
 	return p.refused.Load()
 }
 
 // RefusedForCapacity returns the number of requests refused for lack of router capacity since the start.
-func (p *Passer) RefusedForCapacity() uint64 {
+func (p *Proxier) RefusedForCapacity() uint64 {
 	return p.refusedForCapacity.Load()
 }
 
 // forward sends the request to endpoints until it has its final answer.
-func (p *Passer) forward(q *request) {
+func (p *Proxier) forward(q *request) {
 	p.started.Add(1)
 	p.options.StartRate.Take(q.received, q.workspace)
 	p.options.Budget.Request(q.received, q.service)
@@ -264,7 +264,7 @@
 }
 
 // mayRetry reports whether the request may be sent to another endpoint.
-func (p *Passer) mayRetry(ctx context.Context, q *request, e attemptFailure) bool {
+func (p *Proxier) mayRetry(ctx context.Context, q *request, e attemptFailure) bool {
 	if ctx.Err() != nil || clientGone(q.http.Context()) {
 		return false // each retry would open a connection for a client that is gone
 	}
@@ -285,7 +285,7 @@
 }
 
 // giveUp gives the final answer of a request that no endpoint has answered.
-func (p *Passer) giveUp(ctx context.Context, q *request, e attemptFailure) {
+func (p *Proxier) giveUp(ctx context.Context, q *request, e attemptFailure) {
 	q.reason = e.reason
 	switch {
 	case q.http.Context().Err() != nil || clientGone(q.http.Context()):
@@ -308,7 +308,7 @@
 }
 
 // refuse answers that the request has not run and will not run.
-func (p *Passer) refuse(q *request, by refusalCause, status int, reason string, pause time.Duration) {
+func (p *Proxier) refuse(q *request, by refusalCause, status int, reason string, pause time.Duration) {
 	q.refusedBy = by
 	if by == byRouter && p.options.Diverting != nil && p.options.Diverting() {
 		// The client's next connection may reach a router that has capacity.
@@ -322,7 +322,7 @@
 
 // retryAfter remembers a refused request that its client may retry, and returns the
 // pause before the retry, lengthened at random.
-func (p *Passer) retryAfter(q *request, pause time.Duration) time.Duration {
+func (p *Proxier) retryAfter(q *request, pause time.Duration) time.Duration {
 	if q.retryKey != 0 {
 		p.retries.remember(q.received, q.retryKey, q.firstReceived)
 	}
@@ -330,7 +330,7 @@
 }
 
 // fail answers with a status that the router itself sets.
-func (p *Passer) fail(q *request, status int, reason string) {
+func (p *Proxier) fail(q *request, status int, reason string) {
 	q.status, q.reason = status, reason
 	http.Error(q.writer, reason, status)
 }
--- a/router/internal/passer/passer_test.go
+++ b/router/internal/proxier/proxier_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"context"
@@ -273,7 +273,7 @@
 	served := make(chan struct{})
 	server := &http.Server{ReadHeaderTimeout: time.Minute, ConnContext: framer.WithConn, Handler: http.HandlerFunc(func(w http.ResponseWriter, h *http.Request) {
 		defer close(served)
-		f.passer.ServeHTTP(w, h)
+		f.proxier.ServeHTTP(w, h)
 	})}
 	accepting := &acceptedListener{conns: make(chan net.Conn, 1), listener: listener}
 	accepting.conns <- accepted
@@ -330,7 +330,7 @@
 	for name, crowded := range map[string]bool{"crowd": true, "room": false} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			f.passer.options.Crowded = func() bool { return crowded }
+			f.proxier.options.Crowded = func() bool { return crowded }
 			refused := f.do("POST", "/book/", "")
 			_, err := readText(refused)
 			require.NoError(t, err)
@@ -350,13 +350,13 @@
 func TestStoppingRouterServesAndCloses(t *testing.T) {
 	f := newFixture(t)
 	f.endpoint(answerWith("served"))
-	f.passer.Stop()
+	f.proxier.Stop()
 	response := f.do("POST", "/book/", "")
 	body, err := readText(response)
 	require.NoError(t, err)
 	require.Equal(t, "served", body)
 	require.True(t, response.Close)
-	require.Eventually(t, func() bool { return f.passer.Running() == 0 }, waitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return f.proxier.Running() == 0 }, waitTimeout, pollInterval)
 }
 
 // Guards against an answer to HEAD that claims an empty body, whatever length its endpoint stated.
--- a/router/internal/passer/record.go
+++ b/router/internal/proxier/record.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import "time"
 
@@ -11,7 +11,7 @@
 }
 
 // record counts a request that has ended and writes its log line.
-func (p *Passer) record(q *request) {
+func (p *Proxier) record(q *request) {
 	now := p.options.Clock.Now()
 	took := now.Sub(q.received)
 	p.options.Metrics.observe(q, took)
--- a/router/internal/passer/refusalrate.go
+++ b/router/internal/proxier/refusalrate.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"sync"
@@ -65,14 +65,14 @@
 }
 
 // RefusalRatio returns the fraction of recent requests refused for lack of router capacity, 0 to 1.
-func (p *Passer) RefusalRatio(now time.Time) float64 {
+func (p *Proxier) RefusalRatio(now time.Time) float64 {
 	return p.refusals.ratio(now)
 }
 
 // overloadRetryAfter returns the pause of a client that was refused for lack of router capacity. A retry is as
 // likely to be refused as a new request. Where one request in twenty is admitted, retrying at once
 // only takes processor time in which a request could be served.
-func (p *Passer) overloadRetryAfter(now time.Time) time.Duration {
+func (p *Proxier) overloadRetryAfter(now time.Time) time.Duration {
 	return retryAfterFor(p.refusals.ratio(now))
 }
 
@@ -87,7 +87,7 @@
 
 // pressureRetryAfter returns the pause of a client whose call found no capacity at a plain service. While
 // a retry is likely to be admitted, the pause is short enough for the retry to be in time.
-func (p *Passer) pressureRetryAfter(q *request) time.Duration {
+func (p *Proxier) pressureRetryAfter(q *request) time.Duration {
 	pressed := p.options.Balancer.RejectionShare(q.service)
 	if pressed <= likelyRefused && !q.late() {
 		return minRetryAfter
--- a/router/internal/passer/refusalrate_test.go
+++ b/router/internal/proxier/refusalrate_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"net/http"
@@ -60,11 +60,11 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			f.endpoint(answerWith("served"))
-			f.passer.options.Diverting = func() bool { return test.diverting }
-			f.passer.options.MaxRequests = 1
-			f.passer.options.CPUStarved = func() bool { return test.full }
-			f.passer.inFlight.enterWorkspace("club")
-			f.passer.inFlight.enterWorkspace("club")
+			f.proxier.options.Diverting = func() bool { return test.diverting }
+			f.proxier.options.MaxRequests = 1
+			f.proxier.options.CPUStarved = func() bool { return test.full }
+			f.proxier.inFlight.enterWorkspace("club")
+			f.proxier.inFlight.enterWorkspace("club")
 			response, err := f.send(t.Context(), http.MethodPost, "/book/", "")
 			require.NoError(t, err)
 			defer response.Body.Close()
--- a/router/internal/passer/restart_test.go
+++ b/router/internal/proxier/restart_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"io"
--- a/router/internal/passer/resume.go
+++ b/router/internal/proxier/resume.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"net/http"
@@ -12,7 +12,7 @@
 // resumes. Events of two versions are not compatible and endpoints do not check this, so a stream
 // whose origin is unknown, or of whose version no endpoint is left, is refused and never sent to
 // an endpoint of another version.
-func (p *Passer) admitResume(q *request) bool {
+func (p *Proxier) admitResume(q *request) bool {
 	if q.route.Kind != resolver.Stream || q.in.Resume == "" && q.in.Resumes == "" {
 		return true
 	}
@@ -34,7 +34,7 @@
 }
 
 // canResume reports whether there is an endpoint where a stream of the origin can be resumed.
-func (p *Passer) canResume(q *request, origin versioner.Origin) bool {
+func (p *Proxier) canResume(q *request, origin versioner.Origin) bool {
 	if p.options.Balancer.HasEligible(origin.Service, &q.in.Work) {
 		return true
 	}
@@ -44,7 +44,7 @@
 
 // noteVersion records the software version at which a stream begins or is resumed, so that it is
 // resumed only at that version: within this answer, or in a later request of its client.
-func (p *Passer) noteVersion(q *request, slot *balancer.Slot) {
+func (p *Proxier) noteVersion(q *request, slot *balancer.Slot) {
 	if q.stream.versionNoted {
 		return
 	}
--- a/router/internal/passer/retrytracker_test.go
+++ b/router/internal/proxier/retrytracker_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"net/http"
@@ -57,7 +57,7 @@
 // requests are refused in their place. Retries that are already late must not go before requests
 // that can still be in time.
 func TestNewRequestsGoBeforeLateRetries(t *testing.T) {
-	p := &Passer{}
+	p := &Proxier{}
 	p.options.MaxRequests = 10
 	p.options.CPUStarved = func() bool { return true }
 	route := &resolver.Route{Target: 250 * time.Millisecond}
--- a/router/internal/passer/screen.go
+++ b/router/internal/proxier/screen.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"net/http"
@@ -13,12 +13,12 @@
 const screeningPeriod = time.Second
 
 // ScreeningActive reports whether requests on new connections are to be checked by Screen.
-func (p *Passer) ScreeningActive() bool {
+func (p *Proxier) ScreeningActive() bool {
 	return p.options.Clock.Now().Sub(time.Unix(0, p.lastPressure.Load())) < screeningPeriod
 }
 
 // notePressure records a refusal for lack of capacity or share.
-func (p *Passer) notePressure(now time.Time) {
+func (p *Proxier) notePressure(now time.Time) {
 	p.lastPressure.Store(now.UnixNano())
 }
 
@@ -26,7 +26,7 @@
 // is to be served. It refuses a request for which the router has no capacity or the workspace has no
 // share left. A refusal here takes less of a flooded router's processor time than one by the server
 // (BenchmarkRefusal of the screener).
-func (p *Passer) Screen(h *http.Request) *screener.Refusal {
+func (p *Proxier) Screen(h *http.Request) *screener.Refusal {
 	now := p.options.Clock.Now()
 	q := &request{http: h, received: now, table: p.options.FleetState.Table()}
 	if q.table == nil {
@@ -47,7 +47,7 @@
 }
 
 // screen returns the refusal of a request with its minimum Retry-After, nil if the request is to be served.
-func (p *Passer) screen(q *request) *screener.Refusal {
+func (p *Proxier) screen(q *request) *screener.Refusal {
 	if p.busy(q) {
 		q.refusedBy = byRouter
 		p.noteOverload(q)
@@ -66,7 +66,7 @@
 
 // noteOverload counts a request for which the router has no capacity, and adds its tokens to the demand
 // of its workspace: the fleet must know that the workspace is waiting.
-func (p *Passer) noteOverload(q *request) {
+func (p *Proxier) noteOverload(q *request) {
 	p.refusedForCapacity.Add(1)
 	if p.sharesEngines(q) {
 		p.options.Shares.CountShed(q.received, q.workspace, float64(q.tokens()))
--- a/router/internal/passer/served_test.go
+++ b/router/internal/proxier/served_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"context"
@@ -47,7 +47,7 @@
 				response.Body.Close()
 			}
 			cancel()
-			require.Eventually(t, func() bool { return f.passer.Running() == 0 }, waitTimeout, pollInterval)
+			require.Eventually(t, func() bool { return f.proxier.Running() == 0 }, waitTimeout, pollInterval)
 			use := f.shares.Uses(time.Now())["club"]
 			require.NotZero(t, use.Demand)
 			require.Equal(t, test.got, use.Served > 0)
--- a/router/internal/passer/start_test.go
+++ b/router/internal/proxier/start_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"net/http"
@@ -29,7 +29,7 @@
 		response.Body.Close()
 		status <- response.StatusCode
 	}()
-	require.Eventually(t, func() bool { return f.passer.Running() == 1 }, waitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return f.proxier.Running() == 1 }, waitTimeout, pollInterval)
 	f.fleetState.table.Store(first)
 	close(f.fleetState.begun)
 	require.Equal(t, http.StatusOK, <-status)
@@ -61,7 +61,7 @@
 			f.balancer.SetOtherLoads(now, map[uint64]int{balancer.Key(lister.Listing{ID: id}): test.unread})
 			q := &request{received: now, service: "desk", route: &resolver.Route{Target: target}, beyondShare: test.beyondShare}
 			q.in.Work = balancer.Work{Model: "m", Prompt: test.prompt, Parts: []balancer.Part{{ID: 1, Tokens: test.prompt}}, Target: target}
-			require.Equal(t, test.want, f.passer.wouldDelayOthers(q))
+			require.Equal(t, test.want, f.proxier.wouldDelayOthers(q))
 			require.Empty(t, f.balancer.UnreadTokens(), "an estimate changes no state")
 		})
 	}
--- a/router/internal/passer/stream.go
+++ b/router/internal/proxier/stream.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"bytes"
@@ -68,7 +68,7 @@
 }
 
 // relayStream relays a stream as it arrives, in complete events.
-func (p *Passer) relayStream(ctx context.Context, q *request, slot *balancer.Slot, x *forwarder.Exchange, watch *watch) *attemptFailure {
+func (p *Proxier) relayStream(ctx context.Context, q *request, slot *balancer.Slot, x *forwarder.Exchange, watch *watch) *attemptFailure {
 	buffer := make([]byte, streamBufferBytes)
 	flusher := http.NewResponseController(q.writer)
 	q.stream.partial = nil
@@ -112,7 +112,7 @@
 
 // coalesce waits under high load, so that the next read returns several events. Each event that is
 // relayed alone costs two system calls and two wake-ups.
-func (p *Passer) coalesce(q *request) {
+func (p *Proxier) coalesce(q *request) {
 	if p.options.CoalesceDelay == 0 || !q.answerStarted || 2*p.Running() < p.options.MaxRequests {
 		return
 	}
@@ -126,7 +126,7 @@
 const streamBufferBytes = 4 << 10
 
 // relayPiece writes a piece of the stream to the client and flushes it.
-func (p *Passer) relayPiece(q *request, flusher *http.ResponseController, x *forwarder.Exchange, piece []byte) error {
+func (p *Proxier) relayPiece(q *request, flusher *http.ResponseController, x *forwarder.Exchange, piece []byte) error {
 	if len(piece) == 0 {
 		return nil
 	}
@@ -142,7 +142,7 @@
 // endStream ends the client's stream in the way its endpoint ended it. A stream that began with
 // framing is truncated if its last endpoint used none: a framed end would claim that the stream is
 // complete, which is unknown.
-func (p *Passer) endStream(q *request, flusher *http.ResponseController, x *forwarder.Exchange) *attemptFailure {
+func (p *Proxier) endStream(q *request, flusher *http.ResponseController, x *forwarder.Exchange) *attemptFailure {
 	if q.answerStarted && q.end == nil && q.framing == framer.ByConnection {
 		return &attemptFailure{outcome: balancer.Served, reason: "the stream was resumed at an endpoint whose answer has no framing, so its end does not show whether it is complete"}
 	}
--- a/router/internal/passer/truncation_test.go
+++ b/router/internal/proxier/truncation_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"fmt"
@@ -210,7 +210,7 @@
 				head := stampHeader + ": stamp\r\nConnection: close\r\nContent-Type: text/event-stream\r\n"
 				begun := firstFraming(head, eventsUpTo(3), draw)
 				f := newFixture(t)
-				f.passer.options.Budget = &budgeter.Budgeter{Bound: budgeter.Bound{Slack: 1 << 20, Window: time.Minute}}
+				f.proxier.options.Budget = &budgeter.Budgeter{Bound: budgeter.Bound{Slack: 1 << 20, Window: time.Minute}}
 				var broken atomic.Pointer[[]string] // what the first attempt gets
 				address := f.listen(func(conn net.Conn, request *http.Request) {
 					defer conn.Close()
@@ -286,7 +286,7 @@
 	defer conn.Close()
 	_, err = io.WriteString(conn, "GET /brief/ HTTP/1.1\r\nHost: h\r\n\r\n")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return f.passer.Running() == 0 && f.passer.Received() == 1 }, waitTimeout, pollInterval)
+	require.Eventually(t, func() bool { return f.proxier.Running() == 0 && f.proxier.Received() == 1 }, waitTimeout, pollInterval)
 	_, err = io.Copy(io.Discard, conn)
 	require.Error(t, err, "a truncated answer ended cleanly")
 }
@@ -295,7 +295,7 @@
 // that its client never got.
 func TestStreamWithUnsentHeadIsNotResumed(t *testing.T) {
 	f := newFixture(t)
-	bare := httptest.NewServer(f.passer) // its connections cannot be reset by the passer
+	bare := httptest.NewServer(f.proxier) // its connections cannot be reset by the proxier
 	defer bare.Close()
 	f.address = bare.Listener.Addr().String()
 	sends := &atomic.Int64{}
--- a/router/internal/passer/unsent_test.go
+++ b/router/internal/proxier/unsent_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"net"
@@ -34,7 +34,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := &Passer{options: Options{CPUStarved: func() bool { return test.starved }}}
+			p := &Proxier{options: Options{CPUStarved: func() bool { return test.starved }}}
 			require.Equal(t, test.want, p.unsentOutcome(test.err))
 		})
 	}
--- a/router/internal/passer/versions_test.go
+++ b/router/internal/proxier/versions_test.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"context"
@@ -133,7 +133,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			f.addVersion("v2", func(net.Conn, *http.Request) { t.Error("the stream was resumed at another version") })
-			f.passer.options.Streams = stubStreams{known: versioner.Origin{Service: "desk", Version: "v1"}, widen: func() {
+			f.proxier.options.Streams = stubStreams{known: versioner.Origin{Service: "desk", Version: "v1"}, widen: func() {
 				if !learns {
 					return
 				}
--- a/router/internal/passer/watch.go
+++ b/router/internal/proxier/watch.go
@@ -1,4 +1,4 @@
-package passer
+package proxier
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 // An endpoint that is only slow is not abandoned. Cancelling its streams would cause the
 // same prompts to be prefilled elsewhere while all endpoints are busy, and a stream that cannot
 // be resumed, because its attempts or the retry budget are used up, would be lost.
-func (p *Passer) watch(q *request, slot *balancer.Slot, cancel context.CancelCauseFunc) *watch {
+func (p *Proxier) watch(q *request, slot *balancer.Slot, cancel context.CancelCauseFunc) *watch {
 	w := &watch{}
 	if q.route.Kind != resolver.Stream || !q.route.Resumable || q.sends+1 >= q.route.Attempts {
 		return w
--- a/router/internal/newsreader/silence.go
+++ b/router/internal/updatereader/silence.go
@@ -1,4 +1,4 @@
-package newsreader
+package updatereader
 
 import (
 	"net/netip"
--- a/router/internal/newsreader/newsreader.go
+++ b/router/internal/updatereader/updatereader.go
@@ -1,10 +1,10 @@
-// Package newsreader maintains a router's view of the fleet: the configuration in force and the
+// Package updatereader maintains a router's view of the fleet: the configuration in force and the
 // endpoints, from the updates that the keepers send.
 //
 // Invariants: the version in force never decreases; an endpoint that any keeper has reported as
 // leaving or gone is never considered ready again; losing a keeper removes neither the configuration
 // nor endpoints, so that a router that is cut off continues with its last view.
-package newsreader
+package updatereader
 
 import (
 	"context"
