--- a/load/internal/runner/runner.go
+++ b/load/internal/runner/runner.go
@@ -1,7 +1,10 @@
-// Package runner runs one load from settings or flags and prints what it saw.
+// Package runner sends a load that settings or flags describe, and prints a
+// summary of the results.
 //
-// Invariants: it ends by itself; its exit status is 0 only if every call was
-// answered, refused as not run, or refused for what the request itself is.
+// Invariants: a run ends by itself, once its sending time is over and every
+// request has ended; its exit status is 0 only if every request was answered
+// correctly, refused as not run, or refused because the request itself is
+// invalid.
 package runner
 
 import (
@@ -21,7 +24,7 @@
 	"shallotkeel.example/lib/starter"
 )
 
-// ErrLoad is the kind of every error about a load.
+// ErrLoad is the kind of the errors in the description of a load.
 var ErrLoad = merry.Sentinel("load cannot run")
 
 // Options are the flags of "load run".
@@ -39,20 +42,21 @@
 	Output     string        `long:"output" short:"o" default:"table" choice:"table" choice:"json" description:"output format"` //nolint:staticcheck // go-flags repeats the tag for each choice
 }
 
-// Defaults of the load that flags describe.
+// Defaults of a load that flags describe, and the bound on outstanding requests of
+// every load.
 const (
-	defaultBound   = 48
-	defaultPrompt  = 600
-	maxOutstanding = 20_000
+	defaultMaxTokens   = 48
+	defaultPromptBytes = 600
+	maxOutstanding     = 20_000
 )
 
-// Settings describe a load.
+// Settings describe the loads of several workspaces.
 type Settings struct {
 	Routers []string      `json:"routers"`
 	Loads   []caller.Load `json:"loads"`
 }
 
-// Check tells which settings cannot be used.
+// Check returns the problems of the settings.
 func (s *Settings) Check() []loader.Problem {
 	var problems []loader.Problem
 	if len(s.Routers) == 0 {
@@ -62,12 +66,12 @@
 		problems = append(problems, loader.Problem{Key: "loads", Message: "is empty", Remedy: "describe one load a workspace"})
 	}
 	for _, load := range s.Loads {
-		problems = append(problems, check(load)...)
+		problems = append(problems, checkLoad(load)...)
 	}
 	return problems
 }
 
-func check(load caller.Load) []loader.Problem {
+func checkLoad(load caller.Load) []loader.Problem {
 	var problems []loader.Problem
 	if load.PerSecond <= 0 && load.Backlog <= 0 {
 		problems = append(problems, loader.Problem{
@@ -83,7 +87,9 @@
 	return problems
 }
 
-// Main is the program.
+// Main runs the program and returns its exit status: it parses the flags, sends the
+// load, writes the summary to out, and writes errors and failed requests to
+// problems.
 func Main(arguments []string, out io.Writer, problems io.Writer) int {
 	if len(arguments) > 0 && arguments[0] == "run" {
 		arguments = arguments[1:]
@@ -97,8 +103,8 @@
 		fmt.Fprintln(problems, "load:", err)
 		return starter.StatusUsage
 	}
-	recorder := options.run(settings)
-	if err := print(out, options.Output, recorder); err != nil {
+	recorder := options.send(settings)
+	if err := printSummary(out, options.Output, recorder); err != nil {
 		fmt.Fprintln(problems, "load:", err)
 		return starter.StatusFailed
 	}
@@ -111,12 +117,15 @@
 	return starter.StatusOK
 }
 
-// Clean tells whether every call ended as it should without a fault.
+// Clean reports whether every request ended without a fault: answered, refused as
+// not run, or invalid.
 func Clean(summary caller.Summary) bool {
-	fine := summary.Endings[caller.Answered] + summary.Endings[caller.NotRun] + summary.Endings[caller.Invalid]
-	return fine == summary.Requests
+	faultless := summary.Endings[caller.Answered] + summary.Endings[caller.NotRun] + summary.Endings[caller.Invalid]
+	return faultless == summary.Requests
 }
 
+// settings reads the settings file, if one is named, and adds the routers and the
+// loads of the flags.
 func (o *Options) settings() (Settings, error) {
 	var settings Settings
 	if o.Settings != "" {
@@ -130,7 +139,7 @@
 		if !found {
 			return settings, merry.Errorf("%w: --workspace %q; write NAME=TOKEN", ErrLoad, workspace)
 		}
-		settings.Loads = append(settings.Loads, o.load(name, token))
+		settings.Loads = append(settings.Loads, o.flagLoad(name, token))
 	}
 	for _, problem := range settings.Check() {
 		return settings, merry.Errorf("%w: %s %s; %s", ErrLoad, problem.Key, problem.Message, problem.Remedy)
@@ -138,8 +147,11 @@
 	return settings, nil
 }
 
-func (o *Options) load(name, token string) caller.Load {
-	mix := caller.Mix{Models: o.Models, Service: o.Service, Bound: defaultBound, Prompt: defaultPrompt}
+// flagLoad returns the load of one --workspace. With models, three of four chat
+// completions are streamed; with a service, half of the plain calls may not be
+// repeated.
+func (o *Options) flagLoad(name, token string) caller.Load {
+	mix := caller.Mix{Models: o.Models, Service: o.Service, Bound: defaultMaxTokens, Prompt: defaultPromptBytes}
 	if len(o.Models) > 0 {
 		mix.Stream, mix.Whole = 3, 1
 	}
@@ -149,7 +161,9 @@
 	return caller.Load{Workspace: name, Token: token, PerSecond: o.Rate, Backlog: o.Backlog, Mix: mix}
 }
 
-func (o *Options) run(settings Settings) *caller.Recorder {
+// send sends the loads for the time of the flag, waits for outstanding requests and
+// returns the results.
+func (o *Options) send(settings Settings) *caller.Recorder {
 	recorder := &caller.Recorder{}
 	driver := caller.Driver{
 		Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Timeout: o.Patience},
@@ -161,7 +175,7 @@
 	return recorder
 }
 
-func print(out io.Writer, format string, recorder *caller.Recorder) error {
+func printSummary(out io.Writer, format string, recorder *caller.Recorder) error {
 	summary := recorder.Summary()
 	if format == "json" {
 		return json.NewEncoder(out).Encode(summary)
@@ -177,8 +191,8 @@
 	fmt.Fprintf(table, "between tokens p50 p95 p99\t%.1f %.1f %.1f ms\n", summary.Between.P50, summary.Between.P95, summary.Between.P99)
 	fmt.Fprintln(table, "workspace\trequests\tanswered\ttokens\tfirst p95 ms")
 	for _, name := range summary.Names() {
-		service := summary.Workspaces[name]
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%.1f\n", name, service.Requests, service.Answered, service.Tokens, service.FirstP95)
+		workspace := summary.Workspaces[name]
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%.1f\n", name, workspace.Requests, workspace.Answered, workspace.Tokens, workspace.FirstP95)
 	}
 	return table.Flush()
 }
--- a/load/internal/runner/runner_test.go
+++ b/load/internal/runner/runner_test.go
@@ -18,7 +18,8 @@
 	"shallotkeel.example/load/internal/runner"
 )
 
-func router(wrong bool) http.HandlerFunc {
+// fakeRouter answers calls of the plain service s, with a wrong text if wrong is set.
+func fakeRouter(wrong bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("X-Outcome", "answered")
@@ -37,7 +38,7 @@
 		want      int
 		problem   string
 	}{
-		"every answer right":    {arguments: []string{"run", "-w", "w=t", "--service", "s"}, want: starter.StatusOK},
+		"every answer correct":  {arguments: []string{"run", "-w", "w=t", "--service", "s"}, want: starter.StatusOK},
 		"a wrong answer":        {wrong: true, arguments: []string{"-w", "w=t", "--service", "s"}, want: starter.StatusFailed, problem: "wrong"},
 		"nothing to send":       {arguments: []string{}, want: starter.StatusUsage, problem: "describe one load a workspace"},
 		"workspace without =":   {arguments: []string{"-w", "w"}, want: starter.StatusUsage, problem: "NAME=TOKEN"},
@@ -45,7 +46,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			server := httptest.NewServer(router(test.wrong))
+			server := httptest.NewServer(fakeRouter(test.wrong))
 			defer server.Close()
 			var out, problems bytes.Buffer
 			arguments := append(slices.Clone(test.arguments), "-r", server.URL, "-t", "200ms", "--rate", "50", "-o", "json")
--- a/load/main.go
+++ b/load/main.go
@@ -1,5 +1,5 @@
-// Package main is the load program of shallotkeel: callers of several
-// workspaces that check every answer.
+// Package main is the load program of shallotkeel: it sends requests of several
+// workspaces to routers and checks every answer.
 package main
 
 import (
--- a/skctl/internal/commander/changes.go
+++ b/skctl/internal/commander/changes.go
@@ -15,7 +15,7 @@
 	"shallotkeel.example/skctl/internal/printer"
 )
 
-// changeFlags are the flags of every command that changes something.
+// changeFlags are the flags of every command that changes objects.
 type changeFlags struct {
 	Change  string        `long:"change" value-name:"ID" description:"change id; the same id is applied once, however often it is sent"`
 	DryRun  bool          `long:"dry-run" description:"validate only"`
@@ -23,14 +23,15 @@
 	Timeout time.Duration `long:"timeout" default:"30s" description:"how long --wait waits"`
 }
 
-// submit sends edits as one change, prints the findings, and waits if asked.
+// submit sends the edits as one change and prints the findings and the outcome.
+// With --wait it returns once the change is in force at every live router.
 func (c *Commander) submit(flags changeFlags, edits []describer.Edit) error {
 	change := describer.Change{ID: flags.Change, Author: c.global.Author, Edits: edits}
 	if change.ID == "" {
 		change.ID = c.NewID()
 	}
 	if !flags.DryRun {
-		c.note("change %s (repeat with --change %s if no answer comes)", change.ID, change.ID)
+		c.printProgress("change %s (repeat with --change %s if no answer comes)", change.ID, change.ID)
 	}
 	applied, err := c.requester().Apply(background(), change, flags.DryRun)
 	if err != nil {
@@ -68,18 +69,18 @@
 	}
 }
 
-// pollEvery is how often --wait and watch ask.
-const pollEvery = 200 * time.Millisecond
+// pollInterval is the pause between two requests of --wait and of watch.
+const pollInterval = 200 * time.Millisecond
 
-// wait returns when every live router has the revision in force, and names
-// those that have not when the time is over.
+// wait polls the fleet's status until the revision is in force at every live
+// router. When the timeout expires, its error names the lagging routers.
 func (c *Commander) wait(revision uint64, timeout time.Duration) error {
 	deadline := c.Clock.Now().Add(timeout)
-	told := ""
+	lastProgress := ""
 	for {
-		lagging, total, err := c.lagging(revision)
+		lagging, total, err := c.laggingRouters(revision)
 		if err == nil && len(lagging) == 0 && total > 0 {
-			c.note("in force at all %d routers", total)
+			c.printProgress("in force at all %d routers", total)
 			return nil
 		}
 		if c.Clock.Now().After(deadline) {
@@ -89,15 +90,17 @@
 			return merry.Errorf("%w: waiting for %s; see skctl status", errLagging, strings.Join(lagging, ", "))
 		}
 		progress := fmt.Sprintf("in force at %d of %d routers", total-len(lagging), total)
-		if err == nil && progress != told {
-			c.note("%s", progress)
-			told = progress
+		if err == nil && progress != lastProgress {
+			c.printProgress("%s", progress)
+			lastProgress = progress
 		}
-		c.Clock.Sleep(pollEvery)
+		c.Clock.Sleep(pollInterval)
 	}
 }
 
-func (c *Commander) lagging(revision uint64) (names []string, total int, err error) {
+// laggingRouters returns the routers that have an earlier revision in force, and
+// the number of live routers.
+func (c *Commander) laggingRouters(revision uint64) (names []string, total int, err error) {
 	status, err := c.requester().Status(background())
 	if err != nil {
 		return nil, 0, err
@@ -126,14 +129,16 @@
 		return err
 	}
 	if len(differences) == 0 {
-		a.commander.note("nothing to change")
+		a.commander.printProgress("nothing to change")
 		return nil
 	}
 	return a.commander.submit(a.changeFlags, describer.Edits(differences))
 }
 
+// differences compares the objects of files with the configuration in force.
+// With prune, objects that the files do not contain count as deleted.
 func (c *Commander) differences(files []string, prune bool) ([]describer.Difference, error) {
-	wanted, err := c.read(files)
+	wanted, err := c.readObjects(files)
 	if err != nil {
 		return nil, err
 	}
@@ -180,18 +185,20 @@
 
 // Execute runs the command.
 func (r *remove) Execute([]string) error {
-	before, found, err := r.commander.find(describer.Key(r.Args))
+	before, found, err := r.commander.findObject(describer.Key(r.Args))
 	if err != nil {
 		return err
 	}
 	if !found {
 		return merry.Errorf("%s %s does not exist; see skctl get %s", r.Args.Kind, r.Args.Name, r.Args.Kind)
 	}
-	gone := describer.Difference{Key: before.Key(), Before: &before}
-	return r.commander.submit(r.changeFlags, describer.Edits([]describer.Difference{gone}))
+	deletion := describer.Difference{Key: before.Key(), Before: &before}
+	return r.commander.submit(r.changeFlags, describer.Edits([]describer.Difference{deletion}))
 }
 
-func (c *Commander) find(key describer.Key) (object describer.Object, found bool, err error) {
+// findObject returns the object in force. If it does not exist, found is false and
+// the object carries only the kind and the name.
+func (c *Commander) findObject(key describer.Key) (object describer.Object, found bool, err error) {
 	current, err := c.requester().Objects(background(), 0)
 	if err != nil {
 		return describer.Object{}, false, err
@@ -219,9 +226,10 @@
 	return l.commander.relabel(l.changeFlags, describer.Key{Kind: l.Args.Kind, Name: l.Args.Name}, l.Args.Labels)
 }
 
-// relabel sets labels written as key=value and removes those written as key-.
+// relabel sets the labels given as key=value and removes those given as key-.
+// An object that does not exist is created.
 func (c *Commander) relabel(flags changeFlags, key describer.Key, labels []string) error {
-	before, found, err := c.find(key)
+	before, found, err := c.findObject(key)
 	if err != nil {
 		return err
 	}
@@ -230,8 +238,8 @@
 	if after.Labels == nil {
 		after.Labels = make(labeler.Labels)
 	}
-	for _, written := range labels {
-		if err := setLabel(after.Labels, written); err != nil {
+	for _, argument := range labels {
+		if err := setLabel(after.Labels, argument); err != nil {
 			return err
 		}
 	}
@@ -240,20 +248,20 @@
 		difference.Before = &before
 	}
 	if found && describer.Equivalent(before, after) {
-		c.note("nothing to change")
+		c.printProgress("nothing to change")
 		return nil
 	}
 	return c.submit(flags, describer.Edits([]describer.Difference{difference}))
 }
 
-func setLabel(labels labeler.Labels, written string) error {
-	if key, removed := strings.CutSuffix(written, "-"); removed && !strings.Contains(written, "=") {
+func setLabel(labels labeler.Labels, argument string) error {
+	if key, removed := strings.CutSuffix(argument, "-"); removed && !strings.Contains(argument, "=") {
 		delete(labels, key)
 		return nil
 	}
-	key, value, found := strings.Cut(written, "=")
+	key, value, found := strings.Cut(argument, "=")
 	if !found {
-		return merry.Errorf("%q is no label; write key=value, or key- to remove one", written)
+		return merry.Errorf("%q is no label; write key=value, or key- to remove one", argument)
 	}
 	labels[key] = value
 	return nil
@@ -268,14 +276,15 @@
 	commander *Commander
 }
 
-// Execute runs the command. Draining is nothing but a label on the endpoint.
+// Execute runs the command. An endpoint drains as long as it carries the drain
+// label.
 func (d *drain) Execute([]string) error {
-	written := describer.LabelDrain + "=" + describer.Yes
+	argument := describer.LabelDrain + "=" + describer.Yes
 	if d.Undo {
-		written = describer.LabelDrain + "-"
+		argument = describer.LabelDrain + "-"
 	}
 	key := describer.Key{Kind: describer.Endpoint, Name: d.Args.Endpoint}
-	return d.commander.relabel(d.changeFlags, key, []string{written})
+	return d.commander.relabel(d.changeFlags, key, []string{argument})
 }
 
 type rollback struct {
@@ -286,8 +295,8 @@
 	commander *Commander
 }
 
-// Execute runs the command. The earlier objects come back as a new change with
-// a new revision, so that revisions never decrease anywhere.
+// Execute runs the command. The objects of the earlier revision are restored by
+// a new change with a new revision, so that revisions never decrease anywhere.
 func (r *rollback) Execute([]string) error {
 	earlier, err := r.commander.requester().Objects(background(), r.Args.Revision)
 	if err != nil {
@@ -299,7 +308,7 @@
 	}
 	differences := describer.Diff(current.Objects, earlier.Objects, true)
 	if len(differences) == 0 {
-		r.commander.note("nothing to change")
+		r.commander.printProgress("nothing to change")
 		return nil
 	}
 	return r.commander.submit(r.changeFlags, describer.Edits(differences))
--- a/skctl/internal/commander/commander.go
+++ b/skctl/internal/commander/commander.go
@@ -1,9 +1,10 @@
-// Package commander holds the commands of skctl, the operators' tool.
+// Package commander implements the commands of skctl, the operators' command
+// line.
 //
-// Invariants: a command that changes something prints its change id before it
-// sends it, so that an operator whose terminal dies can send the same change
-// again; the exit status tells a script how it ended; what is printed on
-// standard output is the result, everything else goes to standard error.
+// Invariants: a command that changes objects prints the change id before it
+// sends the change, so that an operator whose terminal dies can send the same
+// change again; the exit status tells a script how the command ended; standard
+// output carries only the result, everything else goes to standard error.
 package commander
 
 import (
@@ -24,14 +25,14 @@
 
 // Exit statuses beyond those of package starter.
 const (
-	StatusInvalid     = 3 // the change was refused; findings say why
-	StatusConflict    = 4 // somebody else changed an object first
-	StatusUnreachable = 5 // no router or no quorum answered; safe to repeat with the same change id
-	StatusLagging     = 6 // accepted, but not yet in force everywhere when the wait was over
+	StatusInvalid     = 3 // the change was refused; the findings give the reasons
+	StatusConflict    = 4 // another operator changed an object first
+	StatusUnreachable = 5 // no router could be reached, or it had no quorum of keepers; safe to retry with the same change id
+	StatusLagging     = 6 // accepted, but not yet in force at every live router when the timeout of --wait expired
 	StatusDiffers     = 7 // diff found differences
 )
 
-// Kinds of failure with an exit status of their own.
+// Failures that have their own exit status.
 var (
 	errInvalid  = merry.Sentinel("the change is invalid")
 	errConflict = merry.Sentinel("somebody else changed it first")
@@ -39,7 +40,7 @@
 	errDiffers  = merry.Sentinel("the configuration differs")
 )
 
-// Commander runs commands against a fleet.
+// Commander parses command lines and runs the commands against a fleet.
 type Commander struct {
 	In     io.Reader
 	Out    io.Writer
@@ -58,6 +59,7 @@
 }
 
 // Run parses the arguments, runs the command and returns the exit status.
+// Errors are printed to Err.
 func (c *Commander) Run(arguments []string) int {
 	for _, argument := range arguments {
 		if argument == "--version" {
@@ -72,7 +74,7 @@
 		return starter.StatusUsage
 	}
 	_, err := parser.ParseArgs(arguments)
-	return c.status(err)
+	return c.exitStatus(err)
 }
 
 const longDescription = `skctl drives a shallotkeel fleet: operators describe workspaces, services
@@ -118,15 +120,15 @@
 	}
 }
 
-func (c *Commander) status(err error) int {
-	var asked *flags.Error
+func (c *Commander) exitStatus(err error) int {
+	var flagsError *flags.Error
 	switch {
 	case err == nil:
 		return starter.StatusOK
-	case errors.As(err, &asked) && asked.Type == flags.ErrHelp:
+	case errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp:
 		fmt.Fprintln(c.Out, err)
 		return starter.StatusOK
-	case errors.As(err, &asked):
+	case errors.As(err, &flagsError):
 		fmt.Fprintln(c.Err, "skctl:", err)
 		return starter.StatusUsage
 	}
@@ -158,8 +160,9 @@
 	return printer.Printer{Out: c.Out, Format: c.global.Output}
 }
 
-// note prints progress, which is no result and so goes to standard error.
-func (c *Commander) note(format string, values ...any) {
+// printProgress writes a line to standard error, because progress is not part
+// of a command's result.
+func (c *Commander) printProgress(format string, values ...any) {
 	fmt.Fprintf(c.Err, format+"\n", values...)
 }
 
--- a/skctl/internal/commander/commander_test.go
+++ b/skctl/internal/commander/commander_test.go
@@ -21,28 +21,28 @@
 	"shallotkeel.example/lib/starter"
 )
 
-// fleet is a small fake of the operators' API: it keeps objects with versions,
-// applies a change id once, and can lose answers.
-type fleet struct {
-	mutex      sync.Mutex
-	revision   uint64
-	objects    map[describer.Key]describer.Object
-	answers    map[string]reporter.Applied
-	applied    int
-	loseAnswer int               // how many answers to changes are lost after they were applied
-	rival      *describer.Object // put in right after the objects were read
-	history    []reporter.Revision
-	status     reporter.Status
+// fakeAPI is a fake of the operators' API: it stores objects with versions,
+// applies each change id once, and can drop answers.
+type fakeAPI struct {
+	mutex          sync.Mutex
+	revision       uint64
+	objects        map[describer.Key]describer.Object
+	outcomes       map[string]reporter.Applied
+	applied        int
+	answersToLose  int               // the number of answers to drop after their changes were applied
+	concurrentEdit *describer.Object // stored right after the objects were read
+	history        []reporter.Revision
+	status         reporter.Status
 }
 
-func newFleet() *fleet {
-	return &fleet{
-		objects: make(map[describer.Key]describer.Object),
-		answers: make(map[string]reporter.Applied),
+func newFakeAPI() *fakeAPI {
+	return &fakeAPI{
+		objects:  make(map[describer.Key]describer.Object),
+		outcomes: make(map[string]reporter.Applied),
 	}
 }
 
-func (f *fleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeAPI) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if r.Header.Get("Authorization") != "Bearer operator" {
@@ -54,8 +54,8 @@
 	switch r.URL.Path {
 	case "/admin/objects":
 		_ = json.NewEncoder(w).Encode(f.listing())
-		if f.rival != nil {
-			f.put(*f.rival)
+		if f.concurrentEdit != nil {
+			f.put(*f.concurrentEdit)
 		}
 	case "/admin/history":
 		_ = json.NewEncoder(w).Encode(reporter.History{Revisions: f.history})
@@ -68,7 +68,7 @@
 	}
 }
 
-func (f *fleet) listing() reporter.Objects {
+func (f *fakeAPI) listing() reporter.Objects {
 	answer := reporter.Objects{Revision: f.revision}
 	for _, object := range f.objects {
 		answer.Objects = append(answer.Objects, object)
@@ -76,19 +76,19 @@
 	return answer
 }
 
-func (f *fleet) change(w http.ResponseWriter, r *http.Request) {
+func (f *fakeAPI) change(w http.ResponseWriter, r *http.Request) {
 	var change describer.Change
 	if err := json.NewDecoder(r.Body).Decode(&change); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	answer, known := f.answers[change.ID]
+	answer, known := f.outcomes[change.ID]
 	answer.Resent = known
 	if !known {
 		answer = f.apply(change)
 	}
-	if f.loseAnswer > 0 {
-		f.loseAnswer--
+	if f.answersToLose > 0 {
+		f.answersToLose--
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
@@ -98,10 +98,10 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-func (f *fleet) apply(change describer.Change) reporter.Applied {
+func (f *fakeAPI) apply(change describer.Change) reporter.Applied {
 	for _, edit := range change.Edits {
-		if now := f.objects[edit.Object.Key()]; edit.Check && now.Version != edit.Version {
-			return reporter.Applied{Outcome: reporter.Conflict, Winners: []describer.Object{now}}
+		if current := f.objects[edit.Object.Key()]; edit.Check && current.Version != edit.Version {
+			return reporter.Applied{Outcome: reporter.Conflict, Winners: []describer.Object{current}}
 		}
 	}
 	f.applied++
@@ -116,11 +116,11 @@
 		f.objects[object.Key()] = object
 	}
 	answer := reporter.Applied{Outcome: reporter.Accepted, Revision: f.revision}
-	f.answers[change.ID] = answer
+	f.outcomes[change.ID] = answer
 	return answer
 }
 
-func (f *fleet) put(object describer.Object) {
+func (f *fakeAPI) put(object describer.Object) {
 	f.objects[object.Key()] = object
 }
 
@@ -130,7 +130,7 @@
 	err    string
 }
 
-func run(t *testing.T, f *fleet, clock clockwork.Clock, input string, arguments ...string) outcome {
+func run(t *testing.T, f *fakeAPI, clock clockwork.Clock, input string, arguments ...string) outcome {
 	t.Helper()
 	server := httptest.NewServer(f)
 	defer server.Close()
@@ -143,53 +143,54 @@
 	return outcome{status: status, out: out.String(), err: errors.String()}
 }
 
-// jumpy is a clock on which sleeping takes no time but moves the time on.
-type jumpy struct{ *clockwork.FakeClock }
+// sleeplessClock is a fake clock on which Sleep advances the time and returns at
+// once.
+type sleeplessClock struct{ *clockwork.FakeClock }
 
-func (j jumpy) Sleep(duration time.Duration) { j.Advance(duration) }
+func (c sleeplessClock) Sleep(duration time.Duration) { c.Advance(duration) }
 
 func testClock() clockwork.Clock {
-	return jumpy{clockwork.NewFakeClock()}
+	return sleeplessClock{clockwork.NewFakeClock()}
 }
 
-const oneClub = `// a club
+const clubDocument = `// a club
 {"objects": [{"kind": "workspace", "name": "club", "labels": {"weight": "2"}}]}`
 
 var club = describer.Object{Kind: describer.Workspace, Name: "club", Labels: labeler.Labels{"weight": "2"}, Version: 1}
 
 func TestApply(t *testing.T) {
 	tests := map[string]struct {
-		prepare func(*fleet)
+		prepare func(*fakeAPI)
 		input   string
 		extra   []string
 		status  int
 		out     string
 		err     string
 	}{
-		"a new object": {input: oneClub, out: "accepted as revision 1"},
+		"a new object": {input: clubDocument, out: "accepted as revision 1"},
 		"nothing to change": {
-			prepare: func(f *fleet) { f.put(club) }, input: oneClub, err: "nothing to change",
+			prepare: func(f *fakeAPI) { f.put(club) }, input: clubDocument, err: "nothing to change",
 		},
-		"an unknown key is named with its line": {
+		"an unknown key is reported with its line": {
 			input: "{\"objects\": [{\"kind\": \"workspace\",\n \"title\": \"club\"}]}", status: starter.StatusFailed, err: "-:2:",
 		},
 		"the same object twice": {
 			input: `{"objects":[{"kind":"service","name":"a"},{"kind":"service","name":"a"}]}`, status: starter.StatusFailed, err: "stands twice",
 		},
-		"not all routers follow": {
-			prepare: func(f *fleet) {
+		"a router lags behind": {
+			prepare: func(f *fakeAPI) {
 				f.status.Routers = []reporter.Router{{Name: "router-a", InForce: 1}, {Name: "router-b", InForce: 0}}
 			},
-			input: oneClub, extra: []string{"--wait", "--timeout", "3s"}, status: StatusLagging, err: "waiting for router-b",
+			input: clubDocument, extra: []string{"--wait", "--timeout", "3s"}, status: StatusLagging, err: "waiting for router-b",
 		},
-		"all routers follow": {
-			prepare: func(f *fleet) { f.status.Routers = []reporter.Router{{Name: "router-a", InForce: 1}} },
-			input:   oneClub, extra: []string{"--wait"}, err: "in force at all 1 routers",
+		"the change is in force at all routers": {
+			prepare: func(f *fakeAPI) { f.status.Routers = []reporter.Router{{Name: "router-a", InForce: 1}} },
+			input:   clubDocument, extra: []string{"--wait"}, err: "in force at all 1 routers",
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet()
+			f := newFakeAPI()
 			if test.prepare != nil {
 				test.prepare(f)
 			}
@@ -202,25 +203,25 @@
 	}
 }
 
-// Symptom: a change is applied twice, or an operator is told that it failed
-// although it is in force. Events: a router passes the change on, the keepers
-// accept it, the answer is lost, skctl sends it again. Cause: without a change
-// id the second sending is a new change.
+// Guards against a change that is applied twice, or reported as failed although
+// it is in force: a router forwards the change, the keepers accept it, the
+// answer is lost and skctl retries. Without a change id the retry is a new change.
 func TestResendAfterLostAnswerAppliesOnce(t *testing.T) {
-	f := newFleet()
-	f.loseAnswer = 2
-	got := run(t, f, testClock(), oneClub, "apply", "-")
+	f := newFakeAPI()
+	f.answersToLose = 2
+	got := run(t, f, testClock(), clubDocument, "apply", "-")
 	require.Equal(t, starter.StatusOK, got.status, got.err)
 	require.Equal(t, 1, f.applied)
 	require.Contains(t, got.out, "accepted earlier as revision 1")
 }
 
-// Symptom: one operator's change silently undoes another's. Events: both read
-// version 1, both send a change. Cause: without the version the later one wins.
+// Guards against a lost update: two operators read version 1 and both send a
+// change. Without the version check the later change silently overwrites the
+// earlier one.
 func TestRaceShowsTheWinner(t *testing.T) {
-	f := newFleet()
+	f := newFakeAPI()
 	f.put(club)
-	f.rival = &describer.Object{Kind: club.Kind, Name: club.Name, Labels: labeler.Labels{"weight": "5"}, Version: 2}
+	f.concurrentEdit = &describer.Object{Kind: club.Kind, Name: club.Name, Labels: labeler.Labels{"weight": "5"}, Version: 2}
 	got := run(t, f, testClock(), "", "label", "workspace", "club", "weight=3")
 	require.Equal(t, StatusConflict, got.status)
 	require.Contains(t, got.out, "weight=5")
@@ -229,13 +230,13 @@
 }
 
 func TestLabelAndDrain(t *testing.T) {
-	f := newFleet()
+	f := newFakeAPI()
 	f.put(club)
 	got := run(t, f, testClock(), "", "label", "workspace", "club", "weight-", "tier=big")
 	require.Equal(t, starter.StatusOK, got.status, got.err)
 	require.Equal(t, labeler.Labels{"tier": "big"}, f.objects[club.Key()].Labels)
 
-	f.answers = make(map[string]reporter.Applied)
+	f.outcomes = make(map[string]reporter.Applied)
 	got = run(t, f, testClock(), "", "drain", "engine-1")
 	require.Equal(t, starter.StatusOK, got.status, got.err)
 	endpoint := f.objects[describer.Key{Kind: describer.Endpoint, Name: "engine-1"}]
@@ -251,14 +252,14 @@
 }
 
 func TestDirectoryAndUsage(t *testing.T) {
-	f := newFleet()
+	f := newFakeAPI()
 	directory := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(directory, "a.jsonc"), []byte(oneClub), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(directory, "a.jsonc"), []byte(clubDocument), 0o600))
 	got := run(t, f, testClock(), "", "diff", directory)
 	require.Equal(t, StatusDiffers, got.status)
 	require.Contains(t, got.out, "+ workspace club")
 
-	require.NoError(t, os.WriteFile(filepath.Join(directory, "b.json"), []byte(oneClub), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(directory, "b.json"), []byte(clubDocument), 0o600))
 	got = run(t, f, testClock(), "", "diff", directory)
 	require.Contains(t, got.err, "keep one")
 
--- a/skctl/internal/commander/reader.go
+++ b/skctl/internal/commander/reader.go
@@ -12,20 +12,21 @@
 	"shallotkeel.example/lib/describer"
 )
 
-// standardInput is the file name that means standard input.
+// standardInput is the file name that stands for standard input.
 const standardInput = "-"
 
-// read collects the objects of files, of every .json and .jsonc file in
-// directories, and of standard input.
-func (c *Commander) read(names []string) ([]describer.Object, error) {
-	paths, err := expand(names)
+// readObjects parses the objects of the named files, of every .json and .jsonc
+// file in the named directories, and of standard input. An object that is
+// defined twice is an error.
+func (c *Commander) readObjects(names []string) ([]describer.Object, error) {
+	paths, err := expandPaths(names)
 	if err != nil {
 		return nil, err
 	}
 	var objects []describer.Object
-	from := make(map[describer.Key]string)
+	pathOf := make(map[describer.Key]string)
 	for _, path := range paths {
-		text, err := c.readOne(path)
+		text, err := c.readFile(path)
 		if err != nil {
 			return nil, merry.Errorf("%s: %w", path, err)
 		}
@@ -34,24 +35,24 @@
 			return nil, err
 		}
 		for _, object := range parsed {
-			if first, twice := from[object.Key()]; twice {
+			if first, twice := pathOf[object.Key()]; twice {
 				return nil, merry.Errorf("%s %s stands in %s and in %s; keep one", object.Kind, object.Name, first, path)
 			}
-			from[object.Key()] = path
+			pathOf[object.Key()] = path
 		}
 		objects = append(objects, parsed...)
 	}
 	return objects, nil
 }
 
-func (c *Commander) readOne(path string) ([]byte, error) {
+func (c *Commander) readFile(path string) ([]byte, error) {
 	if path == standardInput {
 		return io.ReadAll(c.In)
 	}
 	return os.ReadFile(path)
 }
 
-func expand(names []string) ([]string, error) {
+func expandPaths(names []string) ([]string, error) {
 	var paths []string
 	for _, name := range names {
 		if name == standardInput {
@@ -66,11 +67,11 @@
 			paths = append(paths, name)
 			continue
 		}
-		inside, err := documentsIn(name)
+		documents, err := documentsIn(name)
 		if err != nil {
 			return nil, err
 		}
-		paths = append(paths, inside...)
+		paths = append(paths, documents...)
 	}
 	return paths, nil
 }
--- a/skctl/internal/commander/views.go
+++ b/skctl/internal/commander/views.go
@@ -41,7 +41,7 @@
 	})
 	describer.SortObjects(answer.Objects)
 	if answer.Stale {
-		g.commander.note("may be stale: no quorum of keepers was reached")
+		g.commander.printProgress("may be stale: no quorum of keepers was reached")
 	}
 	if g.Args.Name != "" && len(answer.Objects) == 0 {
 		return merry.Errorf("%s %s does not exist; see skctl get %s", g.Args.Kind, g.Args.Name, g.Args.Kind)
@@ -98,47 +98,49 @@
 	commander *Commander
 }
 
-// Execute runs the command. It prints every change once, in order, however
-// often it has to ask.
+// Execute runs the command. It polls the history and prints every change once,
+// in order of revisions.
 func (w *watch) Execute([]string) error {
 	c := w.commander
 	objects, err := c.requester().Objects(background(), 0)
 	if err != nil {
 		return err
 	}
-	shown := objects.Revision
-	c.note("watching from revision %d", shown)
+	lastShown := objects.Revision
+	c.printProgress("watching from revision %d", lastShown)
 	started := c.Clock.Now()
 	for w.For == 0 || c.Clock.Since(started) < w.For {
-		shown, err = w.print(shown)
+		lastShown, err = w.printNew(lastShown)
 		if err != nil {
 			return err
 		}
-		c.Clock.Sleep(pollEvery)
+		c.Clock.Sleep(pollInterval)
 	}
 	return nil
 }
 
-// batch is how many changes watch reads at a time.
-const batch = 100
+// watchBatchSize is the number of changes that watch requests in each poll.
+const watchBatchSize = 100
 
-func (w *watch) print(shown uint64) (uint64, error) {
-	answer, err := w.commander.requester().History(background(), 0, batch)
+// printNew prints the changes after revision lastShown and returns the newest
+// revision that has been printed.
+func (w *watch) printNew(lastShown uint64) (uint64, error) {
+	answer, err := w.commander.requester().History(background(), 0, watchBatchSize)
 	if err != nil {
-		return shown, err
+		return lastShown, err
 	}
 	fresh := answer
 	fresh.Revisions = nil
 	for _, revision := range slices.Backward(answer.Revisions) {
-		if revision.Revision > shown {
+		if revision.Revision > lastShown {
 			fresh.Revisions = append(fresh.Revisions, revision)
-			shown = revision.Revision
+			lastShown = revision.Revision
 		}
 	}
 	if len(fresh.Revisions) == 0 {
-		return shown, nil
+		return lastShown, nil
 	}
-	return shown, w.commander.printer().Print(fresh, printer.History(fresh))
+	return lastShown, w.commander.printer().Print(fresh, printer.History(fresh))
 }
 
 type digest struct {
@@ -148,17 +150,17 @@
 	commander *Commander
 }
 
-const maxToken = 4096
+const maxTokenBytes = 4096
 
 // Execute runs the command.
 func (d *digest) Execute([]string) error {
 	token := d.Args.Token
 	if token == "" {
-		text, err := io.ReadAll(io.LimitReader(d.commander.In, maxToken))
+		text, err := io.ReadAll(io.LimitReader(d.commander.In, maxTokenBytes))
 		if err != nil {
 			return merry.Wrap(err)
 		}
-		token = trimLine(string(text))
+		token = trimLineEnd(string(text))
 	}
 	if token == "" {
 		return merry.New("the token is empty; give it as argument or on standard input")
@@ -167,7 +169,7 @@
 	return nil
 }
 
-func trimLine(text string) string {
+func trimLineEnd(text string) string {
 	for len(text) > 0 && (text[len(text)-1] == '\n' || text[len(text)-1] == '\r') {
 		text = text[:len(text)-1]
 	}
@@ -182,7 +184,7 @@
 }
 
 // bashCompletion asks skctl itself for the completions, so that the script
-// never falls behind the commands.
+// always matches the commands and flags of the installed skctl.
 const bashCompletion = `_skctl() {
   local words=("${COMP_WORDS[@]:1:$COMP_CWORD}")
   local IFS=$'\n'
--- a/skctl/internal/printer/printer.go
+++ b/skctl/internal/printer/printer.go
@@ -1,8 +1,8 @@
-// Package printer writes answers as tables for people or as JSON for programs.
+// Package printer writes the answers of the operators' API as tables for people
+// or as JSON for programs.
 //
-// Invariants: tables go to a writer and never contain more than one line a
-// row; JSON output is the API's own types, so a script reads the same names in
-// docs, API and skctl.
+// Invariants: a row of a table is one line; JSON output encodes the API's own
+// types, so that docs, API and skctl use the same field names.
 package printer
 
 import (
@@ -29,13 +29,14 @@
 	JSON  Format = "json"
 )
 
-// Printer writes in one format.
+// Printer writes values to Out in one format.
 type Printer struct {
 	Out    io.Writer
 	Format Format
 }
 
-// Print writes the value as JSON, or calls the table function.
+// Print writes the value as indented JSON, or lets table write it as columns
+// separated by tabs, which Print aligns.
 func (p Printer) Print(value any, table func(w io.Writer)) error {
 	if p.Format == JSON {
 		encoder := json.NewEncoder(p.Out)
@@ -47,19 +48,19 @@
 	return w.Flush()
 }
 
-// Objects prints objects as a table.
+// Objects returns a function that writes a table of objects.
 func Objects(objects []describer.Object) func(io.Writer) {
 	return func(w io.Writer) {
 		fmt.Fprintln(w, "KIND\tNAME\tVERSION\tSELECTOR\tLABELS")
 		for _, object := range objects {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", object.Kind, object.Name, object.Version,
-				dash(object.Selector), Labels(object.Labels))
+				orDash(object.Selector), Labels(object.Labels))
 		}
 	}
 }
 
-// Labels writes labels in order, with token digests cut short: the digest is
-// no secret, but a table is for reading.
+// Labels formats labels in order of their keys. Token digests are shortened to 8
+// characters: they are not secret, but too long for a readable table.
 func Labels(labels labeler.Labels) string {
 	var parts []string
 	for _, key := range slices.Sorted(maps.Keys(labels)) {
@@ -69,10 +70,11 @@
 		}
 		parts = append(parts, key+"="+value)
 	}
-	return dash(strings.Join(parts, ","))
+	return orDash(strings.Join(parts, ","))
 }
 
-// Differences prints what a change would do, one line an object.
+// Differences returns a function that writes what a change would do, one line for
+// each object.
 func Differences(differences []describer.Difference) func(io.Writer) {
 	return func(w io.Writer) {
 		for _, difference := range differences {
@@ -85,18 +87,18 @@
 	name := string(difference.Key.Kind) + " " + difference.Key.Name
 	switch {
 	case difference.Before == nil:
-		return "+ " + name + "\t" + describe(*difference.After)
+		return "+ " + name + "\t" + describeObject(*difference.After)
 	case difference.After == nil:
-		return "- " + name + "\t" + describe(*difference.Before)
+		return "- " + name + "\t" + describeObject(*difference.Before)
 	}
-	return "~ " + name + "\t" + describe(*difference.Before) + "  ->  " + describe(*difference.After)
+	return "~ " + name + "\t" + describeObject(*difference.Before) + "  ->  " + describeObject(*difference.After)
 }
 
-func describe(object describer.Object) string {
-	return "selector " + dash(object.Selector) + " labels " + Labels(object.Labels)
+func describeObject(object describer.Object) string {
+	return "selector " + orDash(object.Selector) + " labels " + Labels(object.Labels)
 }
 
-// Findings prints errors and warnings, errors first.
+// Findings writes errors and warnings, errors first.
 func Findings(w io.Writer, findings []reporter.Finding) {
 	ordered := slices.Clone(findings)
 	slices.SortStableFunc(ordered, func(a, b reporter.Finding) int {
@@ -107,25 +109,25 @@
 	}
 }
 
-// History prints accepted changes.
+// History returns a function that writes a table of accepted changes.
 func History(history reporter.History) func(io.Writer) {
 	return func(w io.Writer) {
 		fmt.Fprintln(w, "REVISION\tWHEN\tAUTHOR\tCHANGE\tOBJECTS")
 		for _, revision := range history.Revisions {
 			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", revision.Revision,
-				time.UnixMilli(revision.UnixMS).UTC().Format(time.RFC3339), dash(revision.Author), revision.Change,
+				time.UnixMilli(revision.UnixMS).UTC().Format(time.RFC3339), orDash(revision.Author), revision.Change,
 				editedNames(revision.Edits))
 		}
 	}
 }
 
-const namesShown = 4
+const maxNamesShown = 4
 
 func editedNames(edits []describer.Edit) string {
-	names := make([]string, 0, namesShown)
+	names := make([]string, 0, maxNamesShown)
 	for i, edit := range edits {
-		if i == namesShown {
-			names = append(names, fmt.Sprintf("and %d more", len(edits)-namesShown))
+		if i == maxNamesShown {
+			names = append(names, fmt.Sprintf("and %d more", len(edits)-maxNamesShown))
 			break
 		}
 		sign := ""
@@ -137,13 +139,13 @@
 	return strings.Join(names, ", ")
 }
 
-// Status prints the fleet's state, warnings first.
+// Status returns a function that writes the fleet's state, warnings first.
 func Status(status reporter.Status) func(io.Writer) {
 	return func(w io.Writer) {
 		for _, warning := range status.Warnings {
 			fmt.Fprintln(w, "WARNING: "+warning)
 		}
-		fmt.Fprintf(w, "revision in force: %d%s\n\n", status.Revision, note(status.Stale, " (may be stale: no quorum of keepers reached)"))
+		fmt.Fprintf(w, "revision in force: %d%s\n\n", status.Revision, textIf(status.Stale, " (may be stale: no quorum of keepers reached)"))
 		keepers(w, status.Keepers)
 		routers(w, status.Routers)
 		pools(w, status.Pools)
@@ -154,7 +156,7 @@
 func keepers(w io.Writer, list []reporter.Keeper) {
 	fmt.Fprintln(w, "KEEPER\tZONE\tROLE\tTERM\tREVISION\tQUORUM")
 	for _, keeper := range list {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%t\n", keeper.Name, dash(keeper.Zone), keeper.Role, keeper.Term, keeper.Revision, keeper.Quorum)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%t\n", keeper.Name, orDash(keeper.Zone), keeper.Role, keeper.Term, keeper.Revision, keeper.Quorum)
 	}
 	fmt.Fprintln(w)
 }
@@ -162,7 +164,7 @@
 func routers(w io.Writer, list []reporter.Router) {
 	fmt.Fprintln(w, "ROUTER\tZONE\tIN FORCE\tHEARD MS AGO\tNOTE")
 	for _, router := range list {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", router.Name, router.Zone, router.InForce, router.AgeMS, note(router.Leaving, "leaving"))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", router.Name, router.Zone, router.InForce, router.AgeMS, textIf(router.Leaving, "leaving"))
 	}
 	fmt.Fprintln(w)
 }
@@ -184,12 +186,13 @@
 	}
 }
 
-// Explanation prints what happened to a request.
+// Explanation returns a function that writes the outcome and the steps of a
+// request.
 func Explanation(explanation reporter.Explanation) func(io.Writer) {
 	return func(w io.Writer) {
 		fmt.Fprintf(w, "request %s of workspace %s to service %s %s\n", explanation.ID, explanation.Workspace,
 			explanation.Service, explanation.Model)
-		fmt.Fprintf(w, "outcome: %s %s\n", dash(explanation.Outcome), explanation.Code)
+		fmt.Fprintf(w, "outcome: %s %s\n", orDash(explanation.Outcome), explanation.Code)
 		if explanation.Why != "" {
 			fmt.Fprintln(w, "why: "+explanation.Why)
 		}
@@ -200,14 +203,14 @@
 	}
 }
 
-func note(set bool, text string) string {
+func textIf(set bool, text string) string {
 	if set {
 		return text
 	}
 	return ""
 }
 
-func dash(text string) string {
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
--- a/skctl/internal/requester/requester.go
+++ b/skctl/internal/requester/requester.go
@@ -1,9 +1,9 @@
 // Package requester calls the operators' API of the routers.
 //
-// Invariants: a change is sent with one change id however often it has to be
-// sent, so that a lost answer never applies it twice; a call goes to the next
-// router when one cannot be reached; and the error kinds tell a script what to
-// do.
+// Invariants: every attempt to send a change carries the same change id, so that
+// a retry after a lost answer does not apply the change twice; a call goes to
+// the next router when a router cannot be reached or has no quorum; and the
+// error kinds tell a script whether it may retry.
 package requester
 
 import (
@@ -23,31 +23,31 @@
 	"shallotkeel.example/lib/reporter"
 )
 
-// Kinds of failure; each has an exit status of its own in package commander.
+// Kinds of failure; package commander derives exit statuses from them.
 var (
 	ErrUnreachable = merry.Sentinel("no router could answer")
 	ErrRefused     = merry.Sentinel("refused")
 )
 
-// Limits of a call.
+// Limits of a call and of its retries.
 const (
-	callTimeout = 10 * time.Second
-	maxAnswer   = 64 << 20
-	// attempts is how often all routers are tried before giving up.
-	attempts = 3
-	pause    = 500 * time.Millisecond
+	callTimeout    = 10 * time.Second
+	maxAnswerBytes = 64 << 20
+	// maxAttempts is the number of rounds over all routers before a call fails.
+	maxAttempts = 3
+	retryDelay  = 500 * time.Millisecond
 )
 
-// Requester calls one of several routers.
+// Requester calls the routers of a fleet, one at a time.
 type Requester struct {
 	Routers []string // base URLs
 	Token   string
 	Client  http.Client
-	// Sleep waits between attempts; time.Sleep if nil.
+	// Sleep pauses between two rounds of attempts; nil means time.Sleep.
 	Sleep func(time.Duration)
 }
 
-// Objects returns the configuration, as of a revision or, with 0, as it is.
+// Objects returns the configuration at a revision; 0 means the revision in force.
 func (r *Requester) Objects(ctx context.Context, at uint64) (reporter.Objects, error) {
 	var answer reporter.Objects
 	query := url.Values{}
@@ -58,7 +58,8 @@
 	return answer, err
 }
 
-// History returns accepted changes, newest first, before a revision (0: the newest).
+// History returns up to limit accepted changes that are earlier than revision
+// before, newest first; 0 means from the newest change on.
 func (r *Requester) History(ctx context.Context, before uint64, limit int) (reporter.History, error) {
 	var answer reporter.History
 	query := url.Values{"limit": {strconv.Itoa(limit)}}
@@ -76,22 +77,23 @@
 	return answer, err
 }
 
-// Explain asks every router what happened to a request, because only the one
-// that served it knows.
+// Explain returns what happened to a request. It asks the routers in order,
+// because only the router that handled the request has its record.
 func (r *Requester) Explain(ctx context.Context, id string) (reporter.Explanation, error) {
-	var last error
+	var lastError error
 	for _, router := range r.Routers {
 		var answer reporter.Explanation
 		err := r.call(ctx, http.MethodGet, router, "/admin/explain/"+url.PathEscape(id), nil, nil, &answer)
 		if err == nil {
 			return answer, nil
 		}
-		last = err
+		lastError = err
 	}
-	return reporter.Explanation{}, last
+	return reporter.Explanation{}, lastError
 }
 
-// Apply sends a change. Conflicts and findings are in the answer, not errors.
+// Apply sends a change. An invalid change and a conflict are outcomes in the
+// answer, not errors.
 func (r *Requester) Apply(ctx context.Context, change describer.Change, dryRun bool) (reporter.Applied, error) {
 	var answer reporter.Applied
 	query := url.Values{}
@@ -102,31 +104,32 @@
 	if err != nil {
 		return answer, merry.Wrap(err)
 	}
-	err = r.anywhere(ctx, http.MethodPost, "/admin/changes", query, body, &answer)
+	err = r.callAny(ctx, http.MethodPost, "/admin/changes", query, body, &answer)
 	return answer, err
 }
 
 func (r *Requester) get(ctx context.Context, path string, query url.Values, into any) error {
-	return r.anywhere(ctx, http.MethodGet, path, query, nil, into)
+	return r.callAny(ctx, http.MethodGet, path, query, nil, into)
 }
 
-// anywhere tries each router in turn, several times over: routers restart every
-// day and a single one that is down must not stop an operator.
-func (r *Requester) anywhere(ctx context.Context, method, path string, query url.Values, body []byte, into any) error {
-	last := merry.Errorf("%w: no router is named; use --router or SKCTL_ROUTER", ErrUnreachable)
-	for attempt := range attempts {
+// callAny tries the routers in order, in up to maxAttempts rounds, until one
+// answers: routers restart every day, and a single router that is down must not
+// stop an operator.
+func (r *Requester) callAny(ctx context.Context, method, path string, query url.Values, body []byte, into any) error {
+	lastError := merry.Errorf("%w: no router is named; use --router or SKCTL_ROUTER", ErrUnreachable)
+	for attempt := range maxAttempts {
 		if attempt > 0 {
-			r.sleep(pause)
+			r.sleep(retryDelay)
 		}
 		for _, router := range r.Routers {
 			err := r.call(ctx, method, router, path, query, body, into)
 			if err == nil || !errors.Is(err, ErrUnreachable) {
 				return err
 			}
-			last = err
+			lastError = err
 		}
 	}
-	return last
+	return lastError
 }
 
 func (r *Requester) sleep(duration time.Duration) {
@@ -155,15 +158,15 @@
 		return merry.Errorf("%w: %v; is the router running?", ErrUnreachable, err)
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return merry.Errorf("%w: the answer was cut short: %v; the call is safe to repeat", ErrUnreachable, err)
 	}
 	return decode(response.StatusCode, text, into)
 }
 
-// decode reads the answer. A conflict and an invalid change are full answers
-// of their own type; every other failure is a reporter.Failure.
+// decode parses an answer. The answers to a conflicting and to an invalid change
+// carry a reporter.Applied; every other failure carries a reporter.Failure.
 func decode(status int, text []byte, into any) error {
 	applied, change := into.(*reporter.Applied)
 	if status/100 == 2 || (change && (status == http.StatusConflict || status == http.StatusUnprocessableEntity)) {
--- a/skctl/main.go
+++ b/skctl/main.go
@@ -1,4 +1,4 @@
-// Package main is skctl, the operators' tool of shallotkeel.
+// Package main is skctl, the operators' command line of a shallotkeel fleet.
 package main
 
 import (
--- a/standin/internal/batcher/batcher_test.go
+++ b/standin/internal/batcher/batcher_test.go
@@ -12,17 +12,18 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// run steps the engine until it is idle and returns when each token came.
-func run(b *batcher.Batcher, from time.Time) map[uint64][]time.Duration {
-	came := make(map[uint64][]time.Duration)
+// runUntilIdle steps the engine until it is idle and returns for each handle the
+// times of its tokens, counted from the time from.
+func runUntilIdle(b *batcher.Batcher, from time.Time) map[uint64][]time.Duration {
+	tokenTimes := make(map[uint64][]time.Duration)
 	for {
-		wake, busy := b.Wake()
+		stepEnd, busy := b.NextStep()
 		if !busy {
-			return came
+			return tokenTimes
 		}
-		for _, yield := range b.Advance(wake) {
-			if !yield.Started {
-				came[yield.Handle] = append(came[yield.Handle], wake.Sub(from))
+		for _, progress := range b.Advance(stepEnd) {
+			if !progress.Started {
+				tokenTimes[progress.Handle] = append(tokenTimes[progress.Handle], stepEnd.Sub(from))
 			}
 		}
 	}
@@ -35,22 +36,22 @@
 		requests []batcher.Request
 		want     map[uint64][]time.Duration
 	}{
-		"one token a step": {
+		"a step gives one token": {
 			settings: batcher.Settings{Slots: 1, TokenTime: 10 * ms},
 			requests: []batcher.Request{{Handle: 1, Length: 3}},
 			want:     map[uint64][]time.Duration{1: {10 * ms, 20 * ms, 30 * ms}},
 		},
-		"the batch slows its steps": {
+		"further requests slow the steps": {
 			settings: batcher.Settings{Slots: 2, TokenTime: 10 * ms, Slowdown: 0.5},
 			requests: []batcher.Request{{Handle: 1, Length: 2}, {Handle: 2, Length: 1}},
 			want:     map[uint64][]time.Duration{1: {10 * ms, 20 * ms}, 2: {10 * ms}},
 		},
-		"arrival order": {
+		"requests run in order of arrival": {
 			settings: batcher.Settings{Slots: 1, TokenTime: 10 * ms},
 			requests: []batcher.Request{{Handle: 1, Length: 1}, {Handle: 2, Length: 1}, {Handle: 3, Length: 1}},
 			want:     map[uint64][]time.Duration{1: {10 * ms}, 2: {20 * ms}, 3: {30 * ms}},
 		},
-		"resumed answers start where they broke": {
+		"a resumed answer starts at its first missing token": {
 			settings: batcher.Settings{Slots: 1, TokenTime: 10 * ms},
 			requests: []batcher.Request{{Handle: 1, Length: 5, From: 3}},
 			want:     map[uint64][]time.Duration{1: {10 * ms, 20 * ms}},
@@ -72,7 +73,7 @@
 			for _, request := range test.requests {
 				b.Submit(start, request)
 			}
-			require.Equal(t, test.want, run(b, start))
+			require.Equal(t, test.want, runUntilIdle(b, start))
 		})
 	}
 }
@@ -86,23 +87,24 @@
 	require.Empty(t, b.CacheEvents())
 }
 
-// Whatever is submitted and cancelled, tokens come in order without gap or
-// repeat, slots are never exceeded, and none is free while a request waits.
+// For any sequence of submissions and cancellations, the tokens of a request are
+// given in order without gap or repeat, no more requests run than there are slots,
+// and no slot is free while a request waits.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &batcher.Batcher{Settings: batcher.Settings{
 			Slots: rapid.IntRange(1, 4).Draw(t, "slots"), TokenTime: time.Millisecond, CacheEntries: 2,
 			Slowdown: 0.1, Prefill: time.Millisecond,
 		}}
-		next, cancelled, now, handle := map[uint64]int{}, map[uint64]bool{}, start, uint64(0)
-		take := func(yields []batcher.Yield) {
-			for _, yield := range yields {
-				require.False(t, cancelled[yield.Handle])
-				if yield.Started {
+		tokens, cancelled, now, handle := map[uint64]int{}, map[uint64]bool{}, start, uint64(0)
+		check := func(changes []batcher.Progress) {
+			for _, progress := range changes {
+				require.False(t, cancelled[progress.Handle])
+				if progress.Started {
 					continue
 				}
-				require.Equal(t, next[yield.Handle]+1, yield.Tokens)
-				next[yield.Handle] = yield.Tokens
+				require.Equal(t, tokens[progress.Handle]+1, progress.Tokens)
+				tokens[progress.Handle] = progress.Tokens
 			}
 			require.LessOrEqual(t, b.Running(), b.Slots)
 			require.True(t, b.Waiting() == 0 || b.Running() == b.Slots, "a slot is free while a request waits")
@@ -112,17 +114,17 @@
 				handle++
 				length := rapid.IntRange(1, 5).Draw(t, "length")
 				from := rapid.IntRange(0, length-1).Draw(t, "from")
-				next[handle] = from
-				take(b.Submit(now, batcher.Request{Handle: handle, Length: length, From: from, Prompt: 2}))
+				tokens[handle] = from
+				check(b.Submit(now, batcher.Request{Handle: handle, Length: length, From: from, Prompt: 2}))
 			},
 			"cancel": func(t *rapid.T) {
 				victim := rapid.Uint64Range(0, handle).Draw(t, "victim")
 				cancelled[victim] = true
-				take(b.Cancel(now, victim))
+				check(b.Cancel(now, victim))
 			},
 			"advance": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "micros")) * time.Microsecond)
-				take(b.Advance(now))
+				check(b.Advance(now))
 			},
 		})
 	})
--- a/standin/internal/completer/caches.go
+++ b/standin/internal/completer/caches.go
@@ -2,19 +2,19 @@
 
 import "sync"
 
-// MaxCaches bounds the KV caches that can be exported or that wait for their
-// request after an import. The oldest is dropped first.
+// MaxCaches bounds the KV caches of recent requests and of imports that wait for
+// their request. The oldest is evicted first.
 const MaxCaches = 1024
 
-// Cache is a request's KV cache as it is exported and imported. A stand-in's
-// cache is only the proof that the prompt was computed.
+// Cache is a request's KV cache in the format of export and import. The cache of
+// a stand-in holds no tensors; it only records that the prompt was computed.
 type Cache struct {
 	Request string `json:"request"`
 	Prompt  string `json:"prompt"`
 	Tokens  int    `json:"tokens"`
 }
 
-// Caches keeps the KV caches of recent requests.
+// Caches stores the KV caches of recent requests. Its zero value is ready to use.
 type Caches struct {
 	lock     sync.Mutex
 	caches   map[string]Cache
@@ -22,12 +22,12 @@
 	order    []string
 }
 
-// Note records how far a request's cache reaches.
-func (c *Caches) Note(request, prompt string, tokens int) {
+// Record stores the number of tokens that a request's cache covers.
+func (c *Caches) Record(request, prompt string, tokens int) {
 	c.put(Cache{Request: request, Prompt: prompt, Tokens: tokens}, false)
 }
 
-// Import takes a cache that another endpoint exported.
+// Import stores a cache that another endpoint exported.
 func (c *Caches) Import(cache Cache) {
 	c.put(cache, true)
 }
@@ -50,7 +50,7 @@
 	}
 }
 
-// Export returns a request's cache.
+// Export returns a request's cache, and whether there is one.
 func (c *Caches) Export(request string) (Cache, bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -58,8 +58,9 @@
 	return cache, known
 }
 
-// Take tells whether the request's cache was imported, for the same prompt.
-func (c *Caches) Take(request, prompt string) bool {
+// HasImported reports whether the request's cache was imported and is for the
+// same prompt.
+func (c *Caches) HasImported(request, prompt string) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return c.imported[request] && c.caches[request].Prompt == prompt
--- a/standin/internal/completer/completer.go
+++ b/standin/internal/completer/completer.go
@@ -14,13 +14,13 @@
 	"shallotkeel.example/standin/internal/journaler"
 )
 
-// MaxBody bounds a request's body.
-const MaxBody = 16 << 20
+// MaxBodyBytes bounds the body of a request.
+const MaxBodyBytes = 16 << 20
 
-// promptUnit is how many bytes of a prompt make one unit.
-const promptUnit = 4
+// promptUnitBytes is the number of bytes of a prompt in one prompt unit.
+const promptUnitBytes = 4
 
-// Completer is the HTTP side of the engine.
+// Completer serves the HTTP API of an engine.
 type Completer struct {
 	Engine  *Engine
 	Failer  *failer.Failer
@@ -45,7 +45,7 @@
 	return slices.Clone(c.models)
 }
 
-// body is the part of OpenAI's request that a stand-in understands.
+// body holds the fields of OpenAI's request that a stand-in evaluates.
 type body struct {
 	Model     string             `json:"model"`
 	Messages  []answerer.Message `json:"messages"`
@@ -53,7 +53,7 @@
 	Stream    bool               `json:"stream"`
 }
 
-// call is one request on its way through the engine.
+// call is one request: its body, its headers, and the answer derived from them.
 type call struct {
 	body
 	id        string
@@ -67,9 +67,9 @@
 
 // ServeHTTP answers POST /v1/chat/completions.
 func (c *Completer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	if err != nil {
-		return // the router went away while sending
+		return // the router disconnected while sending
 	}
 	q := call{id: r.Header.Get("X-Request-Id"), key: r.Header.Get("Idempotency-Key"), workspace: r.Header.Get("X-Workspace")}
 	w.Header().Set("X-Request-Id", q.id)
@@ -79,11 +79,11 @@
 	}
 	q.prompt = answerer.Prompt(q.Messages)
 	q.crash = c.Failer.Crashes(text)
-	bound := q.MaxTokens
-	if bound <= 0 {
-		bound = answerer.DefaultMaxTokens
+	maxTokens := q.MaxTokens
+	if maxTokens <= 0 {
+		maxTokens = answerer.DefaultMaxTokens
 	}
-	q.length = answerer.Length(q.Model, q.prompt, bound)
+	q.length = answerer.Length(q.Model, q.prompt, maxTokens)
 	if from, err := strconv.Atoi(r.Header.Get("X-Resume-From")); err == nil {
 		q.from = min(max(from, 0), q.length)
 	}
@@ -97,48 +97,51 @@
 	}
 }
 
+// refuse answers a request that was not started.
 func (c *Completer) refuse(w http.ResponseWriter, q call, status int, remedy string) {
 	c.Journal.Add(journaler.Entry{Verb: journaler.Refused, Request: q.id, Key: q.key, Workspace: q.workspace})
 	w.Header().Set("X-Started", "no")
 	if status == http.StatusServiceUnavailable {
-		c.Failer.Faults().AskForBackoff(w.Header())
+		c.Failer.Faults().SetRetryAfter(w.Header())
 	}
 	http.Error(w, remedy, status)
 }
 
+// run submits a request to the engine and writes its tokens as they become ready,
+// until the request has finished, is cancelled, or the caller disconnects.
 func (c *Completer) run(w http.ResponseWriter, r *http.Request, q call) {
 	entry := journaler.Entry{Request: q.id, Key: q.key, Workspace: q.workspace, From: q.from}
 	entry.Verb = journaler.Received
 	c.Journal.Add(entry)
 	j := c.Engine.submit(q.id, batcher.Request{
-		Prompt: 1 + len(q.prompt)/promptUnit,
+		Prompt: 1 + len(q.prompt)/promptUnitBytes,
 		Prefix: answerer.PrefixHash(q.Model, q.prompt),
 		Length: q.length,
 		From:   q.from,
-		Warm:   c.Caches.Take(q.id, q.prompt),
+		Warm:   c.Caches.HasImported(q.id, q.prompt),
 	})
-	defer c.Engine.end(j)
+	defer c.Engine.release(j)
 	out := newWriter(w, q)
 	sent := q.from
 	started := false
 	for {
-		now := c.Engine.look(j)
-		if now.started && !started {
+		current := c.Engine.stateOf(j)
+		if current.started && !started {
 			started = true
 			entry.Verb = journaler.Started
 			c.Journal.Add(entry)
 		}
-		if now.tokens > sent && q.crash {
+		if current.tokens > sent && q.crash {
 			c.Failer.Exit()
 			return
 		}
-		c.Journal.Serve(q.workspace, now.tokens-sent)
-		for ; sent < now.tokens; sent++ {
-			out.token(sent)
-			c.Caches.Note(q.id, q.prompt, sent+1)
+		c.Journal.CountUnits(q.workspace, current.tokens-sent)
+		for ; sent < current.tokens; sent++ {
+			out.writeToken(sent)
+			c.Caches.Record(q.id, q.prompt, sent+1)
 		}
-		if now.finished || now.cancelled || r.Context().Err() != nil {
-			c.finish(out, now, started, entry, sent-q.from)
+		if current.finished || current.cancelled || r.Context().Err() != nil {
+			c.finish(out, current, started, entry, sent-q.from)
 			return
 		}
 		out.flush()
@@ -149,16 +152,17 @@
 	}
 }
 
-func (c *Completer) finish(out *writer, now state, started bool, entry journaler.Entry, units int) {
+func (c *Completer) finish(out *writer, last jobState, started bool, entry journaler.Entry, units int) {
 	entry.Verb, entry.Units = journaler.Cancelled, units
-	if now.finished {
+	if last.finished {
 		entry.Verb = journaler.Finished
 	}
 	if started {
 		c.Journal.Add(entry)
 	}
-	if !now.finished {
-		// A cancelled answer must not look like a whole one.
+	if !last.finished {
+		// Aborting the connection keeps the caller from taking a cancelled answer
+		// as complete.
 		panic(http.ErrAbortHandler)
 	}
 	out.close()
--- a/standin/internal/completer/engine.go
+++ b/standin/internal/completer/engine.go
@@ -3,7 +3,7 @@
 //
 // Invariants: an answer's tokens carry the request's id and their index; a
 // request that the engine refuses was not started, and the answer says so;
-// what a caller has not read yet costs one integer, not a buffer, because
+// tokens that a caller has not read yet take one integer, not a buffer, because
 // tokens are computed when they are written.
 package completer
 
@@ -17,19 +17,19 @@
 	"shallotkeel.example/standin/internal/batcher"
 )
 
-// Engine drives a batcher by the clock. One goroutine, Run, makes the steps;
-// handlers submit and cancel under the lock.
+// Engine drives a batcher by the clock. The goroutine of Run executes the steps;
+// handlers submit and cancel requests under the lock.
 type Engine struct {
 	Clock clockwork.Clock
 
-	lock    sync.Mutex
-	batch   *batcher.Batcher
-	jobs    map[uint64]*job
-	handles uint64
-	wake    chan struct{}
+	lock       sync.Mutex
+	batch      *batcher.Batcher
+	jobs       map[uint64]*job
+	lastHandle uint64
+	wake       chan struct{}
 }
 
-// job is one request as its handler follows it.
+// job is the progress of one request, which its handler reads.
 type job struct {
 	handle uint64
 	id     string
@@ -38,17 +38,18 @@
 	started   bool
 	finished  bool
 	cancelled bool
-	// changed has room for one token and is filled after every change.
+	// changed has a buffer of one and signals that the fields above have changed.
 	changed chan struct{}
 }
 
-// state is a job at one moment.
-type state struct {
+// jobState is a copy of a job's guarded fields.
+type jobState struct {
 	tokens                       int
 	started, finished, cancelled bool
 }
 
-// NewEngine returns an engine with these settings. Run must be called.
+// NewEngine returns an engine with these settings. It makes progress only while
+// Run runs.
 func NewEngine(clock clockwork.Clock, settings batcher.Settings) *Engine {
 	return &Engine{
 		Clock: clock,
@@ -58,24 +59,24 @@
 	}
 }
 
-// Run makes the engine's steps until the context ends.
+// Run executes the engine's steps until the context ends.
 func (e *Engine) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-e.wake:
-		case <-e.pause():
+		case <-e.nextStep():
 			e.advance()
 		}
 	}
 }
 
-// pause returns a channel that fires when the next step is due, and nil,
-// which never fires, while nothing runs.
-func (e *Engine) pause() <-chan time.Time {
+// nextStep returns a channel that fires when the next step ends, or nil, which
+// never fires, while no request runs.
+func (e *Engine) nextStep() <-chan time.Time {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	at, busy := e.batch.Wake()
+	at, busy := e.batch.NextStep()
 	if !busy {
 		return nil
 	}
@@ -88,29 +89,29 @@
 	e.apply(e.batch.Advance(e.Clock.Now()))
 }
 
-// submit queues a request.
+// submit queues a request and returns its job, which the handler must release.
 func (e *Engine) submit(id string, request batcher.Request) *job {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.handles++
-	request.Handle = e.handles
-	j := &job{handle: e.handles, id: id, tokens: request.From, changed: make(chan struct{}, 1)}
+	e.lastHandle++
+	request.Handle = e.lastHandle
+	j := &job{handle: e.lastHandle, id: id, tokens: request.From, changed: make(chan struct{}, 1)}
 	e.jobs[j.handle] = j
 	e.apply(e.batch.Submit(e.Clock.Now(), request))
-	e.nudge()
+	e.reschedule()
 	return j
 }
 
-// end forgets a job whose handler returns and frees its slot.
-func (e *Engine) end(j *job) {
+// release removes a job whose handler returns, and frees its slot.
+func (e *Engine) release(j *job) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	delete(e.jobs, j.handle)
 	e.apply(e.batch.Cancel(e.Clock.Now(), j.handle))
-	e.nudge()
+	e.reschedule()
 }
 
-// CancelByID cancels the requests with this id and tells how many there were.
+// CancelByID cancels the unfinished requests with this id and returns their number.
 func (e *Engine) CancelByID(id string) int {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -120,65 +121,66 @@
 			continue
 		}
 		j.cancelled = true
-		j.signal()
+		j.notify()
 		e.apply(e.batch.Cancel(e.Clock.Now(), j.handle))
 		cancelled++
 	}
-	e.nudge()
+	e.reschedule()
 	return cancelled
 }
 
-// Adjust slows or hangs the engine.
+// Adjust sets the factor on the engine's step time (0 means 1) and whether the
+// engine hangs.
 func (e *Engine) Adjust(slow float64, hung bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.batch.Slow, e.batch.Hung = slow, hung
-	e.nudge()
+	e.reschedule()
 }
 
-// Load returns how many requests run or wait.
+// Load returns the number of requests that run or wait.
 func (e *Engine) Load() int {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	return e.batch.Running() + e.batch.Waiting()
 }
 
-// CacheEvents returns the cache events since the last call.
+// CacheEvents returns the cache events since the previous call.
 func (e *Engine) CacheEvents() []batcher.CacheEvent {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	return e.batch.CacheEvents()
 }
 
-func (e *Engine) look(j *job) state {
+func (e *Engine) stateOf(j *job) jobState {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	return state{tokens: j.tokens, started: j.started, finished: j.finished, cancelled: j.cancelled}
+	return jobState{tokens: j.tokens, started: j.started, finished: j.finished, cancelled: j.cancelled}
 }
 
-// apply hands a step's yields to their jobs.
-func (e *Engine) apply(yields []batcher.Yield) {
-	for _, yield := range yields {
-		j, known := e.jobs[yield.Handle]
+// apply copies the progress of a step to the jobs and notifies their handlers.
+func (e *Engine) apply(changes []batcher.Progress) {
+	for _, progress := range changes {
+		j, known := e.jobs[progress.Handle]
 		if !known {
 			continue
 		}
 		j.started = true
-		j.tokens = yield.Tokens
-		j.finished = yield.Finished
-		j.signal()
+		j.tokens = progress.Tokens
+		j.finished = progress.Finished
+		j.notify()
 	}
 }
 
-func (j *job) signal() {
+func (j *job) notify() {
 	select {
 	case j.changed <- struct{}{}:
 	default:
 	}
 }
 
-// nudge makes Run look again at when the next step is due.
-func (e *Engine) nudge() {
+// reschedule makes Run compute anew when the next step ends.
+func (e *Engine) reschedule() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
--- a/standin/internal/completer/writer.go
+++ b/standin/internal/completer/writer.go
@@ -8,7 +8,8 @@
 	"shallotkeel.example/lib/answerer"
 )
 
-// chunk is OpenAI's streamed chunk, with the token's index.
+// chunk is a streamed chunk or a complete answer of OpenAI's API, with the token's
+// index added.
 type chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -31,69 +32,71 @@
 	Total      int `json:"total_tokens"`
 }
 
-// writer writes an answer, streamed or whole.
+// writer writes an answer, either streamed or complete at its end.
 type writer struct {
 	call
-	out     http.ResponseWriter
-	control *http.ResponseController
-	whole   strings.Builder
-	opened  bool
+	out        http.ResponseWriter
+	control    *http.ResponseController
+	text       strings.Builder
+	headerSent bool
 }
 
 func newWriter(out http.ResponseWriter, q call) *writer {
 	return &writer{call: q, out: out, control: http.NewResponseController(out)}
 }
 
-func (w *writer) token(i int) {
+func (w *writer) writeToken(i int) {
 	text := answerer.Token(w.Model, w.prompt, i)
 	if !w.Stream {
-		w.whole.WriteString(text)
+		w.text.WriteString(text)
 		return
 	}
-	w.event(chunk{Index: &i, Choices: []choice{{Delta: &answerer.Message{Role: "assistant", Content: text}}}})
+	w.writeEvent(chunk{Index: &i, Choices: []choice{{Delta: &answerer.Message{Role: "assistant", Content: text}}}})
 }
 
-func (w *writer) event(c chunk) {
-	w.open("text/event-stream")
+func (w *writer) writeEvent(c chunk) {
+	w.sendHeader("text/event-stream")
 	c.ID, c.Object, c.Model = w.id, "chat.completion.chunk", w.Model
 	text, err := json.Marshal(c)
 	if err != nil {
-		return // a chunk of texts and numbers always encodes
+		return // unreachable: a chunk of texts and numbers always encodes
 	}
 	_, _ = w.out.Write([]byte("data: " + string(text) + "\n\n"))
 }
 
-func (w *writer) open(kind string) {
-	if w.opened {
+func (w *writer) sendHeader(contentType string) {
+	if w.headerSent {
 		return
 	}
-	w.opened = true
-	w.out.Header().Set("Content-Type", kind)
+	w.headerSent = true
+	w.out.Header().Set("Content-Type", contentType)
 	w.out.WriteHeader(http.StatusOK)
 }
 
-// flush sends what was written. A caller that has gone is noticed by the
-// request's context, not here.
+// flush sends the events written so far. A flush that fails is ignored, because
+// the request's context ends when the caller disconnects.
 func (w *writer) flush() {
-	if w.opened {
+	if w.headerSent {
 		_ = w.control.Flush()
 	}
 }
 
+// close ends the answer: with the final event of a stream, or with the complete
+// answer.
 func (w *writer) close() {
 	stop := "stop"
-	used := &usage{Prompt: 1 + len(w.prompt)/promptUnit, Completion: w.length}
-	used.Total = used.Prompt + used.Completion
+	tokens := &usage{Prompt: 1 + len(w.prompt)/promptUnitBytes, Completion: w.length}
+	tokens.Total = tokens.Prompt + tokens.Completion
 	if w.Stream {
-		w.event(chunk{Choices: []choice{{Delta: &answerer.Message{}, Finish: &stop}}, Usage: used})
+		w.writeEvent(chunk{Choices: []choice{{Delta: &answerer.Message{}, Finish: &stop}}, Usage: tokens})
 		_, _ = w.out.Write([]byte("data: [DONE]\n\n"))
 		w.flush()
 		return
 	}
-	w.open("application/json")
-	message := &answerer.Message{Role: "assistant", Content: w.whole.String()}
+	w.sendHeader("application/json")
+	message := &answerer.Message{Role: "assistant", Content: w.text.String()}
 	_ = json.NewEncoder(w.out).Encode(chunk{
-		ID: w.id, Object: "chat.completion", Model: w.Model, Usage: used,
+		ID: w.id, Object: "chat.completion", Model: w.Model, Usage: tokens,
 		Choices: []choice{{Message: message, Finish: &stop}},
 	})
 }
--- a/standin/internal/controller/controller.go
+++ b/standin/internal/controller/controller.go
@@ -1,10 +1,11 @@
-// Package controller serves a stand-in's own paths: what it executed, its
+// Package controller serves the control paths of a stand-in: its executions,
 // faults, orders and KV caches.
 //
 // Invariants: a fenced stand-in refuses an order whose fencing number is lower
-// than one it has seen; one that is not fenced obeys every order, as some
-// deployments' engines do, and still tells the highest number it has seen. A
-// model is served when its load has ended, and no more models than fit are taken.
+// than the highest that it has seen; an unfenced stand-in obeys every order, as
+// the engines of some deployments do, and still reports the highest number that
+// it has seen. A model is served from the end of its load, and a load is refused
+// if the model does not fit.
 package controller
 
 import (
@@ -18,18 +19,18 @@
 	"shallotkeel.example/standin/internal/journaler"
 )
 
-// maxBody bounds what a control call may send.
-const maxBody = 1 << 20
+// maxBodyBytes bounds the body of a control call.
+const maxBodyBytes = 1 << 20
 
-// Order tells an engine to change what it has loaded.
+// Order is the body of an order to load or unload a model.
 type Order struct {
 	Fence uint64 `json:"fence"`
 	Order string `json:"order"` // "load" or "unload"
 	Model string `json:"model"`
 }
 
-// Controller serves the control paths. Completer and Engine are nil for a
-// plain service.
+// Controller serves the control paths. Completer is nil for a plain service, which
+// has no paths for orders, cancellation and KV caches.
 type Controller struct {
 	Journal   *journaler.Journaler
 	Failer    *failer.Failer
@@ -37,10 +38,10 @@
 	Fenced    bool
 	Loading   Loading
 
-	lock    sync.Mutex
-	fence   uint64
-	loads   uint64            // begun
-	loading map[string]uint64 // number of the load on its way, by model
+	lock     sync.Mutex
+	fence    uint64
+	lastLoad uint64            // number of the newest load, counted from 1
+	loading  map[string]uint64 // number of the load in progress, by model
 }
 
 // Fence returns the highest fencing number seen.
@@ -50,7 +51,7 @@
 	return c.fence
 }
 
-// Register adds the control paths to a mux.
+// Register adds the control paths of the stand-in's type to a mux.
 func (c *Controller) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /control/executions", c.executions)
 	mux.HandleFunc("GET /control/service", c.service)
@@ -62,24 +63,24 @@
 	mux.HandleFunc("POST /control/orders", c.orders)
 	mux.HandleFunc("DELETE /v1/requests/{id}", c.cancel)
 	mux.HandleFunc("GET /control/kv/{request}", c.export)
-	mux.HandleFunc("PUT /control/kv/{request}", c.restore)
+	mux.HandleFunc("PUT /control/kv/{request}", c.importCache)
 }
 
 func (c *Controller) executions(w http.ResponseWriter, _ *http.Request) {
-	write(w, c.Journal.Executions())
+	writeJSON(w, c.Journal.Executions())
 }
 
 func (c *Controller) service(w http.ResponseWriter, _ *http.Request) {
-	write(w, c.Journal.Service())
+	writeJSON(w, c.Journal.Service())
 }
 
 func (c *Controller) log(w http.ResponseWriter, _ *http.Request) {
-	write(w, c.Journal.Entries())
+	writeJSON(w, c.Journal.Entries())
 }
 
 func (c *Controller) faults(w http.ResponseWriter, r *http.Request) {
 	var faults failer.Faults
-	if !read(w, r, &faults) {
+	if !readJSON(w, r, &faults) {
 		return
 	}
 	c.Failer.Set(faults)
@@ -100,12 +101,12 @@
 		http.Error(w, "no KV cache of that request is here", http.StatusNotFound)
 		return
 	}
-	write(w, cache)
+	writeJSON(w, cache)
 }
 
-func (c *Controller) restore(w http.ResponseWriter, r *http.Request) {
+func (c *Controller) importCache(w http.ResponseWriter, r *http.Request) {
 	var cache completer.Cache
-	if !read(w, r, &cache) {
+	if !readJSON(w, r, &cache) {
 		return
 	}
 	cache.Request = r.PathValue("request")
@@ -113,8 +114,10 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+// readJSON decodes the body of a call, or answers that it is malformed and returns
+// false.
+func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = json.Unmarshal(text, into)
 	}
@@ -124,7 +127,7 @@
 	return err == nil
 }
 
-func write(w http.ResponseWriter, value any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
--- a/standin/internal/controller/orders.go
+++ b/standin/internal/controller/orders.go
@@ -10,25 +10,25 @@
 	"shallotkeel.example/standin/internal/journaler"
 )
 
-// The orders that an engine knows.
+// The orders that an engine accepts.
 const (
 	orderLoad   = "load"
 	orderUnload = "unload"
 )
 
-// Loading is how an engine loads models. The zero value loads at once and
-// without bound.
+// Loading configures how an engine loads models. With the zero value, loads end
+// at once and any number of models fits.
 type Loading struct {
 	Clock clockwork.Clock
-	Time  time.Duration // of one load
-	Room  int           // models that fit, those being loaded included; 0 for no bound
+	Time  time.Duration // duration of one load
+	Room  int           // number of models that fit, including those being loaded; 0 for no bound
 }
 
-// orders obeys an order. A load is answered when it begins, as engines do; the
-// model is served when it has ended.
+// orders executes an order. As with real engines, the answer is sent when a load
+// begins; the model is served from the end of the load.
 func (c *Controller) orders(w http.ResponseWriter, r *http.Request) {
 	var order Order
-	if !read(w, r, &order) {
+	if !readJSON(w, r, &order) {
 		return
 	}
 	if order.Order != orderLoad && order.Order != orderUnload {
@@ -42,20 +42,20 @@
 		return
 	}
 	c.fence = max(c.fence, order.Fence)
-	if order.Order == orderLoad && !c.begin(order.Model) {
+	if order.Order == orderLoad && !c.beginLoad(order.Model) {
 		http.Error(w, "no room; unload a model first", http.StatusInsufficientStorage)
 		return
 	}
 	if order.Order == orderUnload {
-		c.remove(order.Model)
+		c.unload(order.Model)
 	}
 	c.Journal.Add(journaler.Entry{Verb: journaler.Ordered, Request: order.Order + " " + order.Model, Fence: order.Fence})
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// begin begins a load if there is room. A model that is there or on its way
-// stays as it is.
-func (c *Controller) begin(model string) bool {
+// beginLoad starts loading a model and reports whether it fits. For a model that
+// is loaded or being loaded it does nothing and reports true.
+func (c *Controller) beginLoad(model string) bool {
 	models := c.Completer.Models()
 	if slices.Contains(models, model) || c.loading[model] != 0 {
 		return true
@@ -70,15 +70,16 @@
 	if c.loading == nil {
 		c.loading = make(map[string]uint64)
 	}
-	c.loads++
-	number := c.loads
+	c.lastLoad++
+	number := c.lastLoad
 	c.loading[model] = number
-	c.Loading.Clock.AfterFunc(c.Loading.Time, func() { c.end(model, number) })
+	c.Loading.Clock.AfterFunc(c.Loading.Time, func() { c.finishLoad(model, number) })
 	return true
 }
 
-// end serves a model whose load has ended, unless it was unloaded meanwhile.
-func (c *Controller) end(model string, number uint64) {
+// finishLoad makes a model available whose load has ended, unless the model was
+// unloaded in the meantime.
+func (c *Controller) finishLoad(model string, number uint64) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.loading[model] != number {
@@ -88,7 +89,7 @@
 	c.Completer.SetModels(append(c.Completer.Models(), model))
 }
 
-func (c *Controller) remove(model string) {
+func (c *Controller) unload(model string) {
 	delete(c.loading, model)
 	c.Completer.SetModels(slices.DeleteFunc(c.Completer.Models(), func(m string) bool { return m == model }))
 }
--- a/standin/internal/controller/orders_test.go
+++ b/standin/internal/controller/orders_test.go
@@ -10,17 +10,17 @@
 	"shallotkeel.example/standin/internal/completer"
 )
 
-// Symptom: a model is served that was unloaded. Sequence: it is unloaded, and
-// loaded again, while its first load is on its way; that one ends.
-func TestLoadThatWasUndoneServesNothing(t *testing.T) {
+// Guards against serving a model that was unloaded: the model is unloaded, and
+// loaded again, while its first load is in progress, and then the first load ends.
+func TestLoadCancelledByUnloadServesNothing(t *testing.T) {
 	c := &Controller{Completer: &completer.Completer{}, Loading: Loading{Clock: clockwork.NewFakeClock(), Time: time.Minute}}
-	require.True(t, c.begin("m"))
-	c.remove("m")
-	c.end("m", 1)
+	require.True(t, c.beginLoad("m"))
+	c.unload("m")
+	c.finishLoad("m", 1)
 	require.Empty(t, c.Completer.Models())
-	require.True(t, c.begin("m"))
-	c.end("m", 1)
+	require.True(t, c.beginLoad("m"))
+	c.finishLoad("m", 1)
 	require.Empty(t, c.Completer.Models())
-	c.end("m", 2)
+	c.finishLoad("m", 2)
 	require.Equal(t, []string{"m"}, c.Completer.Models())
 }
--- a/standin/internal/journaler/journaler.go
+++ b/standin/internal/journaler/journaler.go
@@ -1,11 +1,11 @@
-// Package journaler records what a stand-in executed, so that a test can count
-// double executions and requests that were refused as not run but ran.
+// Package journaler records the executions of a stand-in, so that a test can
+// count double executions and requests that were refused as not run but ran.
 //
-// Invariants: an execution is recorded, and is in the journal file where there
-// is one, before it has any effect, so that a stand-in that is killed still
-// tells what it ran; the file is only appended to, so that it also covers the
-// stand-in's earlier lives. Counts are bounded by MaxKeys; beyond that the
-// journal says that it is incomplete, and a checker must fail.
+// Invariants: an execution is recorded, and written to the journal file if there
+// is one, before it has any effect, so that the file also covers a stand-in that
+// is killed; the file is append-only, so that it also covers earlier runs of the
+// stand-in. Counts are bounded by MaxKeys; beyond that the journal reports that
+// it is incomplete, and a check that relies on it must fail.
 package journaler
 
 import (
@@ -18,16 +18,18 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// MaxKeys bounds the counted keys and MaxEntries the entries kept in memory.
+// MaxKeys bounds the counted keys and the counted workspaces, MaxEntries the
+// entries in memory.
 const (
 	MaxKeys    = 1 << 20
 	MaxEntries = 1 << 14
 )
 
-// Verb says what happened to a request.
+// Verb is the event of a journal entry.
 type Verb string
 
-// What can happen to a request at an endpoint.
+// The events of a request at an endpoint, and Ordered for an order that an engine
+// obeyed.
 const (
 	Received  Verb = "received"
 	Started   Verb = "started"
@@ -37,7 +39,7 @@
 	Ordered   Verb = "ordered"
 )
 
-// Entry is one line of the journal.
+// Entry is one line of the journal, encoded as JSON.
 type Entry struct {
 	At        time.Time `json:"at"`
 	Verb      Verb      `json:"verb"`
@@ -45,12 +47,12 @@
 	Key       string    `json:"key,omitempty"`
 	Workspace string    `json:"workspace,omitempty"`
 	From      int       `json:"from,omitempty"`  // first token of a resumed answer
-	Units     int       `json:"units,omitempty"` // tokens yielded, or milliseconds of busy time
+	Units     int       `json:"units,omitempty"` // tokens sent, or milliseconds of busy time
 	Fence     uint64    `json:"fence,omitempty"`
 }
 
-// Identity is the key by which executions are counted: the idempotency key,
-// or the request's own id where it has none.
+// Identity returns the key by which executions are counted: the idempotency key,
+// or the request id if there is none.
 func (e Entry) Identity() string {
 	if e.Key != "" {
 		return e.Key
@@ -58,54 +60,57 @@
 	return e.Request
 }
 
-// Executions answers GET /control/executions.
+// Executions is the answer to GET /control/executions: the number of executions
+// of each key, and the number of requests that run.
 type Executions struct {
 	Executions map[string]int `json:"executions"`
 	Running    int            `json:"running"`
 	Incomplete bool           `json:"incomplete,omitempty"`
 }
 
-// Service answers GET /control/service: the units that each workspace has
-// received here so far, tokens for models and milliseconds for plain services.
+// Service is the answer to GET /control/service: the units of service that each
+// workspace has received so far, tokens for models and milliseconds for plain
+// services.
 type Service struct {
 	Workspaces map[string]int64 `json:"workspaces"`
 }
 
-// Journaler keeps the journal of one stand-in.
+// Journaler keeps the journal of one stand-in. It is safe for concurrent use.
 type Journaler struct {
 	Clock clockwork.Clock
-	File  io.Writer // nil keeps the journal in memory only
+	File  io.Writer // nil for a journal in memory only
 
 	lock       sync.Mutex
 	counts     map[string]int
 	entries    []Entry
 	running    int
 	incomplete bool
-	service    map[string]int64
+	units      map[string]int64
 }
 
-// Serve counts units that a workspace received.
-func (j *Journaler) Serve(workspace string, units int) {
+// CountUnits adds to the units of service that a workspace has received.
+func (j *Journaler) CountUnits(workspace string, units int) {
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	if j.service == nil {
-		j.service = make(map[string]int64)
+	if j.units == nil {
+		j.units = make(map[string]int64)
 	}
-	if _, known := j.service[workspace]; !known && len(j.service) >= MaxKeys {
+	if _, known := j.units[workspace]; !known && len(j.units) >= MaxKeys {
 		j.incomplete = true
 		return
 	}
-	j.service[workspace] += int64(units)
+	j.units[workspace] += int64(units)
 }
 
-// Service returns the units that workspaces received so far.
+// Service returns the units of service that each workspace has received so far.
 func (j *Journaler) Service() Service {
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	return Service{Workspaces: maps.Clone(j.service)}
+	return Service{Workspaces: maps.Clone(j.units)}
 }
 
-// Add records an entry. A journal that cannot be written is incomplete.
+// Add records an entry with the current time. An entry that cannot be written to
+// the file marks the journal as incomplete.
 func (j *Journaler) Add(entry Entry) {
 	j.lock.Lock()
 	defer j.lock.Unlock()
@@ -147,7 +152,7 @@
 	j.counts[entry.Identity()]++
 }
 
-// Executions returns the counts so far.
+// Executions returns the executions counted so far.
 func (j *Journaler) Executions() Executions {
 	j.lock.Lock()
 	defer j.lock.Unlock()
--- a/standin/internal/runner/orders_test.go
+++ b/standin/internal/runner/orders_test.go
@@ -25,7 +25,7 @@
 		require.Equal(t, models, s.describe().Loaded)
 	}
 	require.Equal(t, http.StatusNoContent, order("load", "m"))
-	require.Equal(t, http.StatusNoContent, order("load", "m"), "it is on its way already")
+	require.Equal(t, http.StatusNoContent, order("load", "m"), "a load of the model is already in progress")
 	require.Equal(t, http.StatusInsufficientStorage, order("load", "n"))
 	require.Equal(t, http.StatusBadRequest, order("dance", "n"))
 	serves("draft-7b")
@@ -34,7 +34,7 @@
 
 	require.Equal(t, http.StatusNoContent, order("unload", "m"))
 	serves("draft-7b")
-	require.Equal(t, http.StatusNoContent, order("load", "n"), "there is room again")
+	require.Equal(t, http.StatusNoContent, order("load", "n"), "the unloaded model freed its place")
 }
 
 func TestRoomIsAnnounced(t *testing.T) {
--- a/standin/internal/runner/reporter.go
+++ b/standin/internal/runner/reporter.go
@@ -7,42 +7,45 @@
 	"shallotkeel.example/standin/internal/batcher"
 )
 
-// MaxLate bounds the cache events that wait for their delay to pass.
-const MaxLate = 4096
+// MaxDelayedEvents bounds the cache events that wait for their delay to pass;
+// further events are dropped.
+const MaxDelayedEvents = 4096
 
-// reporter makes what an engine tells of itself late and gappy. It is pure:
-// samples and a time in, what is told at that time out.
+// reporter delays and drops what an engine reports about itself, as real engines
+// do. It does no I/O and reads no clock: callers pass the time with each event and
+// sample, and get what is to be reported at that time.
 type reporter struct {
 	eventDelay time.Duration
 	eventLoss  float64
 	loadLag    time.Duration
 	random     *rand.Rand
 
-	events []lateEvent
-	loads  []sample
+	events []delayedEvent
+	loads  []loadSample
 }
 
-type lateEvent struct {
+type delayedEvent struct {
 	batcher.CacheEvent
-	due time.Time
+	reportAt time.Time
 }
 
-type sample struct {
+type loadSample struct {
 	load int
 	at   time.Time
 }
 
-// event takes a cache event, or loses it.
-func (r *reporter) event(now time.Time, event batcher.CacheEvent) {
-	if r.random.Float64() < r.eventLoss || len(r.events) >= MaxLate {
+// addEvent queues a cache event, or drops it with the probability of eventLoss.
+func (r *reporter) addEvent(now time.Time, event batcher.CacheEvent) {
+	if r.random.Float64() < r.eventLoss || len(r.events) >= MaxDelayedEvents {
 		return
 	}
-	r.events = append(r.events, lateEvent{CacheEvent: event, due: now.Add(r.eventDelay)})
+	r.events = append(r.events, delayedEvent{CacheEvent: event, reportAt: now.Add(r.eventDelay)})
 }
 
-// due returns the prefixes whose events are now told.
-func (r *reporter) due(now time.Time) (cached, evicted []uint64) {
-	for len(r.events) > 0 && !r.events[0].due.After(now) {
+// dueEvents removes and returns the prefixes whose events are to be reported by
+// now.
+func (r *reporter) dueEvents(now time.Time) (cached, evicted []uint64) {
+	for len(r.events) > 0 && !r.events[0].reportAt.After(now) {
 		event := r.events[0]
 		r.events = r.events[1:]
 		if event.Evicted {
@@ -54,17 +57,17 @@
 	return cached, evicted
 }
 
-// load takes the present load and returns the newest one that is at least
-// the lag old, or 0 while there is none.
-func (r *reporter) load(now time.Time, load int) int {
-	r.loads = append(r.loads, sample{load: load, at: now})
-	told := 0
-	keep := 0
+// laggedLoad records the current load and returns the newest recorded load that
+// is at least as old as the lag, or 0 if there is none yet.
+func (r *reporter) laggedLoad(now time.Time, load int) int {
+	r.loads = append(r.loads, loadSample{load: load, at: now})
+	reported := 0
+	reportedAt := 0
 	for i, s := range r.loads {
 		if now.Sub(s.at) >= r.loadLag {
-			told, keep = s.load, i
+			reported, reportedAt = s.load, i
 		}
 	}
-	r.loads = r.loads[keep:]
-	return told
+	r.loads = r.loads[reportedAt:]
+	return reported
 }
--- a/standin/internal/runner/runner.go
+++ b/standin/internal/runner/runner.go
@@ -28,19 +28,20 @@
 	"shallotkeel.example/standin/internal/performer"
 )
 
-// ErrStandin is the kind of every error that ends a stand-in.
+// ErrStandin is the kind of the errors with which Run ends.
 var ErrStandin = merry.Sentinel("stand-in cannot run")
 
 const (
-	crashStatus     = 3
-	defaultStop     = 30 * time.Second
-	headerTimeout   = 5 * time.Second
-	withdrawTimeout = time.Second
-	idleCheck       = 10 * time.Millisecond
-	journalMode     = 0o644
+	crashStatus        = 3
+	defaultStopTimeout = 30 * time.Second
+	headerTimeout      = 5 * time.Second
+	withdrawTimeout    = time.Second
+	idlePollInterval   = 10 * time.Millisecond
+	journalMode        = 0o644
 )
 
-// Main is the program: it runs until the context ends and then stops in order.
+// Main loads the settings and runs a stand-in until the context ends, then stops
+// it gracefully.
 func Main(ctx context.Context, options starter.Options, log zerolog.Logger) error {
 	var settings Settings
 	if err := loader.Load(options.Settings, &settings); err != nil {
@@ -52,7 +53,8 @@
 	return Run(ctx, settings, clockwork.NewRealClock(), log)
 }
 
-// standin is the parts of one stand-in.
+// standin holds the parts of one stand-in. A model has an engine and a completer,
+// a plain service has a performer; the others are nil.
 type standin struct {
 	settings    Settings
 	clock       clockwork.Clock
@@ -68,7 +70,7 @@
 	leaving     chan struct{}
 }
 
-// Run runs a stand-in.
+// Run runs a stand-in until the context ends and then stops it gracefully.
 func Run(ctx context.Context, settings Settings, clock clockwork.Clock, log zerolog.Logger) error {
 	file, err := openJournal(settings.Journal)
 	if err != nil {
@@ -93,6 +95,7 @@
 	return s.serve(ctx, listener)
 }
 
+// discard is the journal file of a stand-in without one.
 type discard struct{ io.Writer }
 
 func (discard) Close() error { return nil }
@@ -109,44 +112,44 @@
 }
 
 func (s *standin) serve(ctx context.Context, listener net.Listener) error {
-	// Running requests outlive the context: a planned stop cuts nothing off.
+	// Running requests outlive the context: a planned stop lets them finish.
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	server := &http.Server{Handler: s.handler(running), ReadHeaderTimeout: headerTimeout}
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
-	voice := s.announcer()
-	announcing, hush := context.WithCancel(running)
-	quiet := make(chan struct{})
-	go func() { voice.Run(announcing); close(quiet) }()
+	endpointAnnouncer := s.announcer()
+	announcing, stopAnnouncing := context.WithCancel(running)
+	announcerDone := make(chan struct{})
+	go func() { endpointAnnouncer.Run(announcing); close(announcerDone) }()
 	s.log.Info().Stringer("listen", listener.Addr()).Uint64("incarnation", s.incarnation).Msg("serves")
 	select {
 	case err := <-failed:
-		hush()
+		stopAnnouncing()
 		return merry.Errorf("%w: %v; see the log above", ErrStandin, err)
 	case <-ctx.Done():
 	}
-	hush()
-	<-quiet
-	return s.stop(running, server, voice)
+	stopAnnouncing()
+	<-announcerDone
+	return s.stop(running, server, endpointAnnouncer)
 }
 
-// stop announces that the endpoint leaves, lets its requests finish, withdraws
-// and closes. Closing before announcing would fail the requests that routers
-// send until the lease is over.
-func (s *standin) stop(ctx context.Context, server *http.Server, voice *announcer.Announcer) error {
-	ctx, cancel := context.WithTimeout(ctx, s.settings.StopTimeout.Or(defaultStop))
+// stop announces that the endpoint leaves, waits for its requests to finish,
+// withdraws the endpoint and closes the server. Closing before announcing would
+// fail the requests that routers send until the lease expires.
+func (s *standin) stop(ctx context.Context, server *http.Server, endpointAnnouncer *announcer.Announcer) error {
+	ctx, cancel := context.WithTimeout(ctx, s.settings.StopTimeout.Or(defaultStopTimeout))
 	defer cancel()
 	close(s.leaving)
 	s.log.Info().Int("load", s.load()).Msg("leaves")
-	if err := voice.Announce(ctx, voice.Describe()); err != nil {
-		s.log.Warn().Err(err).Msg("could not announce that it leaves")
+	if err := endpointAnnouncer.Announce(ctx, endpointAnnouncer.Describe()); err != nil {
+		s.log.Warn().Err(err).Msg("leaving could not be announced; stopping all the same")
 	}
 	for s.load() > 0 && ctx.Err() == nil {
-		s.clock.Sleep(idleCheck)
+		s.clock.Sleep(idlePollInterval)
 	}
-	if err := voice.Withdraw(ctx, s.incarnation, withdrawTimeout); err != nil {
-		s.log.Warn().Err(err).Msg("could not withdraw")
+	if err := endpointAnnouncer.Withdraw(ctx, s.incarnation, withdrawTimeout); err != nil {
+		s.log.Warn().Err(err).Msg("endpoint could not be withdrawn; its lease will expire")
 	}
 	if err := server.Shutdown(ctx); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return merry.Errorf("%w: %v; raise \"stop_timeout\"", ErrStandin, err)
@@ -167,14 +170,14 @@
 	}
 	s.control.Register(mux)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.leaves() || s.failer.Faults().Leaving {
+		if s.isLeaving() || s.failer.Faults().Leaving {
 			w.Header().Set("X-Leaving", "1")
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
-func (s *standin) leaves() bool {
+func (s *standin) isLeaving() bool {
 	select {
 	case <-s.leaving:
 		return true
@@ -213,13 +216,15 @@
 		ID: s.settings.Name, Routers: s.settings.Routers, Token: s.settings.EndpointToken, Clock: s.clock,
 		Client:   &http.Client{Transport: silencer{failer: s.failer, next: http.DefaultTransport}},
 		Describe: s.describe,
-		OnChange: s.announced,
+		OnChange: s.onAnnouncement,
 	}
 }
 
-func (s *standin) announced(err error) {
+// onAnnouncement logs that the endpoint became announced or, with an error, that
+// it no longer is.
+func (s *standin) onAnnouncement(err error) {
 	if err != nil {
-		s.log.Warn().Err(err).Msg("no longer announced")
+		s.log.Warn().Err(err).Msg("endpoint is no longer announced; retrying")
 		return
 	}
 	s.log.Info().Msg("announced")
@@ -230,22 +235,22 @@
 	announcement := announcer.Announcement{
 		Incarnation: s.incarnation, Service: s.settings.Service, Address: s.settings.address(),
 		Labels: s.labels(), Slots: s.settings.Slots, TTLMS: s.settings.TTL.Milliseconds(),
-		Load: s.reporter.load(now, s.load()), Fenced: s.settings.Fenced, Fence: s.control.Fence(),
+		Load: s.reporter.laggedLoad(now, s.load()), Fenced: s.settings.Fenced, Fence: s.control.Fence(),
 	}
 	if s.completer != nil {
 		announcement.Models = s.completer.Models()
 		announcement.Loaded = s.completer.Models()
 		for _, event := range s.engine.CacheEvents() {
-			s.reporter.event(now, event)
+			s.reporter.addEvent(now, event)
 		}
-		announcement.Cached, announcement.Evicted = s.reporter.due(now)
+		announcement.Cached, announcement.Evicted = s.reporter.dueEvents(now)
 	}
-	announcement.Leaving = s.leaves()
+	announcement.Leaving = s.isLeaving()
 	return announcement
 }
 
-// labels are the announced ones: those of the settings, and the room if the
-// engine takes orders.
+// labels returns the labels to announce: those of the settings, and the number of
+// models that fit if the engine accepts orders from routers.
 func (s *standin) labels() map[string]string {
 	if s.settings.Room == 0 {
 		return s.settings.Labels
@@ -255,7 +260,7 @@
 	return labels
 }
 
-// silencer keeps announcements back while the fault "silent" is on.
+// silencer fails announcements while the fault "silent" is on.
 type silencer struct {
 	failer *failer.Failer
 	next   http.RoundTripper
--- a/standin/internal/runner/runner_test.go
+++ b/standin/internal/runner/runner_test.go
@@ -24,9 +24,10 @@
 	"shallotkeel.example/standin/internal/journaler"
 )
 
-const ask = `{"model":"draft-7b","messages":[{"role":"user","content":"hello"}],"max_tokens":8,"stream":true}`
+const chatRequest = `{"model":"draft-7b","messages":[{"role":"user","content":"hello"}],"max_tokens":8,"stream":true}`
 
-// serve runs a stand-in's handlers and returns its URL and parts.
+// serve runs a stand-in's handlers and returns the URL, the stand-in and a channel
+// that receives a value when the process would crash.
 func serve(t *testing.T, kind string) (string, *standin, chan struct{}) {
 	t.Helper()
 	crashed := make(chan struct{}, 1)
@@ -45,7 +46,7 @@
 	return server.URL, s, crashed
 }
 
-// answer is what a stand-in answered.
+// answer is the answer of a stand-in to one request.
 type answer struct {
 	status int
 	header http.Header
@@ -67,8 +68,9 @@
 	return answer{status: response.StatusCode, header: response.Header, text: string(text)}
 }
 
-// joined returns the streamed tokens and the index of the first one.
-func joined(t *testing.T, stream string) (string, int) {
+// joinTokens returns the text of the streamed tokens and the index of the first
+// token.
+func joinTokens(t *testing.T, stream string) (string, int) {
 	t.Helper()
 	var text strings.Builder
 	first := -1
@@ -96,7 +98,7 @@
 
 func TestCompletions(t *testing.T) {
 	prompt := "hello\n"
-	whole := answerer.Text("draft-7b", prompt, 8)
+	complete := answerer.Text("draft-7b", prompt, 8)
 	tests := map[string]struct {
 		header map[string]string
 		body   string
@@ -105,13 +107,13 @@
 		first  int
 		want   string
 	}{
-		"streamed": {body: ask, status: http.StatusOK, want: whole},
+		"streamed": {body: chatRequest, status: http.StatusOK, want: complete},
 		"resumed": {
-			body: ask, header: map[string]string{"X-Resume-From": "2"}, status: http.StatusOK, first: 2, want: whole[10:],
+			body: chatRequest, header: map[string]string{"X-Resume-From": "2"}, status: http.StatusOK, first: 2, want: complete[10:],
 		},
-		"refused": {body: ask, faults: failer.Faults{Refuse: true}, status: http.StatusServiceUnavailable},
+		"refused": {body: chatRequest, faults: failer.Faults{Refuse: true}, status: http.StatusServiceUnavailable},
 		"model that is not loaded": {
-			body: strings.Replace(ask, "draft-7b", "other", 1), status: http.StatusNotFound,
+			body: strings.Replace(chatRequest, "draft-7b", "other", 1), status: http.StatusNotFound,
 		},
 		"malformed": {body: "{", status: http.StatusBadRequest},
 	}
@@ -131,7 +133,7 @@
 				require.Empty(t, s.journal.Executions().Executions)
 				return
 			}
-			text, first := joined(t, got.text)
+			text, first := joinTokens(t, got.text)
 			require.Equal(t, test.want, text)
 			require.Equal(t, test.first, first)
 			require.True(t, strings.HasSuffix(got.text, "data: [DONE]\n\n"))
@@ -140,9 +142,9 @@
 	}
 }
 
-func TestWholeAnswer(t *testing.T) {
+func TestCompleteAnswer(t *testing.T) {
 	url, _, _ := serve(t, TypeModel)
-	text := send(t, http.MethodPost, url+"/v1/chat/completions", strings.Replace(ask, "true", "false", 1), nil).text
+	text := send(t, http.MethodPost, url+"/v1/chat/completions", strings.Replace(chatRequest, "true", "false", 1), nil).text
 	var completion struct {
 		Choices []struct {
 			Message answerer.Message `json:"message"`
@@ -152,8 +154,9 @@
 	require.Equal(t, answerer.Text("draft-7b", "hello\n", 8), completion.Choices[0].Message.Content)
 }
 
-// A cancelled stream that ended cleanly would pass for a whole answer.
-func TestCancelledAnswerIsVisiblyCut(t *testing.T) {
+// Guards against a cancelled stream that ends cleanly, which a caller would take
+// as a complete answer.
+func TestCancelledStreamIsTruncated(t *testing.T) {
 	url, s, _ := serve(t, TypeModel)
 	s.failer.Set(failer.Faults{Hang: true})
 	go func() {
@@ -161,7 +164,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/chat/completions", strings.NewReader(ask))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/chat/completions", strings.NewReader(chatRequest))
 	require.NoError(t, err)
 	request.Header.Set("X-Request-Id", "r1")
 	response, err := http.DefaultClient.Do(request)
@@ -175,9 +178,9 @@
 func TestCrashEndsTheProcessOnlyForTheMarkedBody(t *testing.T) {
 	url, s, crashed := serve(t, TypeModel)
 	s.failer.Set(failer.Faults{CrashOn: "poison"})
-	send(t, http.MethodPost, url+"/v1/chat/completions", ask, nil)
+	send(t, http.MethodPost, url+"/v1/chat/completions", chatRequest, nil)
 	require.Empty(t, crashed)
-	send(t, http.MethodPost, url+"/v1/chat/completions", strings.Replace(ask, "hello", "poison", 1), nil)
+	send(t, http.MethodPost, url+"/v1/chat/completions", strings.Replace(chatRequest, "hello", "poison", 1), nil)
 	require.Len(t, crashed, 1)
 }
 
@@ -200,8 +203,8 @@
 		status int
 		models []string
 	}{
-		"a fenced engine refuses an old number": {fenced: true, status: http.StatusConflict, models: []string{"draft-7b", "m8"}},
-		"an engine that is not fenced obeys it": {status: http.StatusNoContent, models: []string{"draft-7b", "m8", "m7"}},
+		"a fenced engine refuses a stale fencing number": {fenced: true, status: http.StatusConflict, models: []string{"draft-7b", "m8"}},
+		"an unfenced engine obeys it":                    {status: http.StatusNoContent, models: []string{"draft-7b", "m8", "m7"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -218,46 +221,47 @@
 
 func TestImportedCacheIsUsedForTheSamePromptOnly(t *testing.T) {
 	url, s, _ := serve(t, TypeModel)
-	send(t, http.MethodPost, url+"/v1/chat/completions", ask, map[string]string{"X-Request-Id": "r1"})
+	send(t, http.MethodPost, url+"/v1/chat/completions", chatRequest, map[string]string{"X-Request-Id": "r1"})
 	cache := send(t, http.MethodGet, url+"/control/kv/r1", "", nil).text
 	other, o, _ := serve(t, TypeModel)
 	send(t, http.MethodPut, other+"/control/kv/r1", cache, nil)
-	require.True(t, o.completer.Caches.Take("r1", "hello\n"))
-	require.False(t, o.completer.Caches.Take("r1", "other\n"))
-	require.False(t, s.completer.Caches.Take("r1", "hello\n"))
+	require.True(t, o.completer.Caches.HasImported("r1", "hello\n"))
+	require.False(t, o.completer.Caches.HasImported("r1", "other\n"))
+	require.False(t, s.completer.Caches.HasImported("r1", "hello\n"))
 }
 
-func TestReporterIsLateAndGappy(t *testing.T) {
+func TestReporterDelaysAndDropsEvents(t *testing.T) {
 	start := time.Unix(0, 0)
 	r := &reporter{eventDelay: time.Second, loadLag: 2 * time.Second, random: rand.New(rand.NewPCG(1, 0))}
-	r.event(start, batcher.CacheEvent{Prefix: 5})
-	r.event(start, batcher.CacheEvent{Prefix: 6, Evicted: true})
-	cached, evicted := r.due(start)
+	r.addEvent(start, batcher.CacheEvent{Prefix: 5})
+	r.addEvent(start, batcher.CacheEvent{Prefix: 6, Evicted: true})
+	cached, evicted := r.dueEvents(start)
 	require.Empty(t, append(cached, evicted...))
-	cached, evicted = r.due(start.Add(time.Second))
+	cached, evicted = r.dueEvents(start.Add(time.Second))
 	require.Equal(t, [][]uint64{{5}, {6}}, [][]uint64{cached, evicted})
 	loads := make([]int, 0, 4)
 	for i := range 4 {
-		loads = append(loads, r.load(start.Add(time.Duration(i)*time.Second), 10+i))
+		loads = append(loads, r.laggedLoad(start.Add(time.Duration(i)*time.Second), 10+i))
 	}
 	require.Equal(t, []int{0, 0, 10, 11}, loads)
 	r.eventLoss = 1
-	r.event(start, batcher.CacheEvent{Prefix: 7})
-	cached, _ = r.due(start.Add(time.Hour))
+	r.addEvent(start, batcher.CacheEvent{Prefix: 7})
+	cached, _ = r.dueEvents(start.Add(time.Hour))
 	require.Empty(t, cached)
 }
 
-// A planned stop that closed first would fail what routers still send; the
-// endpoint says that it leaves, finishes, withdraws, and only then closes.
+// Guards against a planned stop that closes the listener first and so fails the
+// requests that routers still send: the endpoint announces that it leaves,
+// finishes its requests, withdraws, and only then closes.
 func TestPlannedStopFinishesRunningRequests(t *testing.T) {
-	told := make(chan string, 64)
+	received := make(chan string, 64)
 	router := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		verb := r.Method
 		if strings.Contains(string(text), `"leaving":true`) {
 			verb = "LEAVING"
 		}
-		told <- verb
+		received <- verb
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer router.Close()
@@ -271,8 +275,8 @@
 			TTL: loader.Duration{Duration: 3 * time.Second}, TokenTime: loader.Duration{Duration: 20 * time.Millisecond},
 		}, clockwork.NewRealClock(), zerolog.Nop())
 	}()
-	require.Equal(t, "POST", <-told)
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+listen.String()+"/v1/chat/completions", strings.NewReader(ask))
+	require.Equal(t, "POST", <-received)
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+listen.String()+"/v1/chat/completions", strings.NewReader(chatRequest))
 	require.NoError(t, err)
 	request.Header.Set("X-Request-Id", "r1")
 	response, err := http.DefaultClient.Do(request)
@@ -281,10 +285,10 @@
 	cancel()
 	text, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
-	got, _ := joined(t, string(text))
+	got, _ := joinTokens(t, string(text))
 	require.Equal(t, answerer.Text("draft-7b", "hello\n", 8), got)
 	require.NoError(t, <-ended)
-	require.Equal(t, []string{"LEAVING", "DELETE"}, []string{<-told, <-told})
+	require.Equal(t, []string{"LEAVING", "DELETE"}, []string{<-received, <-received})
 }
 
 func freeAddress(t *testing.T) netip.AddrPort {
@@ -299,7 +303,7 @@
 	tests := map[string]struct {
 		kind, method, path, body string
 	}{
-		"model": {TypeModel, http.MethodPost, "/v1/chat/completions", ask},
+		"model": {TypeModel, http.MethodPost, "/v1/chat/completions", chatRequest},
 		"plain": {TypePlain, http.MethodGet, "/x", ""},
 	}
 	for name, test := range tests {
@@ -316,13 +320,13 @@
 	}
 }
 
-func TestAnswersSayThatItLeaves(t *testing.T) {
+func TestAnswersCarryLeavingHeader(t *testing.T) {
 	url, s, _ := serve(t, TypePlain)
 	s.leaving = make(chan struct{})
 	require.Empty(t, send(t, http.MethodGet, url+"/x", "", nil).header.Get("X-Leaving"))
 	s.failer.Set(failer.Faults{Leaving: true})
 	require.Equal(t, "1", send(t, http.MethodGet, url+"/x", "", nil).header.Get("X-Leaving"))
-	require.False(t, s.describe().Leaving, "its announcements do not say so")
+	require.False(t, s.describe().Leaving, "the fault does not change announcements")
 	s.failer.Set(failer.Faults{})
 	close(s.leaving)
 	require.Equal(t, "1", send(t, http.MethodGet, url+"/x", "", nil).header.Get("X-Leaving"))
--- a/standin/internal/runner/settings.go
+++ b/standin/internal/runner/settings.go
@@ -1,8 +1,9 @@
-// Package runner puts a stand-in together from its settings and runs it.
+// Package runner assembles a stand-in from its settings and runs it.
 //
-// Invariants: a planned stop is announced first, then lets running requests
-// finish, then withdraws; reported load lags and cache events come late and
-// with gaps, by the settings and a seed, so that a run can be repeated.
+// Invariants: a planned stop is announced first, then running requests finish,
+// then the endpoint is withdrawn; the announced load lags, and cache events are
+// delayed and dropped, as the settings say and by a seeded random source, so that
+// a run can be repeated.
 package runner
 
 import (
@@ -11,7 +12,7 @@
 	"shallotkeel.example/lib/loader"
 )
 
-// The types of stand-in.
+// The types of stand-in: a model engine and a plain service.
 const (
 	TypeModel = "model"
 	TypePlain = "plain"
@@ -21,7 +22,7 @@
 type Settings struct {
 	Name          string            `json:"name"`
 	Listen        netip.AddrPort    `json:"listen"`
-	Address       netip.AddrPort    `json:"address"` // announced address, if it is not Listen
+	Address       netip.AddrPort    `json:"address"` // the announced address, if it differs from Listen
 	Routers       []netip.AddrPort  `json:"routers"`
 	EndpointToken string            `json:"endpoint_token"`
 	Type          string            `json:"type"`
@@ -31,27 +32,27 @@
 	Slots         int               `json:"slots"`
 	TTL           loader.Duration   `json:"ttl"`
 	TokenTime     loader.Duration   `json:"token_time"`
-	Slowdown      float64           `json:"slowdown"` // part of token_time that each further request adds to a step
-	Prefill       loader.Duration   `json:"prefill"`  // for each prompt unit
-	Busy          loader.Duration   `json:"busy"`     // of one plain call
-	Cache         int               `json:"cache"`    // entries of the prefix cache
+	Slowdown      float64           `json:"slowdown"` // fraction of token_time that each further request adds to a step
+	Prefill       loader.Duration   `json:"prefill"`  // time for each prompt unit
+	Busy          loader.Duration   `json:"busy"`     // duration of one plain call
+	Cache         int               `json:"cache"`    // capacity of the prefix cache, in entries
 	EventDelay    loader.Duration   `json:"event_delay"`
-	EventLoss     float64           `json:"event_loss"` // part of the cache events that is lost
+	EventLoss     float64           `json:"event_loss"` // fraction of the cache events that is dropped, 0 to 1
 	LoadLag       loader.Duration   `json:"load_lag"`
 	Fenced        bool              `json:"fenced"`
-	Room          int               `json:"room"`      // models that fit, announced as a label; 0 takes no orders from routers
-	LoadTime      loader.Duration   `json:"load_time"` // of one model
+	Room          int               `json:"room"`      // number of models that fit, announced as a label; 0 announces none, so that routers give no orders
+	LoadTime      loader.Duration   `json:"load_time"` // duration of loading one model
 	Seed          uint64            `json:"seed"`
-	CrashOn       string            `json:"crash_on"` // the fault of that name, in force from the start
-	Journal       string            `json:"journal"`  // file that every execution is appended to, or empty
+	CrashOn       string            `json:"crash_on"` // initial value of the fault crash_on
+	Journal       string            `json:"journal"`  // file to which every journal entry is appended; empty for none
 	StopTimeout   loader.Duration   `json:"stop_timeout"`
 }
 
-// Check tells which settings cannot be used.
+// Check returns the problems of the settings.
 func (s *Settings) Check() []loader.Problem {
 	var problems []loader.Problem
-	require := func(fine bool, key, message, remedy string) {
-		if !fine {
+	require := func(valid bool, key, message, remedy string) {
+		if !valid {
 			problems = append(problems, loader.Problem{Key: key, Message: message, Remedy: remedy})
 		}
 	}
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,4 +1,4 @@
-// Package main is the standin program of shallotkeel: a model engine or a
+// Package main is the standin program of shallotkeel: a fake model engine or
 // plain service for tests, the demo and the bench, with faults on demand.
 package main
 
