--- a/bench/internal/demo/demo.go
+++ b/bench/internal/demo/demo.go
@@ -152,15 +152,17 @@
 
 func (d *run) plan() launcher.Plan {
 	models, plain := d.deployment.Models, d.deployment.Plain
-	engine := func(name string) launcher.StandinSettings { return launcher.Model(name, d.deployment.Model, models) }
+	engine := func(name string) launcher.StandinSettings {
+		return launcher.ModelStandin(name, d.deployment.Model, models)
+	}
 	return launcher.Plan{
 		Programs: d.options.Programs, Folder: d.folder, Scheduling: "pool", Trace: "log",
 		Zones: []launcher.ZonePlan{
 			{Name: "trento-a", Keepers: 2, Routers: 2, Standins: []launcher.StandinSettings{
-				engine("modelli-a1"), engine("modelli-a2"), launcher.PlainService("scambio-app-a1", plain),
+				engine("modelli-a1"), engine("modelli-a2"), launcher.PlainStandin("scambio-app-a1", plain),
 			}},
 			{Name: "verona-b", Keepers: 1, Routers: 2, Standins: []launcher.StandinSettings{
-				engine("modelli-b1"), engine("modelli-b2"), launcher.PlainService("scambio-app-b1", plain),
+				engine("modelli-b1"), engine("modelli-b2"), launcher.PlainStandin("scambio-app-b1", plain),
 			}},
 		},
 	}
@@ -227,7 +229,7 @@
 	for _, standin := range d.fleet.Of(launcher.Standin) {
 		if standin.Standin.Type == "model" {
 			models = append(models, standin)
-			d.report.ideal += standin.Standin.Ideal()
+			d.report.ideal += standin.Standin.IdealTokensPerSecond()
 		}
 	}
 	meter := inspector.Meter{Standins: models}
--- a/bench/internal/faults/changes.go
+++ b/bench/internal/faults/changes.go
@@ -18,10 +18,11 @@
 
 const (
 	changeTimeout = 2 * time.Second
-	// inForceLimit is "within seconds".
-	inForceLimit = 10 * time.Second
-	manyChanges  = 600
-	races        = 60
+	// inForceTimeout bounds how long an accepted change may take to be in force on
+	// every router.
+	inForceTimeout = 10 * time.Second
+	changeCount    = 600
+	raceCount      = 60
 )
 
 func changeCells() []cell {
@@ -32,34 +33,35 @@
 	}
 }
 
-// changes makes changes of one workspace object after the other and remembers
-// what was accepted.
-type changes struct {
-	bed      *bed
-	number   int
-	accepted map[string]uint64 // revision by change id
-	last     map[string]string // last accepted value of each object's label
-	highest  map[string]uint64 // highest revision that each router has shown
+// changeMaker changes workspace objects in rotation and records the accepted
+// changes, so that they can be checked against what the routers show.
+type changeMaker struct {
+	bed             *testbed
+	number          int               // of the last change
+	accepted        map[string]uint64 // revision by change id
+	lastValue       map[string]string // last accepted value of each object's label
+	highestRevision map[string]uint64 // highest revision shown so far, by router name
 }
 
-func newChanges(b *bed) *changes {
-	return &changes{bed: b, accepted: make(map[string]uint64), last: make(map[string]string), highest: make(map[string]uint64)}
+func newChangeMaker(b *testbed) *changeMaker {
+	return &changeMaker{bed: b, accepted: make(map[string]uint64), lastValue: make(map[string]string), highestRevision: make(map[string]uint64)}
 }
 
-// run makes changes until the time is over.
-func (c *changes) run(lasts time.Duration) error {
-	until := time.Now().Add(lasts)
+// run makes changes for the given time.
+func (c *changeMaker) run(duration time.Duration) error {
+	until := time.Now().Add(duration)
 	for time.Now().Before(until) {
-		if err := c.one(); err != nil {
+		if err := c.makeChange(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// one makes a change and sends it to one router after the other, with the same
-// id, until one says what became of it.
-func (c *changes) one() error {
+// makeChange makes a change and sends it to one router after the other, with the
+// same id, until one reports its outcome. It fails if a change is accepted twice
+// or a router shows an older revision than before.
+func (c *changeMaker) makeChange() error {
 	c.number++
 	id := changeID(c.number)
 	name := fmt.Sprintf("club-prova-%d", c.number%5)
@@ -67,22 +69,24 @@
 	change := describer.Change{ID: id, Author: "faults", Edits: []describer.Edit{{Object: describer.Object{
 		Kind: describer.Workspace, Name: name, Labels: labeler.Labels{"round": value},
 	}}}}
-	revision, err := c.bed.settle(change, c.number)
+	revision, err := c.bed.resendUntilAccepted(change, c.number)
 	if err != nil {
 		return err
 	}
-	if twice, known := c.accepted[id]; known {
-		return merry.Errorf("%w: change %s was accepted as revisions %d and %d", ErrCell, id, twice, revision)
+	if earlier, found := c.accepted[id]; found {
+		return merry.Errorf("%w: change %s was accepted as revisions %d and %d", ErrCell, id, earlier, revision)
 	}
 	c.accepted[id] = revision
-	c.last[name] = value
-	return c.look()
+	c.lastValue[name] = value
+	return c.checkRevisions()
 }
 
-// settle resends a change until it is accepted.
-func (b *bed) settle(change describer.Change, first int) (uint64, error) {
+// resendUntilAccepted sends a change to the running routers in rotation, from the
+// index first on, until it is accepted, and returns its revision. A rejection is
+// an error; any other answer, or none, leads to a retry.
+func (b *testbed) resendUntilAccepted(change describer.Change, first int) (uint64, error) {
 	routers := b.fleet.Of(launcher.Router)
-	said := ""
+	lastAnswer := ""
 	for attempt := range 200 {
 		router := routers[(first+attempt)%len(routers)]
 		if !router.Running() {
@@ -97,14 +101,15 @@
 		case status == http.StatusConflict || status == http.StatusUnprocessableEntity:
 			return 0, merry.Errorf("%w: change %s got status %d: %v", ErrCell, change.ID, status, applied.Findings)
 		}
-		said = fmt.Sprint(status, " ", err)
+		lastAnswer = fmt.Sprint(status, " ", err)
 		b.sleep(50 * time.Millisecond)
 	}
-	return 0, merry.Errorf("%w: change %s was never answered: %s", ErrCell, change.ID, said)
+	return 0, merry.Errorf("%w: change %s was never answered: %s", ErrCell, change.ID, lastAnswer)
 }
 
-// look fails if a router shows a lower revision than it has shown before.
-func (c *changes) look() error {
+// checkRevisions fails if a router shows a lower revision than it has shown before.
+// Routers that do not answer are skipped.
+func (c *changeMaker) checkRevisions() error {
 	for _, router := range c.bed.fleet.Of(launcher.Router) {
 		if !router.Running() {
 			continue
@@ -116,20 +121,20 @@
 		if err != nil {
 			continue
 		}
-		if objects.Revision < c.highest[router.Name] {
-			return merry.Errorf("%w: %s went back from revision %d to %d", ErrCell, router.Name, c.highest[router.Name], objects.Revision)
+		if objects.Revision < c.highestRevision[router.Name] {
+			return merry.Errorf("%w: %s went back from revision %d to %d", ErrCell, router.Name, c.highestRevision[router.Name], objects.Revision)
 		}
-		c.highest[router.Name] = objects.Revision
+		c.highestRevision[router.Name] = objects.Revision
 	}
 	return nil
 }
 
-// check waits until every router shows the last accepted values, and checks
-// that every accepted change is in the history once.
-func (c *changes) check() error {
-	took, err := c.bed.await(inForceLimit, "every router's taking over of the last change", func() bool {
+// check waits until every running router shows the last accepted values, and
+// checks that the history holds every accepted change exactly once.
+func (c *changeMaker) check() error {
+	took, err := c.bed.await(inForceTimeout, "every router's taking over of the last change", func() bool {
 		for _, router := range c.bed.fleet.Of(launcher.Router) {
-			if router.Running() && !c.shown(router) {
+			if router.Running() && !c.showsLastValues(router) {
 				return false
 			}
 		}
@@ -138,19 +143,20 @@
 	if err != nil {
 		return err
 	}
-	c.bed.note("%d changes accepted, in force everywhere after %v", len(c.accepted), took.Round(time.Millisecond))
-	if err := c.look(); err != nil {
+	c.bed.addFigure("%d changes accepted, in force everywhere after %v", len(c.accepted), took.Round(time.Millisecond))
+	if err := c.checkRevisions(); err != nil {
 		return err
 	}
-	return c.history()
+	return c.checkHistory()
 }
 
-func (c *changes) shown(router *launcher.Node) bool {
+// showsLastValues reports whether a router shows the last accepted value of every object.
+func (c *changeMaker) showsLastValues(router *launcher.Node) bool {
 	var objects reporter.Objects
 	if router.Admin(c.bed.ctx, "/admin/objects", &objects) != nil {
 		return false
 	}
-	for name, value := range c.last {
+	for name, value := range c.lastValue {
 		at := slices.IndexFunc(objects.Objects, func(o describer.Object) bool { return o.Name == name })
 		if at < 0 || objects.Objects[at].Labels["round"] != value {
 			return false
@@ -159,20 +165,22 @@
 	return true
 }
 
-func (c *changes) history() error {
+// checkHistory pages through the history and fails if a change is in it twice, or
+// if an accepted change is missing or has another revision.
+func (c *changeMaker) checkHistory() error {
 	seen := make(map[string]uint64)
 	var before uint64
 	for {
 		var page reporter.History
 		path := fmt.Sprintf("/admin/history?limit=100&before=%d", before)
-		if err := c.running().Admin(c.bed.ctx, path, &page); err != nil {
+		if err := c.runningRouter().Admin(c.bed.ctx, path, &page); err != nil {
 			return err
 		}
 		if len(page.Revisions) == 0 {
 			break
 		}
 		for _, revision := range page.Revisions {
-			if first, twice := seen[revision.Change]; twice {
+			if first, found := seen[revision.Change]; found {
 				return merry.Errorf("%w: change %s is in the history as %d and %d", ErrCell, revision.Change, first, revision.Revision)
 			}
 			seen[revision.Change] = revision.Revision
@@ -190,7 +198,8 @@
 	return nil
 }
 
-func (c *changes) running() *launcher.Node {
+// runningRouter returns the first running router, and the first of all if none runs.
+func (c *changeMaker) runningRouter() *launcher.Node {
 	for _, router := range c.bed.fleet.Of(launcher.Router) {
 		if router.Running() {
 			return router
@@ -199,15 +208,16 @@
 	return c.bed.fleet.Of(launcher.Router)[0]
 }
 
-// raceOperators: two operators who saw the same version edit one object at the
-// same time through different routers. One wins, the other is shown how.
-func raceOperators(b *bed) error {
+// raceOperators: two operators edit one object at the same time through different
+// routers, both on the basis of the same version. Exactly one edit is accepted;
+// the answer to the other one shows the winning object.
+func raceOperators(b *testbed) error {
 	routers := b.fleet.Of(launcher.Router)
 	object := func(value string) describer.Object {
 		return describer.Object{Kind: describer.Workspace, Name: "club-gara", Labels: labeler.Labels{"round": value}}
 	}
-	var version uint64 // that both operators have seen; 0 says that there is no such object
-	for i := range races {
+	var version uint64 // on which both edits are based; 0 means that the object does not exist yet
+	for i := range raceCount {
 		var edits sync.WaitGroup
 		statuses := make([]int, 2)
 		answers := make([]reporter.Applied, 2)
@@ -220,18 +230,19 @@
 			})
 		}
 		edits.Wait()
-		winner, err := oneWinner(i, statuses, answers)
+		winner, err := raceWinner(i, statuses, answers)
 		if err != nil {
 			return err
 		}
 		version = winner.Version
 	}
-	b.note("%d races, one winner each", races)
+	b.addFigure("%d races, one winner each", raceCount)
 	return nil
 }
 
-// oneWinner returns the winner as the loser was shown it.
-func oneWinner(round int, statuses []int, answers []reporter.Applied) (describer.Object, error) {
+// raceWinner checks that one edit was accepted and the other got a conflict, and
+// returns the winning object from the answer to the losing edit.
+func raceWinner(round int, statuses []int, answers []reporter.Applied) (describer.Object, error) {
 	winner := slices.Index(statuses, http.StatusOK)
 	loser := slices.Index(statuses, http.StatusConflict)
 	if winner < 0 || loser < 0 {
@@ -245,9 +256,10 @@
 	return winners[0], nil
 }
 
-// resentChange: the answer to a change is lost, and the operator sends it
-// again through another router after somebody else has changed the same object.
-func resentChange(b *bed) error {
+// resentChange: the answer to a change is lost, and the operator resends it
+// through another router after another operator has changed the same object. The
+// resend gets the first answer and does not undo the later change.
+func resentChange(b *testbed) error {
 	routers := b.fleet.Of(launcher.Router)
 	edit := func(id, value string) describer.Change {
 		return describer.Change{ID: id, Edits: []describer.Edit{{Object: describer.Object{
@@ -256,11 +268,11 @@
 	}
 	for i := range 20 {
 		first := edit(fmt.Sprintf("resent-%d", i), fmt.Sprintf("first-%d", i))
-		revision, err := b.settle(first, i)
+		revision, err := b.resendUntilAccepted(first, i)
 		if err != nil {
 			return err
 		}
-		if _, err := b.settle(edit(fmt.Sprintf("between-%d", i), fmt.Sprintf("later-%d", i)), i); err != nil {
+		if _, err := b.resendUntilAccepted(edit(fmt.Sprintf("between-%d", i), fmt.Sprintf("later-%d", i)), i); err != nil {
 			return err
 		}
 		status, applied, err := routers[(i+1)%len(routers)].Change(b.ctx, first)
@@ -269,7 +281,7 @@
 				ErrCell, status, applied.Revision, applied.Resent, err, revision)
 		}
 		var objects reporter.Objects
-		_, err = b.await(inForceLimit, "the later change", func() bool {
+		_, err = b.await(inForceTimeout, "the later change", func() bool {
 			err := routers[0].Admin(b.ctx, "/admin/objects", &objects)
 			return err == nil && slices.ContainsFunc(objects.Objects, func(o describer.Object) bool {
 				return o.Name == "club-prova" && o.Labels["round"] == fmt.Sprintf("later-%d", i)
@@ -279,16 +291,16 @@
 			return merry.Errorf("%w; the resend took the later change back", err)
 		}
 	}
-	b.note("20 resends, each the first answer")
+	b.addFigure("20 resends, each the first answer")
 	return nil
 }
 
-// restartAll: every process of the system is killed after hundreds of changes
-// and started again.
-func restartAll(b *bed) error {
-	log := newChanges(b)
-	for range manyChanges {
-		if err := log.one(); err != nil {
+// restartAll: all keepers and routers are killed after hundreds of changes and
+// started again. Every accepted change is in force afterwards.
+func restartAll(b *testbed) error {
+	maker := newChangeMaker(b)
+	for range changeCount {
+		if err := maker.makeChange(); err != nil {
 			return err
 		}
 	}
@@ -297,7 +309,7 @@
 			node.Process().Kill()
 		}
 	}
-	began := time.Now()
+	start := time.Now()
 	for _, role := range []launcher.Role{launcher.Keeper, launcher.Router} {
 		for _, node := range b.fleet.Of(role) {
 			if err := node.Start(); err != nil {
@@ -308,11 +320,11 @@
 	if err := b.fleet.AwaitReady(b.ctx); err != nil {
 		return err
 	}
-	b.note("all ready after %v", time.Since(began).Round(time.Millisecond))
-	clear(log.highest)
-	if err := log.check(); err != nil {
+	b.addFigure("all ready after %v", time.Since(start).Round(time.Millisecond))
+	clear(maker.highestRevision)
+	if err := maker.check(); err != nil {
 		return err
 	}
-	_, err := b.answers(zoneA, startLimit)
+	_, err := b.awaitAnswer(zoneA, startTimeout)
 	return err
 }
--- a/bench/internal/faults/endpoints.go
+++ b/bench/internal/faults/endpoints.go
@@ -24,26 +24,28 @@
 	}
 }
 
-// killEngine: streams go on at the token where they broke, on another engine.
-func killEngine(b *bed) error {
+// killEngine: an engine is killed mid-stream. Its streams resume on another engine
+// at the token where they broke.
+func killEngine(b *testbed) error {
 	victim, _ := b.fleet.Node("modelli-a2")
-	b.send(b.everyone(usualRate, caller.Mix{Stream: 2, Whole: 1, Models: b.deployment.Models, Bound: 96, Prompt: 600}), usualTime)
+	b.startLoad(b.allWorkspaces(baseRate, caller.Mix{Stream: 2, Whole: 1, Models: b.deployment.Models, Bound: 96, Prompt: 600}), loadTime)
 	for _, router := range b.fleet.In(zoneA, launcher.Router) {
-		b.streams(router, 4)
+		b.startStreams(router, 4)
 	}
-	b.sleep(warmUp)
+	b.sleep(warmUpTime)
 	victim.Process().Kill()
 	_, err := b.judge()
 	return err
 }
 
-// killPlain: calls that were under way may have run, and are never run again.
-func killPlain(b *bed) error {
+// killPlain: a plain endpoint is killed. Calls that were in flight may have been
+// executed and are never executed again.
+func killPlain(b *testbed) error {
 	victim, _ := b.fleet.Node("scambio-app-a1")
-	b.send(b.everyone(2*usualRate, caller.Mix{Once: 2, Plain: 1, Service: b.deployment.Plain}), usualTime)
-	b.sleep(warmUp)
+	b.startLoad(b.allWorkspaces(2*baseRate, caller.Mix{Once: 2, Plain: 1, Service: b.deployment.Plain}), loadTime)
+	b.sleep(warmUpTime)
 	victim.Process().Kill()
-	b.sleep(warmUp)
+	b.sleep(warmUpTime)
 	if err := victim.Start(); err != nil {
 		return err
 	}
@@ -51,18 +53,19 @@
 	if err != nil {
 		return err
 	}
-	// At most its slots were under way, and as many once more on the wire.
-	if most := 2 * victim.Standin.Slots; verdict.Unknown > most {
-		return merry.Errorf("%w: %d calls of unknown outcome, more than the %d that can have been under way", ErrCell, verdict.Unknown, most)
+	// At most one call per slot was executing, and as many again were on the wire.
+	if limit := 2 * victim.Standin.Slots; verdict.Unknown > limit {
+		return merry.Errorf("%w: %d calls of unknown outcome, more than the %d that can have been under way", ErrCell, verdict.Unknown, limit)
 	}
 	return nil
 }
 
-// freezeEngine: an engine that hangs without breaking its connections.
-func freezeEngine(b *bed) error {
+// freezeEngine: an engine hangs for freezeTime without breaking its connections.
+// Every request ends answered or not run.
+func freezeEngine(b *testbed) error {
 	victim, _ := b.fleet.Node("modelli-a2")
-	b.send(b.everyone(usualRate, b.mix()), usualTime)
-	b.sleep(warmUp)
+	b.startLoad(b.allWorkspaces(baseRate, b.mix()), loadTime)
+	b.sleep(warmUpTime)
 	victim.Process().Freeze()
 	b.sleep(freezeTime)
 	victim.Process().Resume()
@@ -70,17 +73,17 @@
 	return err
 }
 
-// muteService: the call ran and its answer is lost, so its outcome is unknown
-// and a resend must not run it again.
-func muteService(b *bed) error {
+// muteService: an endpoint executes calls but drops the answers. The outcome of
+// these calls is unknown, and a resend must not execute them again.
+func muteService(b *testbed) error {
 	victim, _ := b.fleet.Node("scambio-app-a1")
-	b.send(b.everyone(usualRate, caller.Mix{Once: 1, Service: b.deployment.Plain}), usualTime/2)
-	b.sleep(warmUp)
-	if err := b.fault(victim, map[string]any{"mute": true}); err != nil {
+	b.startLoad(b.allWorkspaces(baseRate, caller.Mix{Once: 1, Service: b.deployment.Plain}), loadTime/2)
+	b.sleep(warmUpTime)
+	if err := b.setFaults(victim, map[string]any{"mute": true}); err != nil {
 		return err
 	}
 	b.sleep(time.Second)
-	if err := b.fault(victim, map[string]any{}); err != nil {
+	if err := b.setFaults(victim, map[string]any{}); err != nil {
 		return err
 	}
 	verdict, err := b.judge(caller.Unknown)
@@ -90,33 +93,35 @@
 	return err
 }
 
-// refusingEngine: what an endpoint did not start runs elsewhere.
-func refusingEngine(b *bed) error {
+// refusingEngine: an engine refuses requests before it starts them. They are
+// executed on another engine.
+func refusingEngine(b *testbed) error {
 	victim, _ := b.fleet.Node("modelli-a2")
-	b.send(b.everyone(usualRate, b.mix()), usualTime)
-	b.sleep(warmUp)
-	if err := b.fault(victim, map[string]any{"refuse": true}); err != nil {
+	b.startLoad(b.allWorkspaces(baseRate, b.mix()), loadTime)
+	b.sleep(warmUpTime)
+	if err := b.setFaults(victim, map[string]any{"refuse": true}); err != nil {
 		return err
 	}
 	b.sleep(2 * time.Second)
-	if err := b.fault(victim, map[string]any{}); err != nil {
+	if err := b.setFaults(victim, map[string]any{}); err != nil {
 		return err
 	}
 	_, err := b.judge()
 	return err
 }
 
-// backoffEngine: an endpoint that asks for backoff gets nothing from whom it asked.
-func backoffEngine(b *bed) error {
+// backoffEngine: an endpoint refuses requests and asks for backoff. A router that
+// was asked sends it no request until the backoff is over.
+func backoffEngine(b *testbed) error {
 	const backoff = 3 * time.Second
 	victim, _ := b.fleet.Node("modelli-a2")
-	b.send(b.everyone(2*usualRate, b.mix()), usualTime)
-	b.sleep(warmUp)
-	if err := b.fault(victim, map[string]any{"refuse": true, "backoff": backoff.Seconds()}); err != nil {
+	b.startLoad(b.allWorkspaces(2*baseRate, b.mix()), loadTime)
+	b.sleep(warmUpTime)
+	if err := b.setFaults(victim, map[string]any{"refuse": true, "backoff": backoff.Seconds()}); err != nil {
 		return err
 	}
 	b.sleep(backoff + backoff/2)
-	if err := b.fault(victim, map[string]any{}); err != nil {
+	if err := b.setFaults(victim, map[string]any{}); err != nil {
 		return err
 	}
 	if _, err := b.judge(); err != nil {
@@ -126,16 +131,16 @@
 	if err != nil {
 		return err
 	}
-	backoffs, most := executions.InBackoff(victim.Name, backoff)
-	b.note("backoffs asked for %d, most requests of a router within one %d", backoffs, most)
-	if backoffs == 0 || most > 0 {
-		return merry.Errorf("%w: of %d backoffs that %s asked for, one had %d requests of a router; none is wanted", ErrCell, backoffs, victim.Name, most)
+	backoffs, maxRequests := executions.InBackoff(victim.Name, backoff)
+	b.addFigure("backoffs asked for %d, most requests of a router within one %d", backoffs, maxRequests)
+	if backoffs == 0 || maxRequests > 0 {
+		return merry.Errorf("%w: of %d backoffs that %s asked for, one had %d requests of a router; none is wanted", ErrCell, backoffs, victim.Name, maxRequests)
 	}
 	return nil
 }
 
-// fault switches a stand-in's faults.
-func (b *bed) fault(standin *launcher.Node, faults map[string]any) error {
+// setFaults replaces the simulated faults of a stand-in; an empty map ends them all.
+func (b *testbed) setFaults(standin *launcher.Node, faults map[string]any) error {
 	text, err := json.Marshal(faults)
 	if err != nil {
 		return merry.Errorf("%w: %v", ErrCell, err)
--- a/bench/internal/faults/flood.go
+++ b/bench/internal/faults/flood.go
@@ -11,44 +11,48 @@
 
 const (
 	floodTime = 6 * time.Second
-	// floodRate is several times what the fleet can serve.
+	// floodRate is several times the capacity of the fleet, in requests per second.
 	floodRate = 600.0
-	// floodFactor is how much later the others' first tokens may come at p95,
-	// and floodSlack what is too short to matter: a slot that becomes free.
-	floodFactor = 3.0
-	floodSlack  = 250.0 // milliseconds
+	// floodFactor bounds the ratio by which the flood may delay the p95 of the
+	// first tokens of the other workspaces. floodSlackMS is added because shorter
+	// delays do not matter: a request may wait that long for a slot to become free.
+	floodFactor  = 3.0
+	floodSlackMS = 250.0
 )
 
 func floodCells() []cell {
 	return []cell{{fault: "flood", step: "one workspace, the others as before", run: flood}}
 }
 
-// flood measures the others without and with one workspace's flood.
-func flood(b *bed) error {
+// flood measures the load of the other workspaces without and with the flood of one
+// workspace. The flood must not get their requests refused, nor delay their first
+// tokens much.
+func flood(b *testbed) error {
 	mix := caller.Mix{Stream: 1, Models: b.deployment.Models, Bound: 48, Prompt: 600}
-	others := b.everyone(usualRate/2, mix)[1:]
-	calm := b.measured(others)
-	stop := b.flooding(0)
-	flooded := b.measured(others)
+	others := b.allWorkspaces(baseRate/2, mix)[1:]
+	baseline := b.measureLoad(others)
+	stop := b.startFlood(0)
+	flooded := b.measureLoad(others)
 	stop()
-	b.note("others' first token p95 %.0f ms calm, %.0f ms flooded", calm.First.P95, flooded.First.P95)
-	b.note("others refused %d calm, %d flooded", calm.Endings[caller.NotRun], flooded.Endings[caller.NotRun])
+	b.addFigure("others' first token p95 %.0f ms calm, %.0f ms flooded", baseline.First.P95, flooded.First.P95)
+	b.addFigure("others refused %d calm, %d flooded", baseline.Endings[caller.NotRun], flooded.Endings[caller.NotRun])
 	if _, err := b.judge(); err != nil {
 		return err
 	}
 	if flooded.Endings[caller.NotRun] > 0 {
 		return merry.Errorf("%w: the flood got %d requests of others refused", ErrCell, flooded.Endings[caller.NotRun])
 	}
-	if flooded.First.P95 > floodFactor*calm.First.P95+floodSlack {
-		return merry.Errorf("%w: the flood raised the others' p95 from %.0f to %.0f ms", ErrCell, calm.First.P95, flooded.First.P95)
+	if flooded.First.P95 > floodFactor*baseline.First.P95+floodSlackMS {
+		return merry.Errorf("%w: the flood raised the others' p95 from %.0f to %.0f ms", ErrCell, baseline.First.P95, flooded.First.P95)
 	}
 	return nil
 }
 
-// measured runs a load and sums it up by itself.
-func (b *bed) measured(loads []caller.Load) caller.Summary {
+// measureLoad sends a load for floodTime and returns its summary. The results also
+// count for the cell's verdict.
+func (b *testbed) measureLoad(loads []caller.Load) caller.Summary {
 	recorder := &caller.Recorder{KeepResults: true}
-	b.sendTo(recorder, loads, floodTime)
+	b.startLoadInto(recorder, loads, floodTime)
 	b.sleep(floodTime)
 	b.sleep(time.Second)
 	results, _ := recorder.Results()
@@ -58,13 +62,14 @@
 	return recorder.Summary()
 }
 
-// flooding floods with one workspace until the returned function is called.
-func (b *bed) flooding(workspace int) func() {
+// startFlood sends requests of one workspace, given by its index, at floodRate until
+// the returned function is called.
+func (b *testbed) startFlood(workspace int) func() {
 	w := b.deployment.Workspaces[workspace]
 	mix := caller.Mix{Stream: 1, Models: b.deployment.Models, Bound: 48, Prompt: 600}
 	b.seed++
 	driver := &caller.Driver{
-		Caller: b.caller(), Targets: b.fleet.Targets(), Seed: b.seed, Recorder: b.recorder, MaxOutstanding: maxInFlight,
+		Caller: b.newCaller(), Targets: b.fleet.Targets(), Seed: b.seed, Recorder: b.recorder, MaxOutstanding: maxInFlight,
 		Loads: []caller.Load{{Workspace: w.Name, Token: w.Token, PerSecond: floodRate, Mix: mix}}, Ready: b.balancer.ready,
 	}
 	ctx, cancel := context.WithCancel(b.ctx)
--- a/bench/internal/faults/keepers.go
+++ b/bench/internal/faults/keepers.go
@@ -22,23 +22,27 @@
 	}
 }
 
-func (b *bed) onceMix() caller.Mix {
+// nonRepeatableMix is a mix of mostly non-repeatable requests, each of which needs
+// a claim from the keepers.
+func (b *testbed) nonRepeatableMix() caller.Mix {
 	return caller.Mix{Once: 3, Plain: 1, Stream: 1, Models: b.deployment.Models, Service: b.deployment.Plain, Bound: 24, Prompt: 300}
 }
 
-func killLeader(b *bed) error {
+// killLeader: the keepers elect another leader, and requests whose claims are in
+// flight are neither lost nor executed twice.
+func killLeader(b *testbed) error {
 	leader, err := b.leader()
 	if err != nil {
 		return err
 	}
-	b.send(b.everyone(usualRate, b.onceMix()), usualTime)
-	b.sleep(warmUp)
+	b.startLoad(b.allWorkspaces(baseRate, b.nonRepeatableMix()), loadTime)
+	b.sleep(warmUpTime)
 	leader.Process().Kill()
-	took, err := b.newLeader(leader, recoverLimit)
+	took, err := b.awaitNewLeader(leader, recoveryTimeout)
 	if err != nil {
 		return err
 	}
-	b.note("new leader after %v", took.Round(time.Millisecond))
+	b.addFigure("new leader after %v", took.Round(time.Millisecond))
 	b.sleep(time.Second)
 	if err := leader.Start(); err != nil {
 		return err
@@ -47,22 +51,24 @@
 	return err
 }
 
-// newLeader waits until the routers see another leader.
-func (b *bed) newLeader(old *launcher.Node, limit time.Duration) (time.Duration, error) {
+// awaitNewLeader waits until a router reports a leader other than the old one, and
+// returns how long that took.
+func (b *testbed) awaitNewLeader(old *launcher.Node, limit time.Duration) (time.Duration, error) {
 	return b.await(limit, "a new leader of the keepers", func() bool {
 		leader, err := b.leader()
 		return err == nil && leader != old
 	})
 }
 
-func killFollower(b *bed) error {
+// killFollower: the remaining keepers are a quorum and go on granting claims.
+func killFollower(b *testbed) error {
 	leader, err := b.leader()
 	if err != nil {
 		return err
 	}
 	follower := b.followerOf(leader)
-	b.send(b.everyone(usualRate, b.onceMix()), usualTime)
-	b.sleep(warmUp)
+	b.startLoad(b.allWorkspaces(baseRate, b.nonRepeatableMix()), loadTime)
+	b.sleep(warmUpTime)
 	follower.Process().Kill()
 	b.sleep(2 * time.Second)
 	if err := follower.Start(); err != nil {
@@ -72,7 +78,8 @@
 	return err
 }
 
-func (b *bed) followerOf(leader *launcher.Node) *launcher.Node {
+// followerOf returns a keeper other than the leader.
+func (b *testbed) followerOf(leader *launcher.Node) *launcher.Node {
 	for _, keeper := range b.fleet.Of(launcher.Keeper) {
 		if keeper != leader {
 			return keeper
@@ -81,28 +88,29 @@
 	return nil
 }
 
-// killLeaderChanging: every change that was accepted is in force at the end,
-// once, also those whose first answer was lost with the leader.
-func killLeaderChanging(b *bed) error {
+// killLeaderChanging: every accepted change is in force at the end and was applied
+// once, including those whose first answer was lost with the leader.
+func killLeaderChanging(b *testbed) error {
 	leader, err := b.leader()
 	if err != nil {
 		return err
 	}
-	return b.changing(func() error {
+	return b.changeDuring(func() error {
 		leader.Process().Kill()
 		b.sleep(2 * time.Second)
 		return leader.Start()
 	})
 }
 
-// freezeLeader: the old leader wakes up in a term that has passed.
-func freezeLeader(b *bed) error {
+// freezeLeader: the old leader resumes in a term that is over. Neither claims nor
+// changes may be lost or applied twice.
+func freezeLeader(b *testbed) error {
 	leader, err := b.leader()
 	if err != nil {
 		return err
 	}
-	b.send(b.everyone(usualRate, b.onceMix()), usualTime)
-	err = b.changing(func() error {
+	b.startLoad(b.allWorkspaces(baseRate, b.nonRepeatableMix()), loadTime)
+	err = b.changeDuring(func() error {
 		leader.Process().Freeze()
 		b.sleep(freezeTime / 2)
 		leader.Process().Resume()
@@ -115,34 +123,34 @@
 	return err
 }
 
-// changing makes changes one after the other, each resent until it is
-// answered, while the fault happens, and checks them at the end.
-func (b *bed) changing(fault func() error) error {
-	log := newChanges(b)
-	failed := make(chan error, 1)
+// changeDuring makes changes one after the other, each resent until it is
+// accepted, while the fault is injected, and checks them at the end.
+func (b *testbed) changeDuring(fault func() error) error {
+	maker := newChangeMaker(b)
+	injected := make(chan error, 1)
 	go func() {
-		b.sleep(warmUp)
-		failed <- fault()
+		b.sleep(warmUpTime)
+		injected <- fault()
 	}()
-	if err := log.run(usualTime); err != nil {
+	if err := maker.run(loadTime); err != nil {
 		return err
 	}
-	if err := <-failed; err != nil {
+	if err := <-injected; err != nil {
 		return err
 	}
-	return log.check()
+	return maker.check()
 }
 
-// lostDisk: a keeper whose disk is wiped joins again as a new member; when it
-// has caught up, the loss of a second keeper must lose nothing.
-func lostDisk(b *bed) error {
+// lostDisk: a keeper whose disk is wiped rejoins the group as a new member. After
+// it has caught up, the loss of a second keeper must not lose any accepted change.
+func lostDisk(b *testbed) error {
 	leader, err := b.leader()
 	if err != nil {
 		return err
 	}
 	victim := b.followerOf(leader)
-	log := newChanges(b)
-	if err := log.run(2 * time.Second); err != nil {
+	maker := newChangeMaker(b)
+	if err := maker.run(2 * time.Second); err != nil {
 		return err
 	}
 	victim.Process().Kill()
@@ -153,37 +161,40 @@
 	if err := victim.Start(); err != nil {
 		return err
 	}
-	took, err := b.await(startLimit, "the wiped keeper's return as a voter", func() bool { return b.votes(victim) })
+	took, err := b.await(startTimeout, "the wiped keeper's return as a voter", func() bool { return b.isCaughtUpVoter(victim) })
 	if err != nil {
 		return err
 	}
-	b.note("votes again after %v", took.Round(time.Millisecond))
+	b.addFigure("votes again after %v", took.Round(time.Millisecond))
 	leader.Process().Kill()
-	if err := log.run(4 * time.Second); err != nil {
+	if err := maker.run(4 * time.Second); err != nil {
 		return err
 	}
-	return log.check()
+	return maker.check()
 }
 
-// votes tells whether the routers see the keeper as a voter that has caught up.
-func (b *bed) votes(keeper *launcher.Node) bool {
+// isCaughtUpVoter reports whether the keeper is a voter or the leader, has a quorum
+// and has applied as much as any other keeper, according to the first router that
+// answers.
+func (b *testbed) isCaughtUpVoter(keeper *launcher.Node) bool {
 	for _, router := range b.fleet.Of(launcher.Router) {
 		var status reporter.Status
 		if router.Admin(b.ctx, "/admin/status", &status) != nil {
 			continue
 		}
-		var told, most reporter.Keeper
+		var reported, furthest reporter.Keeper
 		for _, k := range status.Keepers {
 			if k.Name == keeper.Name {
-				told = k
+				reported = k
 			}
-			if k.Applied > most.Applied {
-				most = k
+			if k.Applied > furthest.Applied {
+				furthest = k
 			}
 		}
-		return (told.Role == "voter" || told.Role == "leader") && told.Quorum && told.Applied >= most.Applied
+		return (reported.Role == "voter" || reported.Role == "leader") && reported.Quorum && reported.Applied >= furthest.Applied
 	}
 	return false
 }
 
+// changeID returns the id of a changeMaker's n-th change.
 func changeID(n int) string { return fmt.Sprintf("faults-%05d", n) }
--- a/bench/internal/faults/network.go
+++ b/bench/internal/faults/network.go
@@ -13,54 +13,56 @@
 const (
 	// cutTime is longer than every lease of the system.
 	cutTime = 5 * time.Second
-	// longCut is longer than the routers wait for a quorum.
-	longCut = 12 * time.Second
-	// refusalLimit is how soon a request that may not repeat has its final
-	// answer in a zone without a quorum: longer than an election, and short
-	// enough for its caller to go elsewhere.
+	// longCutTime is longer than the time for which routers wait for a quorum.
+	longCutTime = 12 * time.Second
+	// refusalLimit bounds the time until a non-repeatable request gets its final
+	// answer in a zone without a quorum: longer than an election, and short enough
+	// for the client to try another zone.
 	refusalLimit = 5 * time.Second
 )
 
 func networkCells() []cell {
-	relays := shape{relays: true}
+	relays := fleetOptions{relays: true}
 	return []cell{
-		{fault: "zone cut off", step: "under load, then rejoins", shape: relays, run: cutZone},
-		{fault: "one-way cut", step: "a zone's messages to the others are lost", shape: relays, run: func(b *bed) error { return cutOneWay(b, true) }},
-		{fault: "one-way cut", step: "the others' messages to a zone are lost", shape: relays, run: func(b *bed) error { return cutOneWay(b, false) }},
-		{fault: "keeper leader cut silently", step: "claims and changes under way", shape: relays, run: cutLeader},
-		{fault: "router cut from its zone", step: "the scheduler, under load", shape: relays, run: cutScheduler},
+		{fault: "zone cut off", step: "under load, then rejoins", fleet: relays, run: cutZone},
+		{fault: "one-way cut", step: "a zone's messages to the others are lost", fleet: relays, run: func(b *testbed) error { return cutOneWay(b, true) }},
+		{fault: "one-way cut", step: "the others' messages to a zone are lost", fleet: relays, run: func(b *testbed) error { return cutOneWay(b, false) }},
+		{fault: "keeper leader cut silently", step: "claims and changes under way", fleet: relays, run: cutLeader},
+		{fault: "router cut from its zone", step: "the scheduler, under load", fleet: relays, run: cutScheduler},
 	}
 }
 
-// cutZone: each side goes on serving what it can. The zone without quorum
-// refuses what may not repeat as not run, and serves the rest.
-func cutZone(b *bed) error {
-	b.send(b.everyone(usualRate, b.mix()), longCut+usualTime)
+// cutZone: a zone is cut off from the others, and each side serves what it can.
+// The zone without a quorum refuses non-repeatable requests as not run, and serves
+// all others.
+func cutZone(b *testbed) error {
+	b.startLoad(b.allWorkspaces(baseRate, b.mix()), longCutTime+loadTime)
 	b.sleep(2 * time.Second)
 	b.cutZone(zoneA)
-	took, err := b.await(cutTime, "the cut zone's notice that it has no quorum", func() bool { return b.stale(zoneA) })
+	took, err := b.await(cutTime, "the cut zone's notice that it has no quorum", func() bool { return b.reportsStale(zoneA) })
 	if err != nil {
 		return err
 	}
-	b.note("%s knows that it may be stale after %v", zoneA, took.Round(time.Millisecond))
-	b.sleep(longCut)
+	b.addFigure("%s knows that it may be stale after %v", zoneA, took.Round(time.Millisecond))
+	b.sleep(longCutTime)
 	for _, zone := range []string{zoneA, zoneB} {
-		took, err := b.answers(zone, recoverLimit)
+		took, err := b.awaitAnswer(zone, recoveryTimeout)
 		if err != nil {
 			return err
 		}
-		b.note("%s answers during the cut after %v", zone, took.Round(time.Millisecond))
+		b.addFigure("%s answers during the cut after %v", zone, took.Round(time.Millisecond))
 	}
-	b.network.Mend()
+	b.network.Heal()
 	if _, err = b.judge(); err != nil {
 		return err
 	}
-	return b.refusedWithoutQuorum()
+	return b.checkQuorumRefusals()
 }
 
-// refusedWithoutQuorum checks that what may not repeat was refused where no
-// quorum was reached, and how soon. Without a refusal the cut was none.
-func (b *bed) refusedWithoutQuorum() error {
+// checkQuorumRefusals checks that non-repeatable requests were refused for want of
+// a quorum, and that none waited longer than refusalLimit. No refusal at all means
+// that the cut was not effective.
+func (b *testbed) checkQuorumRefusals() error {
 	results, _ := b.recorder.Results()
 	refused, longest := 0, time.Duration(0)
 	for _, result := range results {
@@ -71,16 +73,17 @@
 			longest = max(longest, result.Took)
 		}
 	}
-	b.note("%d refused for want of a quorum; what may not repeat waited at most %v", refused, longest.Round(time.Millisecond))
+	b.addFigure("%d refused for want of a quorum; what may not repeat waited at most %v", refused, longest.Round(time.Millisecond))
 	if refused == 0 || longest > refusalLimit {
 		return merry.Errorf("%w: %d refused for want of a quorum, and the longest wait was %v, limit %v", ErrCell, refused, longest, refusalLimit)
 	}
 	return nil
 }
 
-// stale tells whether every router of the zone says that its configuration may
-// be stale. A cut that no router notices is no cut, and its cell shows nothing.
-func (b *bed) stale(zone string) bool {
+// reportsStale tells whether every router of the zone reports that its configuration
+// may be stale. If the routers do not notice the cut, it was not effective, and the
+// cell would pass without proving anything.
+func (b *testbed) reportsStale(zone string) bool {
 	for _, router := range b.fleet.In(zone, launcher.Router) {
 		var objects reporter.Objects
 		if router.Admin(b.ctx, "/admin/objects", &objects) != nil || !objects.Stale {
@@ -90,9 +93,10 @@
 	return true
 }
 
-// cutOneWay: what one side sends is lost, and it hears the other.
-func cutOneWay(b *bed, outward bool) error {
-	b.send(b.everyone(usualRate, b.mix()), 2*usualTime)
+// cutOneWay: messages between a zone and the others are lost in one direction and
+// delivered in the other one.
+func cutOneWay(b *testbed, outward bool) error {
+	b.startLoad(b.allWorkspaces(baseRate, b.mix()), 2*loadTime)
 	b.sleep(2 * time.Second)
 	b.cut(func(from, to *launcher.Node) bool {
 		if outward {
@@ -102,27 +106,28 @@
 	})
 	b.sleep(cutTime)
 	for _, zone := range []string{zoneA, zoneB} {
-		if _, err := b.answers(zone, recoverLimit); err != nil {
+		if _, err := b.awaitAnswer(zone, recoveryTimeout); err != nil {
 			return err
 		}
 	}
-	b.network.Mend()
+	b.network.Heal()
 	_, err := b.judge()
 	return err
 }
 
-// cutLeader: the leader loses everyone without a sign. It steps down within
-// its lease; the others go on; what it had not committed is not in force.
-func cutLeader(b *bed) error {
+// cutLeader: the leader's links to all other processes are cut without a reset. It
+// steps down within its lease, the other keepers elect a leader and continue, and
+// entries that it had not committed do not come into force.
+func cutLeader(b *testbed) error {
 	leader, err := b.leader()
 	if err != nil {
 		return err
 	}
-	b.send(b.everyone(usualRate, b.onceMix()), 2*usualTime)
-	err = b.changing(func() error {
+	b.startLoad(b.allWorkspaces(baseRate, b.nonRepeatableMix()), 2*loadTime)
+	err = b.changeDuring(func() error {
 		b.cut(func(from, to *launcher.Node) bool { return from == leader || to == leader })
 		b.sleep(cutTime)
-		b.network.Mend()
+		b.network.Heal()
 		return nil
 	})
 	if err != nil {
@@ -132,22 +137,22 @@
 	return err
 }
 
-// cutScheduler: the scheduler's router reaches nobody of the fleet, though its
-// callers reach it. The zone gets another scheduler; its own callers get an
-// answer or are refused as not run.
-func cutScheduler(b *bed) error {
+// cutScheduler: the router that schedules a pool is cut from the other routers and
+// the keepers, while its clients still reach it. The zone gets another scheduler;
+// clients of the cut router get an answer or are refused as not run.
+func cutScheduler(b *testbed) error {
 	victim, err := b.scheduler(zoneA, b.deployment.Model)
 	if err != nil {
 		return err
 	}
-	b.send(b.everyone(usualRate, b.mix()), 2*usualTime)
-	b.sleep(warmUp)
+	b.startLoad(b.allWorkspaces(baseRate, b.mix()), 2*loadTime)
+	b.sleep(warmUpTime)
 	b.cut(func(from, to *launcher.Node) bool {
-		// Endpoints stay reachable: it is the system's own network that is cut.
+		// Endpoints stay reachable: only the links between routers and keepers are cut.
 		return (from == victim && to.Role != launcher.Standin) || (to == victim && from.Role != launcher.Standin)
 	})
 	b.sleep(cutTime)
-	b.network.Mend()
+	b.network.Heal()
 	_, err = b.judge(caller.Unknown)
 	return err
 }
--- a/bench/internal/faults/pairs.go
+++ b/bench/internal/faults/pairs.go
@@ -9,53 +9,54 @@
 
 const pairTime = 12 * time.Second
 
-// disturbance is one fault of a pair: begin causes it, and what it returns
+// pairedFault is one fault of a pair: inject causes it, and the returned function
 // ends it.
-type disturbance struct {
-	name  string
-	begin func(*bed) (end func() error, err error)
+type pairedFault struct {
+	name   string
+	inject func(*testbed) (end func() error, err error)
 }
 
-func disturbances() []disturbance {
-	return []disturbance{
-		{"kill", disturbByKill},
-		{"freeze", disturbByFreeze},
-		{"cut", disturbByCut},
-		{"flood", func(b *bed) (func() error, error) {
-			stop := b.flooding(0)
+func pairedFaults() []pairedFault {
+	return []pairedFault{
+		{"kill", injectKill},
+		{"freeze", injectFreeze},
+		{"cut", injectCut},
+		{"flood", func(b *testbed) (func() error, error) {
+			stop := b.startFlood(0)
 			return func() error { stop(); return nil }, nil
 		}},
-		{"crashing request", disturbByPoison},
+		{"crashing request", injectPoison},
 	}
 }
 
-// pairCells is every pair of faults at once, a fault with itself included.
+// pairCells returns a cell for every pair of simultaneous faults, including each
+// fault with itself.
 func pairCells() []cell {
 	var all []cell
-	faults := disturbances()
+	faults := pairedFaults()
 	for i, first := range faults {
 		for _, second := range faults[i:] {
 			all = append(all, cell{
-				fault: "pair", step: first.name + " and " + second.name, shape: shape{relays: true},
-				run: func(b *bed) error { return pair(b, first, second) },
+				fault: "pair", step: first.name + " and " + second.name, fleet: fleetOptions{relays: true},
+				run: func(b *testbed) error { return runPair(b, first, second) },
 			})
 		}
 	}
 	return all
 }
 
-// pair causes two faults at once under a load of everything. Its callers may
-// see cuts and unknown outcomes, since routers are killed; what must never
-// happen must not happen.
-func pair(b *bed, first, second disturbance) error {
-	b.send(b.everyone(usualRate, b.mix()), pairTime)
+// runPair injects two faults at once under a mixed load. Clients may see cuts and
+// unknown outcomes, since routers are killed; the fleet's guarantees hold all the
+// same.
+func runPair(b *testbed, first, second pairedFault) error {
+	b.startLoad(b.allWorkspaces(baseRate, b.mix()), pairTime)
 	b.sleep(2 * time.Second)
-	endFirst, err := first.begin(b)
+	endFirst, err := first.inject(b)
 	if err != nil {
 		return err
 	}
 	b.sleep(300 * time.Millisecond)
-	endSecond, err := second.begin(b)
+	endSecond, err := second.inject(b)
 	if err != nil {
 		return err
 	}
@@ -65,27 +66,30 @@
 			return err
 		}
 	}
-	took, err := b.answers(zoneA, 2*recoverLimit)
+	took, err := b.awaitAnswer(zoneA, 2*recoveryTimeout)
 	if err != nil {
 		return err
 	}
-	b.note("zone answers after %v", took.Round(time.Millisecond))
+	b.addFigure("zone answers after %v", took.Round(time.Millisecond))
 	_, err = b.judge(caller.Cut, caller.Lost, caller.Unknown, caller.Unsent)
 	return err
 }
 
-func disturbByKill(b *bed) (func() error, error) {
+// injectKill kills the router that schedules the model pool of the first zone.
+func injectKill(b *testbed) (func() error, error) {
 	victim, err := b.scheduler(zoneA, b.deployment.Model)
 	if err != nil {
-		// The other fault may have taken the zone's scheduler away already.
+		// The other fault may already have left the zone without a scheduler.
 		victim = b.fleet.In(zoneA, launcher.Router)[0]
 	}
 	victim.Process().Resume()
 	victim.Process().Kill()
-	return func() error { return b.again(victim) }, nil
+	return func() error { return b.restart(victim) }, nil
 }
 
-func disturbByFreeze(b *bed) (func() error, error) {
+// injectFreeze freezes the router that schedules the model pool of the second zone,
+// or the zone's first router if no scheduler is known.
+func injectFreeze(b *testbed) (func() error, error) {
 	victim := b.fleet.In(zoneB, launcher.Router)[0]
 	if scheduler, err := b.scheduler(zoneB, b.deployment.Model); err == nil {
 		victim = scheduler
@@ -94,19 +98,22 @@
 	return func() error { victim.Process().Resume(); return nil }, nil
 }
 
-func disturbByCut(b *bed) (func() error, error) {
+// injectCut cuts the first zone off from the others.
+func injectCut(b *testbed) (func() error, error) {
 	b.cutZone(zoneA)
-	return func() error { b.network.Mend(); return nil }, nil
+	return func() error { b.network.Heal(); return nil }, nil
 }
 
-func disturbByPoison(b *bed) (func() error, error) {
-	_, stop := b.platform()
-	bad := b.planner(1, caller.Mix{Stream: 1, Models: b.deployment.Models, Bound: 16, Prompt: 100}).Next()
+// injectPoison sends a request that crashes engines through every router, one each
+// 500 ms, and restarts the crashed engines until the fault ends.
+func injectPoison(b *testbed) (func() error, error) {
+	_, stop := b.restartCrashedEngines()
+	bad := b.newPlanner(1, caller.Mix{Stream: 1, Models: b.deployment.Models, Bound: 16, Prompt: 100}).Next()
 	bad.Prompt = poison
 	for i, target := range b.fleet.Targets() {
 		b.loads.Go(func() {
 			b.sleep(time.Duration(i) * 500 * time.Millisecond)
-			b.caller().Call(b.ctx, target, bad)
+			b.newCaller().Call(b.ctx, target, bad)
 		})
 	}
 	return func() error { stop(); return nil }, nil
--- a/bench/internal/faults/poison.go
+++ b/bench/internal/faults/poison.go
@@ -12,48 +12,50 @@
 )
 
 const (
-	poison     = "veleno-veleno"
-	poisonTime = 12 * time.Second
-	resends    = 12
-	// resendPause is far less than callers are told to wait: this caller does
-	// not listen.
+	// poison is the prompt on which the model stand-ins crash.
+	poison      = "veleno-veleno"
+	poisonTime  = 12 * time.Second
+	resendCount = 12
+	// resendPause is far shorter than the Retry-After of the answers: this client
+	// ignores it.
 	resendPause = 300 * time.Millisecond
-	// mostCrashes is what one request that crashes endpoints may cost: two,
-	// after which its fingerprint is in quarantine, and two more for resends
-	// that meet before the fleet knows.
-	mostCrashes = 4
-	// revival is how soon the platform starts a crashed endpoint again.
-	revival = time.Second
+	// maxCrashes bounds the crashes that one request may cause: two, after which
+	// its fingerprint is in quarantine, and two more for resends that arrive before
+	// the quarantine has reached every router.
+	maxCrashes = 4
+	// restartDelay is the time after which the platform restarts a crashed endpoint.
+	restartDelay = time.Second
 )
 
 func poisonCells() []cell {
 	return []cell{
-		{fault: "request that crashes endpoints", step: "resent through every router", run: func(b *bed) error { return poisoned(b, nil) }},
-		{fault: "request that crashes endpoints", step: "resent, routers restarted between", run: func(b *bed) error {
-			return poisoned(b, func() error {
+		{fault: "request that crashes endpoints", step: "resent through every router", run: func(b *testbed) error { return resendPoison(b, nil) }},
+		{fault: "request that crashes endpoints", step: "resent, routers restarted between", run: func(b *testbed) error {
+			return resendPoison(b, func() error {
 				victim := b.fleet.Of(launcher.Router)[0]
 				victim.Process().Kill()
-				return b.again(victim)
+				return b.restart(victim)
 			})
 		}},
 	}
 }
 
-// poisoned sends a request that crashes each engine that runs it, again and
-// again, through one router after the other.
-func poisoned(b *bed, between func() error) error {
-	crashes, stop := b.platform()
+// resendPoison repeatedly sends a request that crashes every engine that executes
+// it, through one router after the other. The function between, if not nil, runs
+// after half of the resends.
+func resendPoison(b *testbed, between func() error) error {
+	crashes, stop := b.restartCrashedEngines()
 	defer stop()
-	b.send(b.everyone(usualRate/2, caller.Mix{Stream: 2, Whole: 1, Models: b.deployment.Models, Bound: 48, Prompt: 600}), poisonTime)
-	b.sleep(warmUp)
-	bad := b.planner(0, caller.Mix{Stream: 1, Models: b.deployment.Models, Bound: 16, Prompt: 100}).Next()
+	b.startLoad(b.allWorkspaces(baseRate/2, caller.Mix{Stream: 2, Whole: 1, Models: b.deployment.Models, Bound: 48, Prompt: 600}), poisonTime)
+	b.sleep(warmUpTime)
+	bad := b.newPlanner(0, caller.Mix{Stream: 1, Models: b.deployment.Models, Bound: 16, Prompt: 100}).Next()
 	bad.Prompt = poison
 	routers := b.fleet.Of(launcher.Router)
 	codes := make(map[string]int)
-	for i := range resends {
-		result := b.caller().Call(b.ctx, routers[i%len(routers)].URL(), bad)
+	for i := range resendCount {
+		result := b.newCaller().Call(b.ctx, routers[i%len(routers)].URL(), bad)
 		codes[string(result.Ending)+" "+result.Code]++
-		if i == resends/2 && between != nil {
+		if i == resendCount/2 && between != nil {
 			if err := between(); err != nil {
 				return err
 			}
@@ -65,19 +67,20 @@
 		allowed = append(allowed, caller.Cut, caller.Lost)
 	}
 	_, err := b.judge(allowed...)
-	b.note("%d endpoints crashed, its caller was told %v", crashes.Load(), codes)
+	b.addFigure("%d endpoints crashed, its caller was told %v", crashes.Load(), codes)
 	if err != nil {
 		return err
 	}
-	if n := crashes.Load(); n > mostCrashes {
-		return merry.Errorf("%w: one request crashed %d endpoints, more than %d", ErrCell, n, mostCrashes)
+	if n := crashes.Load(); n > maxCrashes {
+		return merry.Errorf("%w: one request crashed %d endpoints, more than %d", ErrCell, n, maxCrashes)
 	}
 	return nil
 }
 
-// platform starts crashed engines again, as the platform does, and counts the
-// crashes.
-func (b *bed) platform() (*atomic.Int64, func()) {
+// restartCrashedEngines restarts crashed model stand-ins, as the platform would, and
+// counts the crashes. The returned function stops the restarts,
+// which also end after poisonTime.
+func (b *testbed) restartCrashedEngines() (*atomic.Int64, func()) {
 	crashes := &atomic.Int64{}
 	ctx, cancel := context.WithCancel(b.ctx)
 	for _, standin := range b.fleet.Of(launcher.Standin) {
@@ -92,14 +95,15 @@
 				case <-standin.Process().Ended():
 				}
 				crashes.Add(1)
-				b.sleep(revival)
+				b.sleep(restartDelay)
 				if ctx.Err() != nil || standin.Start() != nil {
 					return
 				}
 			}
 		})
 	}
-	// The loads' group also waits for these: stop them before judging.
+	// judge waits for these goroutines too, so that they have to end before it can
+	// return.
 	time.AfterFunc(poisonTime, cancel)
 	return crashes, cancel
 }
--- a/bench/internal/faults/runner.go
+++ b/bench/internal/faults/runner.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// cellLimit bounds one cell, so that a hung process cannot stop the run.
+// cellLimit bounds the time of one cell, so that a hung process cannot block the run.
 const cellLimit = 2 * time.Minute
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
-	Programs string
-	Example  string
+	Programs string // folder of the programs under test
+	Example  string // folder of the example deployment
 	Only     string // run only cells whose name contains this
-	List     bool   // print the cells' names and run none
+	List     bool   // print the cells' names without running them
 }
 
-// cell is a fault at a step.
+// cell is one entry of the fault matrix: a fault that is injected at a step of the work.
 type cell struct {
 	fault string
 	step  string
-	shape shape
-	run   func(*bed) error
+	fleet fleetOptions
+	run   func(*testbed) error
 }
 
 func (c cell) name() string { return c.fault + " / " + c.step }
 
-// Run runs the cells in order, prints one line for each, and returns whether
-// all passed.
+// Run runs the cells in order, prints one line for each, and reports whether
+// all passed. A run without any cell has failed.
 func Run(options Options, out io.Writer) bool {
 	ran, failed := 0, 0
 	for _, c := range cells() {
@@ -53,7 +53,7 @@
 	return failed == 0 && ran > 0
 }
 
-// cells returns every cell, in the order in which they are run.
+// cells returns every cell in the order of the run.
 func cells() []cell {
 	var all []cell
 	for _, group := range [][]cell{
@@ -65,16 +65,17 @@
 	return all
 }
 
-// execute runs one cell on a bed of its own.
+// execute runs one cell on its own testbed, prints its line and reports whether it
+// passed. The folder of a failed cell is kept for its logs.
 func (c cell) execute(options Options, out io.Writer) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), cellLimit)
 	defer cancel()
-	began := time.Now()
-	b, err := newBed(ctx, options, c.shape)
+	start := time.Now()
+	b, err := newTestbed(ctx, options, c.fleet)
 	if err == nil {
 		err = c.run(b)
 	}
-	took := time.Since(began).Round(100 * time.Millisecond)
+	took := time.Since(start).Round(100 * time.Millisecond)
 	var figures []string
 	if b != nil {
 		figures = b.figures
--- a/bench/internal/launcher/configure.go
+++ b/bench/internal/launcher/configure.go
@@ -20,29 +20,30 @@
 	"shallotkeel.example/lib/reporter"
 )
 
-// tokenSuffix makes a workspace's bearer token of its name, as the example
-// deployments do.
+// tokenSuffix is appended to a workspace's name to form its bearer token, as in the
+// example deployments.
 const tokenSuffix = "-token"
 
 // Workspace is a workspace of an example deployment.
 type Workspace struct {
 	Name   string
 	Token  string
-	Weight float64
-	Large  bool
+	Weight float64 // value of its weight label; 1 if there is none
+	Large  bool    // has the label size=large
 }
 
-// Deployment is what an example's files describe.
+// Deployment holds the objects that the files of an example describe.
 type Deployment struct {
-	Folder     string
+	Folder     string // of the files
 	Objects    []describer.Object
 	Workspaces []Workspace
-	Models     []string
-	Model      string // name of the service of type model
-	Plain      string // name of the service of type plain
+	Models     []string // names of all models, sorted
+	Model      string   // name of the service of type model
+	Plain      string   // name of the service of type plain
 }
 
-// ReadDeployment reads the .jsonc files of a folder.
+// ReadDeployment reads the .jsonc files of a folder. A folder without such files is
+// an error.
 func ReadDeployment(folder string) (Deployment, error) {
 	d := Deployment{Folder: folder}
 	paths, err := filepath.Glob(filepath.Join(folder, "*.jsonc"))
@@ -61,12 +62,13 @@
 		d.Objects = append(d.Objects, objects...)
 	}
 	for _, object := range d.Objects {
-		d.note(object)
+		d.add(object)
 	}
 	return d, nil
 }
 
-func (d *Deployment) note(object describer.Object) {
+// add derives the workspaces, models and service names from an object.
+func (d *Deployment) add(object describer.Object) {
 	switch object.Kind {
 	case describer.Workspace:
 		weight, err := strconv.ParseFloat(object.Labels[describer.LabelWeight], 64)
@@ -91,8 +93,8 @@
 	}
 }
 
-// Apply applies files with skctl, as an operator would, and waits until they
-// are in force everywhere.
+// Apply applies files with skctl, as an operator would, and waits until they are
+// in force on every router.
 func (f *Fleet) Apply(ctx context.Context, files ...string) error {
 	arguments := []string{"--token", OperatorToken, "--author", "bench"}
 	for _, target := range f.Targets() {
@@ -100,15 +102,15 @@
 	}
 	arguments = append(append(arguments, "apply", "--wait"), files...)
 	command := exec.CommandContext(ctx, filepath.Join(f.Plan.Programs, "skctl"), arguments...)
-	said, err := command.CombinedOutput()
+	output, err := command.CombinedOutput()
 	if err != nil {
-		return merry.Errorf("%w: skctl apply: %v: %s", ErrFleet, err, said)
+		return merry.Errorf("%w: skctl apply: %v: %s", ErrFleet, err, output)
 	}
 	return nil
 }
 
-// Change sends a change to one router and returns the status and the answer.
-// A status of 0 says that no answer came.
+// Change sends a change to one router and returns the HTTP status and the answer.
+// A status of 0 means that there was no answer.
 func (n *Node) Change(ctx context.Context, change describer.Change) (int, reporter.Applied, error) {
 	var applied reporter.Applied
 	text, err := json.Marshal(change)
@@ -129,15 +131,16 @@
 	if err != nil {
 		return response.StatusCode, applied, merry.Errorf("%w: %v", ErrFleet, err)
 	}
-	_ = json.Unmarshal(body, &applied) // an error has another shape; the status tells
+	_ = json.Unmarshal(body, &applied) // the body of an error has another format; the status identifies it
 	return response.StatusCode, applied, nil
 }
 
-// adminTimeout bounds one look, since a frozen router takes connections and
-// answers nothing.
+// adminTimeout bounds one request of Admin, since a frozen router accepts
+// connections but does not answer.
 const adminTimeout = 2 * time.Second
 
-// Admin reads one of a router's operators' paths.
+// Admin sends a GET request for one of the router's /admin/ paths and decodes the
+// JSON answer. Any status other than 200 is an error.
 func (n *Node) Admin(ctx context.Context, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
@@ -160,35 +163,36 @@
 	return nil
 }
 
-// AwaitEndpoints waits until the routers of each zone know its stand-ins.
+// AwaitEndpoints waits until every stand-in is listed by a router.
 func (f *Fleet) AwaitEndpoints(ctx context.Context) error {
 	for {
-		missing := f.missing(ctx)
+		missing := f.missingStandin(ctx)
 		if missing == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return merry.Errorf("%w: no router knows %s", ErrFleet, missing)
-		case <-time.After(readyPause):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// missing names a stand-in that no router of its zone knows.
-func (f *Fleet) missing(ctx context.Context) string {
-	known := make(map[string]bool)
+// missingStandin returns the name of a stand-in that no router lists among its
+// endpoints, and the empty name if there is none.
+func (f *Fleet) missingStandin(ctx context.Context) string {
+	listed := make(map[string]bool)
 	for _, router := range f.Of(Router) {
 		var status reporter.Status
 		if router.Admin(ctx, "/admin/status", &status) != nil {
 			continue
 		}
 		for _, endpoint := range status.Endpoints {
-			known[endpoint.ID] = true
+			listed[endpoint.ID] = true
 		}
 	}
 	for _, standin := range f.Of(Standin) {
-		if !known[standin.Name] {
+		if !listed[standin.Name] {
 			return standin.Name
 		}
 	}
--- a/bench/internal/launcher/fleet.go
+++ b/bench/internal/launcher/fleet.go
@@ -16,40 +16,41 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrFleet is the kind of every error about a fleet.
+// ErrFleet is the base of every error about a fleet.
 var ErrFleet = merry.Sentinel("fleet is not as planned")
 
 const (
-	endGrace    = 5 * time.Second
-	readyPause  = 50 * time.Millisecond
-	probeLimit  = time.Second
-	logTailSize = 600
+	stopGrace         = 5 * time.Second
+	readyPollInterval = 50 * time.Millisecond
+	probeTimeout      = time.Second
+	logTailBytes      = 600
 )
 
-// Plan says which processes a fleet has.
+// Plan describes the processes of a fleet.
 type Plan struct {
-	Programs string // folder of the programs
+	Programs string // folder of the executables
 	Folder   string // for settings, logs, journals and the keepers' data
 	Zones    []ZonePlan
-	// Scheduling and Trace go to the routers' settings.
+	// Scheduling and Trace are copied to the routers' settings.
 	Scheduling string
 	Trace      string
-	// Wire, if set, replaces the address by which others reach a process.
+	// Wire, if set, replaces the addresses that processes advertise to others.
 	Wire Wire
 }
 
-// ZonePlan is one availability zone's processes.
+// ZonePlan describes the processes of one availability zone.
 type ZonePlan struct {
 	Name     string
-	Keepers  int
-	Routers  int
+	Keepers  int // number of keepers
+	Routers  int // number of routers
 	Standins []StandinSettings
 }
 
-// Wire puts something, such as a relay, in front of an address.
+// Wire returns the address at which other processes reach a listener of a node, for
+// example that of a relay; inner is the address on which the process listens.
 type Wire func(node *Node, port Port, inner netip.AddrPort) (netip.AddrPort, error)
 
-// Port is one of a process's two listeners.
+// Port names one of the two listeners of a process.
 type Port string
 
 // The listeners of a process.
@@ -58,7 +59,7 @@
 	Control Port = "control"
 )
 
-// Role is what a process is.
+// Role is the program that a process runs; its value is the executable's name.
 type Role string
 
 // The roles of processes.
@@ -68,27 +69,29 @@
 	Standin Role = "standin"
 )
 
-// Node is one process's place in the fleet. The process can be started again.
+// Node is a member of the fleet with fixed settings. Its process can be restarted
+// any number of times.
 type Node struct {
 	Name    string
 	Role    Role
 	Zone    string
-	Listen  netip.AddrPort // public
-	Control netip.AddrPort
-	// reached and controlled are where others reach it.
-	reached    netip.AddrPort
-	controlled netip.AddrPort
-	Standin    StandinSettings // of a stand-in
-	settings   any
-	fleet      *Fleet
-	process    atomic.Pointer[Process]
+	Listen  netip.AddrPort // of the public listener
+	Control netip.AddrPort // of the control listener
+	// advertisedListen and advertisedControl are the addresses at which others reach
+	// the two listeners. They differ from Listen and Control behind relays.
+	advertisedListen  netip.AddrPort
+	advertisedControl netip.AddrPort
+	Standin           StandinSettings // as in the plan; of a stand-in only
+	settings          any             // of the process; encoded as JSON at each start
+	fleet             *Fleet
+	process           atomic.Pointer[Process]
 }
 
-// Process returns the node's process, which is replaced when it is started
-// again, and nil before the first start.
+// Process returns the node's current process, and nil before the first start. A
+// restart replaces it.
 func (n *Node) Process() *Process { return n.process.Load() }
 
-// Running tells whether the node has a process that has not ended.
+// Running reports whether the node has a process that has not ended.
 func (n *Node) Running() bool {
 	process := n.Process()
 	return process != nil && process.Running()
@@ -97,7 +100,7 @@
 // URL returns the base URL of the public listener.
 func (n *Node) URL() string { return "http://" + n.Listen.String() }
 
-// Fleet is a set of running processes.
+// Fleet is a set of nodes and their processes.
 type Fleet struct {
 	Plan  Plan
 	Nodes []*Node
@@ -121,7 +124,8 @@
 	return f, nil
 }
 
-// Prepare lays a fleet out without starting it.
+// Prepare assigns ports and settings to the nodes of a plan without starting any
+// process.
 func Prepare(plan Plan) (*Fleet, error) {
 	f := &Fleet{Plan: plan}
 	defer f.ports.release()
@@ -148,21 +152,22 @@
 	return f, nil
 }
 
+// add reserves the ports of a node and appends it to the fleet.
 func (f *Fleet) add(node *Node) error {
 	node.fleet = f
 	var err error
-	if node.Listen, err = f.ports.take(); err != nil {
+	if node.Listen, err = f.ports.reserve(); err != nil {
 		return err
 	}
-	if node.Control, err = f.ports.take(); err != nil {
+	if node.Control, err = f.ports.reserve(); err != nil {
 		return err
 	}
-	node.reached, node.controlled = node.Listen, node.Control
+	node.advertisedListen, node.advertisedControl = node.Listen, node.Control
 	if f.Plan.Wire != nil {
-		if node.reached, err = f.Plan.Wire(node, Public, node.Listen); err != nil {
+		if node.advertisedListen, err = f.Plan.Wire(node, Public, node.Listen); err != nil {
 			return err
 		}
-		if node.controlled, err = f.Plan.Wire(node, Control, node.Control); err != nil {
+		if node.advertisedControl, err = f.Plan.Wire(node, Control, node.Control); err != nil {
 			return err
 		}
 	}
@@ -192,7 +197,7 @@
 	return nodes
 }
 
-// Node returns the node of that name.
+// Node returns the node with this name.
 func (f *Fleet) Node(name string) (*Node, bool) {
 	for _, node := range f.Nodes {
 		if node.Name == name {
@@ -211,28 +216,29 @@
 	return targets
 }
 
+// configure sets the settings of a node; it needs the addresses of all nodes.
 func (f *Fleet) configure(node *Node) {
 	switch node.Role {
 	case Keeper:
-		node.settings = f.keeper(node)
+		node.settings = f.settingsOfKeeper(node)
 	case Router:
-		node.settings = f.router(node)
+		node.settings = f.settingsOfRouter(node)
 	case Standin:
-		node.settings = f.standin(node)
+		node.settings = f.settingsOfStandin(node)
 	}
 }
 
-func (f *Fleet) keeper(node *Node) *keeperSettings {
+func (f *Fleet) settingsOfKeeper(node *Node) *keeperSettings {
 	keepers := make(map[string]netip.AddrPort)
 	for _, keeper := range f.Of(Keeper) {
-		keepers[keeper.Name] = keeper.controlled
+		keepers[keeper.Name] = keeper.advertisedControl
 	}
 	settings := &keeperSettings{
 		Name: node.Name, Zone: node.Zone, Listen: node.Listen, Control: node.Control, Keepers: keepers,
 		Data: f.DataOf(node), Secret: FleetSecret,
 	}
-	if node.controlled != node.Control {
-		settings.Advertise = node.controlled.String()
+	if node.advertisedControl != node.Control {
+		settings.Advertise = node.advertisedControl.String()
 	}
 	return settings
 }
@@ -242,48 +248,49 @@
 	return filepath.Join(f.Plan.Folder, keeper.Name+".data")
 }
 
-func (f *Fleet) router(node *Node) *routerSettings {
+func (f *Fleet) settingsOfRouter(node *Node) *routerSettings {
 	settings := &routerSettings{
 		Name: node.Name, Zone: node.Zone, Listen: node.Listen, Control: node.Control, Secret: FleetSecret,
 		EndpointToken: EndpointToken, OperatorToken: OperatorToken, Scheduling: f.Plan.Scheduling, Trace: f.Plan.Trace,
 	}
-	if node.controlled != node.Control {
-		settings.Advertise = node.controlled.String()
+	if node.advertisedControl != node.Control {
+		settings.Advertise = node.advertisedControl.String()
 	}
 	for _, peer := range f.Of(Router) {
 		if peer != node {
-			settings.Peers = append(settings.Peers, peer.controlled)
+			settings.Peers = append(settings.Peers, peer.advertisedControl)
 		}
 	}
-	for _, near := range []bool{true, false} {
+	// The keepers of the router's own zone come first.
+	for _, sameZone := range []bool{true, false} {
 		for _, keeper := range f.Of(Keeper) {
-			if (keeper.Zone == node.Zone) == near {
-				settings.Keepers = append(settings.Keepers, keeper.controlled)
+			if (keeper.Zone == node.Zone) == sameZone {
+				settings.Keepers = append(settings.Keepers, keeper.advertisedControl)
 			}
 		}
 	}
 	return settings
 }
 
-func (f *Fleet) standin(node *Node) *StandinSettings {
+func (f *Fleet) settingsOfStandin(node *Node) *StandinSettings {
 	settings := node.Standin
 	settings.Listen, settings.EndpointToken = node.Listen, EndpointToken
 	settings.Journal = f.JournalOf(node)
-	if node.reached != node.Listen {
-		settings.Address = &node.reached
+	if node.advertisedListen != node.Listen {
+		settings.Address = &node.advertisedListen
 	}
 	for _, router := range f.In(node.Zone, Router) {
-		settings.Routers = append(settings.Routers, router.reached)
+		settings.Routers = append(settings.Routers, router.advertisedListen)
 	}
 	return &settings
 }
 
-// JournalOf returns the file in which a stand-in's executions are.
+// JournalOf returns the file to which a stand-in writes its executions.
 func (f *Fleet) JournalOf(standin *Node) string {
 	return filepath.Join(f.Plan.Folder, standin.Name+".journal")
 }
 
-// Start starts every process.
+// Start starts the process of every node.
 func (f *Fleet) Start() error {
 	for _, node := range f.Nodes {
 		if err := node.Start(); err != nil {
@@ -293,7 +300,7 @@
 	return nil
 }
 
-// Start starts the node's process, or starts it again.
+// Start starts the node's process for the first time or once more.
 func (n *Node) Start() error {
 	if n.Role == Keeper {
 		if err := os.MkdirAll(n.fleet.DataOf(n), folderMode); err != nil {
@@ -308,14 +315,14 @@
 	return nil
 }
 
-// Join makes the keeper start as a new member that joins the running group.
+// Join makes a keeper join the running group as a new member at its next start.
 func (n *Node) Join() {
 	if settings, isKeeper := n.settings.(*keeperSettings); isKeeper {
 		settings.Join = true
 	}
 }
 
-// AwaitReady waits until every process of the system answers that it is ready.
+// AwaitReady waits until every keeper and router reports that it is ready.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	for _, role := range []Role{Keeper, Router} {
 		for _, node := range f.Of(role) {
@@ -327,30 +334,33 @@
 	return nil
 }
 
-// AwaitReady waits until the process answers that it is ready.
+// AwaitReady waits until the process reports that it is ready. It fails when the
+// process ends or the context is done, with the end of the log in the error.
 func (n *Node) AwaitReady(ctx context.Context) error {
-	told := "no answer"
+	lastAnswer := "no answer"
 	for {
 		status, text := n.probe(ctx)
 		if status == http.StatusOK {
 			return nil
 		}
 		if status != 0 {
-			told = fmt.Sprintf("%d %s", status, text)
+			lastAnswer = fmt.Sprintf("%d %s", status, text)
 		}
 		select {
 		case <-ctx.Done():
-			return merry.Errorf("%w: %s is not ready: %s; its log ends: %s", ErrFleet, n.Name, told, n.Tail())
+			return merry.Errorf("%w: %s is not ready: %s; its log ends: %s", ErrFleet, n.Name, lastAnswer, n.Tail())
 		case <-n.Process().Ended():
 			return merry.Errorf("%w: %s has ended with status %d; its log ends: %s",
 				ErrFleet, n.Name, n.Process().Status(), n.Tail())
-		case <-time.After(readyPause):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
+// probe requests /readyz and returns the status and the text of the answer, and a
+// status of 0 without one.
 func (n *Node) probe(ctx context.Context) (status int, text string) {
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.URL()+"/readyz", nil)
 	if err != nil {
@@ -361,7 +371,7 @@
 		return 0, ""
 	}
 	defer response.Body.Close()
-	body, _ := io.ReadAll(io.LimitReader(response.Body, logTailSize))
+	body, _ := io.ReadAll(io.LimitReader(response.Body, logTailBytes))
 	return response.StatusCode, strings.TrimSpace(string(body))
 }
 
@@ -371,17 +381,17 @@
 	if err != nil {
 		return err.Error()
 	}
-	return strings.TrimSpace(string(text[max(0, len(text)-logTailSize):]))
+	return strings.TrimSpace(string(text[max(0, len(text)-logTailBytes):]))
 }
 
-// Close ends every process: stand-ins and routers first, so that nothing
-// fails for want of those that it depends on.
+// Close stops every process: routers first, then stand-ins, then keepers, so that no
+// process loses a process that it depends on.
 func (f *Fleet) Close() {
 	for _, role := range []Role{Router, Standin, Keeper} {
 		var ending sync.WaitGroup
 		for _, node := range f.Of(role) {
 			if node.Running() {
-				ending.Go(func() { node.Process().End(endGrace) })
+				ending.Go(func() { node.Process().End(stopGrace) })
 			}
 		}
 		ending.Wait()
--- a/bench/internal/launcher/launcher_test.go
+++ b/bench/internal/launcher/launcher_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// program writes a script that is started in place of a program.
-func program(t *testing.T, folder, script string) string {
+// writeProgram writes a shell script that a test starts in place of a program.
+func writeProgram(t *testing.T, folder, script string) string {
 	t.Helper()
 	path := filepath.Join(folder, "program")
 	require.NoError(t, os.WriteFile(path, []byte("#!/bin/sh\n"+script), 0o755))
@@ -19,7 +19,7 @@
 }
 
 func TestProcess(t *testing.T) {
-	const long = 10 * time.Second
+	const waitTimeout = 10 * time.Second
 	tests := map[string]struct {
 		script  string
 		end     func(*Process)
@@ -27,19 +27,19 @@
 		status  int
 		message string
 	}{
-		"stops when it is asked": {
+		"stops on SIGTERM": {
 			script: "trap 'echo bye; exit 0' TERM; echo ready; while :; do sleep 0.01; done",
-			end:    func(p *Process) { require.True(t, p.End(long)) }, status: 0, message: "bye",
+			end:    func(p *Process) { require.True(t, p.End(waitTimeout)) }, status: 0, message: "bye",
 		},
-		"is killed when it does not stop": {
+		"is killed when it ignores SIGTERM": {
 			script: "trap '' TERM; echo ready; while :; do sleep 0.01; done",
 			end:    func(p *Process) { require.False(t, p.End(100*time.Millisecond)) }, status: -1,
 		},
-		"stops also when it is frozen": {
+		"stops when it is frozen": {
 			script: "trap 'exit 5' TERM; echo ready; while :; do sleep 0.01; done",
 			end: func(p *Process) {
 				p.Freeze()
-				require.True(t, p.End(long))
+				require.True(t, p.End(waitTimeout))
 			}, status: 5,
 		},
 		"is not signalled once it has ended": {
@@ -53,13 +53,13 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			folder := t.TempDir()
-			p, err := Start(folder, "p", program(t, folder, test.script), map[string]string{"name": "p"})
+			p, err := Start(folder, "p", writeProgram(t, folder, test.script), map[string]string{"name": "p"})
 			require.NoError(t, err)
 			defer p.Kill()
 			require.Eventually(t, func() bool {
 				text, _ := os.ReadFile(p.Log)
 				return len(text) > 0
-			}, long, time.Millisecond)
+			}, waitTimeout, time.Millisecond)
 			test.end(p)
 			require.False(t, p.Running())
 			require.Equal(t, test.status, p.Status())
@@ -70,9 +70,9 @@
 	}
 }
 
-func TestProcessTellsWhatItUses(t *testing.T) {
+func TestProcessReportsCPUAndMemory(t *testing.T) {
 	folder := t.TempDir()
-	p, err := Start(folder, "p", program(t, folder, "while :; do :; done"), nil)
+	p, err := Start(folder, "p", writeProgram(t, folder, "while :; do :; done"), nil)
 	require.NoError(t, err)
 	defer p.Kill()
 	require.Eventually(t, func() bool {
@@ -84,12 +84,13 @@
 	require.Positive(t, memory)
 }
 
-// A process that listens behind a relay must be reached by others through it
-// and listen itself where it really is.
+// A process behind a relay advertises the address of the relay to the others, while
+// it listens on its own address. Otherwise its traffic would bypass the relay, and no
+// cut would affect it.
 func TestPrepareWiresPeersThroughRelays(t *testing.T) {
 	wired := netip.MustParseAddrPort("127.0.0.1:9")
 	plan := Plan{Folder: t.TempDir(), Zones: []ZonePlan{
-		{Name: "a", Keepers: 1, Routers: 2, Standins: []StandinSettings{Model("m1", "modelli", []string{"m"})}},
+		{Name: "a", Keepers: 1, Routers: 2, Standins: []StandinSettings{ModelStandin("m1", "modelli", []string{"m"})}},
 		{Name: "b", Keepers: 2, Routers: 1},
 	}}
 	plain, err := Prepare(plan)
--- a/bench/internal/launcher/process.go
+++ b/bench/internal/launcher/process.go
@@ -1,10 +1,10 @@
-// Package launcher starts shallotkeel's programs as separate processes for the
-// demo and the bench, and ends them.
+// Package launcher starts and stops shallotkeel's programs as separate processes
+// for the demo and the bench.
 //
-// Invariants: only processes that this package started are signalled, by
-// their id and while they have not been waited for, so that a recycled id
-// cannot hit a stranger; every started process is ended by Fleet.Close, and
-// by the kernel if the bench itself dies first.
+// Invariants: only processes that this package started are signalled, by their id
+// and only before they have been waited for, so that a reused id cannot make a
+// signal reach an unrelated process. Fleet.Close ends every started process, and
+// the kernel does if the bench dies first.
 package launcher
 
 import (
@@ -24,29 +24,31 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrProcess is the kind of every error about a process.
+// ErrProcess is the base of every error about a process.
 var ErrProcess = merry.Sentinel("process failed")
 
 const (
 	fileMode   = 0o644
 	folderMode = 0o755
-	// ticksPerSecond is USER_HZ, which Linux fixes for user space.
+	// ticksPerSecond is USER_HZ, the unit of processor times in /proc. Linux fixes it
+	// for user space.
 	ticksPerSecond = 100
 )
 
-// Process is one started program.
+// Process is a program that was started.
 type Process struct {
 	Name    string
-	Log     string // file of its log
+	Log     string // path of its log file
 	command *exec.Cmd
-	ended   chan struct{}
-	lock    sync.Mutex // held while signalling, so that the id is still ours
-	done    bool
+	ended   chan struct{} // closed when it has ended
+	lock    sync.Mutex    // guards reaped; held while signalling, so that the id cannot be reused meanwhile
+	reaped  bool          // it has been waited for, and its id is free
 }
 
-// starts hands commands to one thread that lives as long as the bench,
-// because the kernel ends a process when the thread that started it ends.
-var starts = sync.OnceValue(func() chan func() {
+// spawnQueue returns the queue of a thread that starts all processes and lives as
+// long as the bench: the parent-death signal is sent when the starting thread ends,
+// not when the parent process ends.
+var spawnQueue = sync.OnceValue(func() chan func() {
 	queue := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -57,7 +59,8 @@
 	return queue
 })
 
-// Start runs a program with a settings value, which is written next to its log.
+// Start starts a program. Its settings are written to NAME.json in the folder, and
+// its output is appended to NAME.log there.
 func Start(folder, name, program string, settings any) (*Process, error) {
 	text, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
@@ -77,7 +80,7 @@
 	command.Stdout, command.Stderr = out, out
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	failed := make(chan error)
-	starts() <- func() { failed <- command.Start() }
+	spawnQueue() <- func() { failed <- command.Start() }
 	if err := <-failed; err != nil {
 		return nil, merry.Errorf("%w: %s: %v; run make build first", ErrProcess, name, err)
 	}
@@ -86,42 +89,44 @@
 	return p, nil
 }
 
+// wait reaps the process when it ends.
 func (p *Process) wait() {
 	_ = p.command.Wait()
 	p.lock.Lock()
-	p.done = true
+	p.reaped = true
 	p.lock.Unlock()
 	close(p.ended)
 }
 
+// signal sends a signal unless the process has been waited for.
 func (p *Process) signal(signal syscall.Signal) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if !p.done {
+	if !p.reaped {
 		// os.Process refuses to signal a process that has been waited for.
 		_ = p.command.Process.Signal(signal)
 	}
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// Terminate asks the process to stop.
+// Terminate sends SIGTERM, which asks the process to stop.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// Freeze stops the process without its knowledge.
+// Freeze sends SIGSTOP, which suspends the process without notice.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process go on.
+// Resume sends SIGCONT, which continues a frozen process.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Running tells whether the process has not ended yet.
+// Running reports whether the process has not ended yet.
 func (p *Process) Running() bool {
 	select {
 	case <-p.ended:
@@ -131,14 +136,15 @@
 	}
 }
 
-// Status returns the exit status of a process that has ended.
+// Status returns the exit status of a process that has ended, and -1 if a signal
+// ended it.
 func (p *Process) Status() int { return p.command.ProcessState.ExitCode() }
 
 // PID returns the process id.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// End asks the process to stop and kills it after the grace time. It tells
-// whether it stopped by itself.
+// End asks the process to stop, also if it is frozen, and kills it after the grace
+// time. It reports whether the process stopped without being killed.
 func (p *Process) End(grace time.Duration) bool {
 	p.Resume()
 	p.Terminate()
@@ -151,16 +157,16 @@
 	}
 }
 
-// CPU returns the processor time that the process has used.
+// CPU returns the processor time, user and system, that the process has used.
 func (p *Process) CPU() (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	if err != nil {
 		return 0, merry.Errorf("%w: %s has ended: %v", ErrProcess, p.Name, err)
 	}
-	// The second field is the program's name in parentheses and may hold blanks.
+	// The second field is the program's name in parentheses and may contain blanks.
 	rest := text[bytes.LastIndexByte(text, ')')+1:]
 	fields := strings.Fields(string(rest))
-	const user, system = 11, 12 // fields 14 and 15 of proc(5), counted behind the name
+	const user, system = 11, 12 // fields 14 and 15 of proc(5), as indexes after the name
 	if len(fields) <= system {
 		return 0, merry.Errorf("%w: /proc/%d/stat is short", ErrProcess, p.PID())
 	}
@@ -175,7 +181,7 @@
 	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
 
-// Memory returns the bytes that the process holds in memory.
+// Memory returns the resident memory of the process in bytes.
 func (p *Process) Memory() (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.PID()))
 	if err != nil {
--- a/bench/internal/launcher/settings.go
+++ b/bench/internal/launcher/settings.go
@@ -11,14 +11,15 @@
 	"shallotkeel.example/lib/loader"
 )
 
-// The secrets of a bench fleet, which lives on loopback for minutes.
+// The secrets of a bench fleet. They can be constants, since the fleet runs on
+// loopback only, for a few minutes.
 const (
 	FleetSecret   = "bench-fleet-secret"
 	EndpointToken = "bench-endpoint-token"
 	OperatorToken = "bench-operator-token"
 )
 
-// routerSettings are the settings of a router, as docs/INTERFACES.md has them.
+// routerSettings are the settings of a router, as documented in docs/INTERFACES.md.
 type routerSettings struct {
 	Name          string           `json:"name"`
 	Zone          string           `json:"zone"`
@@ -47,7 +48,8 @@
 	Secret    string                    `json:"secret"`
 }
 
-// StandinSettings are the settings of a stand-in that a plan may choose.
+// StandinSettings are the settings of a stand-in. A plan sets those of its behaviour;
+// Prepare sets the addresses, the token and the journal.
 type StandinSettings struct {
 	Name          string            `json:"name"`
 	Listen        netip.AddrPort    `json:"listen"`
@@ -74,15 +76,16 @@
 	Journal       string            `json:"journal"`
 }
 
-// Ideal returns the tokens a second of a model stand-in whose batch is full.
-func (s StandinSettings) Ideal() float64 {
+// IdealTokensPerSecond returns the tokens per second of a model stand-in whose slots
+// are all busy.
+func (s StandinSettings) IdealTokensPerSecond() float64 {
 	step := s.TokenTime.Seconds() * (1 + s.Slowdown*float64(s.Slots-1))
 	return float64(s.Slots) / step
 }
 
-// Model returns a model stand-in as the bench uses it: eight slots, a step of
-// 8 to 11 ms, late and gappy events.
-func Model(name, service string, models []string) StandinSettings {
+// ModelStandin returns the settings of a model stand-in as the bench uses it: eight
+// slots, a step of 8 to 11 ms, and events that are delayed and sometimes lost.
+func ModelStandin(name, service string, models []string) StandinSettings {
 	return StandinSettings{
 		Name: name, Type: "model", Service: service, Models: models, Slots: 8,
 		TTL: duration(3 * time.Second), TokenTime: duration(8 * time.Millisecond), Slowdown: 0.05,
@@ -91,8 +94,8 @@
 	}
 }
 
-// PlainService returns a plain stand-in as the bench uses it.
-func PlainService(name, service string) StandinSettings {
+// PlainStandin returns the settings of a plain stand-in as the bench uses it.
+func PlainStandin(name, service string) StandinSettings {
 	return StandinSettings{
 		Name: name, Type: "plain", Service: service, Slots: 8,
 		TTL: duration(3 * time.Second), Busy: duration(5 * time.Millisecond), LoadLag: duration(time.Second),
@@ -103,43 +106,44 @@
 	return loader.Duration{Duration: d}
 }
 
-// Range in which ports are looked for: below the ephemeral ports of Linux,
-// since an outgoing connection could otherwise take the port of a process
-// that is being started again.
+// The range of the fleet's ports lies below the ephemeral ports of Linux, since an
+// outgoing connection could otherwise take the port of a process that is being
+// restarted.
 const (
-	leastPort = 12_000
-	mostPort  = 32_000
+	minPort = 12_000
+	maxPort = 32_000
 )
 
-// ports hands out free ports of the loopback address.
+// ports reserves free ports of the loopback address.
 type ports struct {
-	next int
-	held []net.Listener
+	next      int            // port that was tried last; 0 before the first
+	listeners []net.Listener // keep the reserved ports bound
 }
 
-// take reserves a port. It stays bound until release, so that no port is
-// handed out twice. The search starts at a place of its own for each bench, so
-// that two benches on one machine do not race for the same ports.
-func (p *ports) take() (netip.AddrPort, error) {
+// reserve finds a free port and keeps it bound until release, so that no port is
+// reserved twice. The search starts at a random port, so that two benches on one
+// machine do not compete for the same ports.
+func (p *ports) reserve() (netip.AddrPort, error) {
 	if p.next == 0 {
-		p.next = leastPort + rand.IntN(mostPort-leastPort)
+		p.next = minPort + rand.IntN(maxPort-minPort)
 	}
-	for range mostPort - leastPort {
-		p.next = leastPort + (p.next+1-leastPort)%(mostPort-leastPort)
+	for range maxPort - minPort {
+		p.next = minPort + (p.next+1-minPort)%(maxPort-minPort)
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(p.next))
 		listener, err := net.Listen("tcp", address.String())
 		if err != nil {
 			continue
 		}
-		p.held = append(p.held, listener)
+		p.listeners = append(p.listeners, listener)
 		return address, nil
 	}
-	return netip.AddrPort{}, merry.Errorf("%w: no free port between %d and %d; end other programs", ErrProcess, leastPort, mostPort)
+	return netip.AddrPort{}, merry.Errorf("%w: no free port between %d and %d; end other programs", ErrProcess, minPort, maxPort)
 }
 
+// release unbinds the reserved ports, so that the processes can listen on them.
 func (p *ports) release() {
-	for _, listener := range p.held {
+	for _, listener := range p.listeners {
 		_ = listener.Close()
 	}
-	p.held = nil
+	p.listeners = nil
 }
--- a/bench/internal/measurer/site.go
+++ b/bench/internal/measurer/site.go
@@ -61,11 +61,11 @@
 	for i, zone := range []string{"trento-a", "verona-b"} {
 		zonePlan := launcher.ZonePlan{Name: zone, Keepers: 2 - i, Routers: routers / 2}
 		for j := range engines / 2 {
-			engine := launcher.Model(fmt.Sprintf("%s-%s-%d", modelPool, zone, j), modelPool, []string{modelName})
+			engine := launcher.ModelStandin(fmt.Sprintf("%s-%s-%d", modelPool, zone, j), modelPool, []string{modelName})
 			engine.Slots, engine.TokenTime = slots, loader.Duration{Duration: tokenTime}
 			zonePlan.Standins = append(zonePlan.Standins, engine)
 		}
-		plain := launcher.PlainService(plainPool+"-"+zone, plainPool)
+		plain := launcher.PlainStandin(plainPool+"-"+zone, plainPool)
 		plain.Slots, plain.Busy = 64, loader.Duration{Duration: time.Millisecond}
 		zonePlan.Standins = append(zonePlan.Standins, plain)
 		plan.Zones = append(plan.Zones, zonePlan)
--- a/bench/internal/relay/owner.go
+++ b/bench/internal/relay/owner.go
@@ -9,40 +9,41 @@
 	"strings"
 )
 
-// Fields of a line of /proc/net/tcp, see proc(5).
+// Indexes of the fields of a line of /proc/net/tcp, see proc(5).
 const (
 	fieldLocal  = 1
 	fieldRemote = 2
 	fieldInode  = 9
 )
 
-// Finder finds the process that owns one end of a loopback connection, among
-// processes that the bench started itself.
+// Finder finds the process that owns one end of a loopback connection, among the
+// processes that the bench started.
 type Finder struct {
-	// Processes returns the running processes' ids by name.
+	// Processes returns the ids of the running processes by name.
 	Processes func() map[string]int
 }
 
-// Owner returns the name of the process that holds the local end of a
-// connection, and the empty name if it is none of them, such as the bench
-// itself. Both ends are needed: Linux gives one local port to several
-// connections that lead to different places, and the wrong one of them would
-// make a cut that cuts nothing.
+// Owner returns the name of the process that holds the local end of a connection,
+// and the empty name if none of the processes does, for example because the bench
+// itself holds it. Both addresses are needed: Linux uses one local port for several
+// connections to different remote addresses, and a cut that is applied to the wrong
+// one of them cuts nothing.
 func (f Finder) Owner(local, remote netip.AddrPort) string {
-	inode := inodeOf(local, remote)
+	inode := socketInode(local, remote)
 	if inode == "" {
 		return ""
 	}
-	want := "socket:[" + inode + "]"
+	socket := "socket:[" + inode + "]"
 	for name, pid := range f.Processes() {
-		if holds(pid, want) {
+		if holdsSocket(pid, socket) {
 			return name
 		}
 	}
 	return ""
 }
 
-func holds(pid int, socket string) bool {
+// holdsSocket reports whether a file descriptor of the process refers to the socket.
+func holdsSocket(pid int, socket string) bool {
 	folder := fmt.Sprintf("/proc/%d/fd", pid)
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -56,14 +57,15 @@
 	return false
 }
 
-// inodeOf looks the socket up that has these ends.
-func inodeOf(local, remote netip.AddrPort) string {
+// socketInode returns the inode of the socket with these addresses, and the empty
+// string if /proc/net/tcp does not list it.
+func socketInode(local, remote netip.AddrPort) string {
 	file, err := os.Open("/proc/net/tcp")
 	if err != nil {
 		return ""
 	}
 	defer file.Close()
-	wantLocal, wantRemote := hexadecimal(local), hexadecimal(remote)
+	wantLocal, wantRemote := procAddress(local), procAddress(remote)
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		fields := strings.Fields(lines.Text())
@@ -74,9 +76,9 @@
 	return ""
 }
 
-// hexadecimal writes an IPv4 address as /proc/net/tcp does: the address's
-// bytes in reverse, then the port.
-func hexadecimal(address netip.AddrPort) string {
+// procAddress formats an IPv4 address as /proc/net/tcp does: the bytes of the
+// address in reverse order, then the port, all in hexadecimal.
+func procAddress(address netip.AddrPort) string {
 	bytes := address.Addr().As4()
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", bytes[3], bytes[2], bytes[1], bytes[0], address.Port())
 }
--- a/bench/internal/relay/relay.go
+++ b/bench/internal/relay/relay.go
@@ -1,14 +1,14 @@
-// Package relay stands between the fleet's processes and cuts their
-// connections, in one direction or both, without a reset: what a network
-// partition looks like from inside.
+// Package relay forwards the connections between the fleet's processes and cuts
+// them on demand, in one direction or both, without a reset. To the processes this
+// is the same as a network partition.
 //
-// A relay listens at the address by which others reach one process. It finds
-// out who connects by the process that owns the other end of the connection.
+// A relay listens at the address that one process advertises to others. It
+// identifies the client of a connection by the process that owns the remote end.
 //
-// Invariants: a cut holds back bytes and loses none, so that a connection that
-// outlives the cut goes on where it was, as TCP does; while a cut lasts a new
-// connection is accepted and stays silent, since user space cannot leave a SYN
-// unanswered; what is held back is bounded by one buffer a direction and the
+// Invariants: a cut delays bytes and loses none, so that a connection that outlives
+// the cut continues where it stopped, as with TCP retransmission. A new connection
+// is accepted during a cut but stays silent, since user space cannot leave a SYN
+// unanswered. The delayed bytes are bounded by one buffer per direction and the
 // kernel's socket buffers.
 package relay
 
@@ -23,51 +23,53 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrRelay is the kind of every error of a relay.
+// ErrRelay is the base of every error of a relay.
 var ErrRelay = merry.Sentinel("relay cannot run")
 
 const (
-	bufferSize  = 32 << 10
+	bufferBytes = 32 << 10
 	dialTimeout = 2 * time.Second
-	// The kernel's list of connections is not read in one piece, so that one
-	// look may miss a connection.
-	lookups     = 5
-	lookupPause = 2 * time.Millisecond
+	// The kernel's list of connections is not read atomically, so that a single
+	// lookup may miss a connection.
+	lookupAttempts   = 5
+	lookupRetryDelay = 2 * time.Millisecond
 )
 
-// Link is one direction between two processes, by name.
+// Link is one direction of traffic between two processes, given by their names.
 type Link struct{ From, To string }
 
-// Network is the set of relays and of cut links. Its zero value with Owner set
-// is ready to use.
+// Network is a set of relays and of cut links. Its zero value is ready to use once
+// Owner is set.
 type Network struct {
 	// Owner returns the name of the process that holds the local end of a
-	// connection.
+	// connection, and the empty name if it is not known.
 	Owner func(local, remote netip.AddrPort) string
 
 	lock      sync.Mutex
 	cut       map[Link]bool
 	changed   chan struct{} // closed and replaced whenever cut changes
 	listeners []net.Listener
-	conns     map[net.Conn]bool
+	conns     map[net.Conn]bool // open connections, which Close closes
 	closed    bool
 }
 
-// Cut cuts links until Mend is called.
+// Cut cuts links until Heal is called.
 func (n *Network) Cut(links ...Link) {
-	n.change(func() {
+	n.updateLinks(func() {
 		for _, link := range links {
 			n.cut[link] = true
 		}
 	})
 }
 
-// Mend mends every link.
-func (n *Network) Mend() {
-	n.change(func() { clear(n.cut) })
+// Heal ends every cut.
+func (n *Network) Heal() {
+	n.updateLinks(func() { clear(n.cut) })
 }
 
-func (n *Network) change(edit func()) {
+// updateLinks applies a change to the state of the links and wakes all waiting
+// connections.
+func (n *Network) updateLinks(edit func()) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	if n.cut == nil {
@@ -80,8 +82,9 @@
 	n.changed = make(chan struct{})
 }
 
-// await returns when the link is not cut, and false when the network closed.
-func (n *Network) await(link Link) bool {
+// awaitUncut waits until the link is not cut. It returns false when the network is
+// closed.
+func (n *Network) awaitUncut(link Link) bool {
 	for {
 		n.lock.Lock()
 		if n.changed == nil {
@@ -99,8 +102,9 @@
 	}
 }
 
-// Listen starts a relay in front of the process named to, which listens at
-// inner, and returns the relay's own address.
+// Listen starts a relay at the given address, where port 0 stands for any free one,
+// in front of the process named to, which listens at inner. It returns the relay's
+// address.
 func (n *Network) Listen(address netip.AddrPort, to string, inner netip.AddrPort) (netip.AddrPort, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -113,74 +117,76 @@
 	return netip.ParseAddrPort(listener.Addr().String())
 }
 
+// accept proxies every connection of a listener until it is closed.
 func (n *Network) accept(listener net.Listener, to string, inner netip.AddrPort) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return // the network was closed
 		}
-		go n.join(conn, to, inner)
+		go n.proxy(conn, to, inner)
 	}
 }
 
-// join carries one connection in both directions.
-func (n *Network) join(outer net.Conn, to string, inner netip.AddrPort) {
+// proxy forwards one connection in both directions.
+func (n *Network) proxy(outer net.Conn, to string, inner netip.AddrPort) {
 	defer outer.Close()
-	from, known := n.owner(outer)
+	from, known := n.identifyClient(outer)
 	if !known {
-		// A connection that no cut could hold back must not get through: the
-		// cell would pass without having been cut. Its caller tries again.
+		// A connection of an unknown client cannot be cut and must not get
+		// through: the cell would pass without an effective cut. The client
+		// retries after the reset.
 		reset(outer)
 		return
 	}
-	there, back := Link{From: from, To: to}, Link{From: to, To: from}
-	if !n.keep(outer) || !n.await(there) {
+	request, response := Link{From: from, To: to}, Link{From: to, To: from}
+	if !n.track(outer) || !n.awaitUncut(request) {
 		return
 	}
-	defer n.forget(outer)
+	defer n.untrack(outer)
 	conn, err := net.DialTimeout("tcp", inner.String(), dialTimeout)
 	if err != nil {
-		reset(outer) // nobody listens there
+		reset(outer) // no process listens at inner
 		return
 	}
 	defer conn.Close()
-	if !n.keep(conn) {
+	if !n.track(conn) {
 		return
 	}
-	defer n.forget(conn)
+	defer n.untrack(conn)
 	var both sync.WaitGroup
-	both.Go(func() { n.carry(there, conn, outer) })
-	both.Go(func() { n.carry(back, outer, conn) })
+	both.Go(func() { n.forward(request, conn, outer) })
+	both.Go(func() { n.forward(response, outer, conn) })
 	both.Wait()
 }
 
-// owner returns the process at the far end of an accepted connection, and
-// false if that cannot be found out, for example because it has ended.
-func (n *Network) owner(outer net.Conn) (name string, known bool) {
-	far, err := netip.ParseAddrPort(outer.RemoteAddr().String())
+// identifyClient returns the name of the process at the remote end of an accepted
+// connection, and false if it is not found, for example because it has ended.
+func (n *Network) identifyClient(outer net.Conn) (name string, known bool) {
+	remote, err := netip.ParseAddrPort(outer.RemoteAddr().String())
 	if err != nil {
 		return "", false
 	}
-	near, err := netip.ParseAddrPort(outer.LocalAddr().String())
+	local, err := netip.ParseAddrPort(outer.LocalAddr().String())
 	if err != nil {
 		return "", false
 	}
-	for range lookups {
-		if name = n.Owner(far, near); name != "" {
+	for range lookupAttempts {
+		if name = n.Owner(remote, local); name != "" {
 			return name, true
 		}
-		time.Sleep(lookupPause)
+		time.Sleep(lookupRetryDelay)
 	}
 	return "", false
 }
 
-// carry moves bytes in one direction. When that direction ends, the end is
-// passed on: a half-closed connection stays half-closed, a broken one breaks.
-func (n *Network) carry(link Link, to, from net.Conn) {
-	buffer := make([]byte, bufferSize)
+// forward copies bytes in one direction until it ends, and then propagates the way
+// in which it ended: a half-close as a half-close, an error as a reset.
+func (n *Network) forward(link Link, to, from net.Conn) {
+	buffer := make([]byte, bufferBytes)
 	for {
 		size, err := from.Read(buffer)
-		if !n.await(link) {
+		if !n.awaitUncut(link) {
 			return
 		}
 		if size > 0 {
@@ -200,7 +206,7 @@
 	}
 }
 
-// reset ends both sides with a reset, so that neither takes the end of a
+// reset closes connections with a TCP reset, so that no peer mistakes the end of a
 // broken connection for the end of an answer.
 func reset(conns ...net.Conn) {
 	for _, conn := range conns {
@@ -209,7 +215,9 @@
 	}
 }
 
-func (n *Network) keep(conn net.Conn) bool {
+// track registers a connection to be closed by Close. It returns false if the
+// network is already closed.
+func (n *Network) track(conn net.Conn) bool {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	if n.closed {
@@ -222,15 +230,16 @@
 	return true
 }
 
-func (n *Network) forget(conn net.Conn) {
+// untrack removes a connection that has ended.
+func (n *Network) untrack(conn net.Conn) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	delete(n.conns, conn)
 }
 
-// Close ends every relay and connection.
+// Close closes every relay and connection.
 func (n *Network) Close() {
-	n.change(func() { n.closed = true })
+	n.updateLinks(func() { n.closed = true })
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	for _, listener := range n.listeners {
--- a/bench/internal/relay/relay_test.go
+++ b/bench/internal/relay/relay_test.go
@@ -15,10 +15,12 @@
 	"shallotkeel.example/bench/internal/relay"
 )
 
-const quiet = 150 * time.Millisecond
+// silenceTimeout is the time without an answer after which a connection counts as cut.
+const silenceTimeout = 150 * time.Millisecond
 
-// echo answers every line with the same line.
-func echo(t *testing.T) netip.AddrPort {
+// startEchoServer starts a server that sends back all bytes that it receives, and
+// returns its address.
+func startEchoServer(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -38,10 +40,10 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// connect returns a connection of process "a" to process "b" through a relay.
+// connect returns a connection through a relay to process "b", an echo server.
 func connect(t *testing.T, network *relay.Network) *net.TCPConn {
 	t.Helper()
-	address, err := network.Listen(netip.MustParseAddrPort("127.0.0.1:0"), "b", echo(t))
+	address, err := network.Listen(netip.MustParseAddrPort("127.0.0.1:0"), "b", startEchoServer(t))
 	require.NoError(t, err)
 	conn, err := net.Dial("tcp", address.String())
 	require.NoError(t, err)
@@ -49,12 +51,12 @@
 	return conn.(*net.TCPConn)
 }
 
-// says tells whether the line comes back within the quiet time.
-func says(t *testing.T, conn *net.TCPConn, reader *bufio.Reader, line string) bool {
+// echoes sends a line and reports whether it comes back within silenceTimeout.
+func echoes(t *testing.T, conn *net.TCPConn, reader *bufio.Reader, line string) bool {
 	t.Helper()
 	_, err := io.WriteString(conn, line+"\n")
 	require.NoError(t, err)
-	require.NoError(t, conn.SetReadDeadline(time.Now().Add(quiet)))
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(silenceTimeout)))
 	got, err := reader.ReadString('\n')
 	if err != nil {
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
@@ -66,13 +68,13 @@
 
 func TestCut(t *testing.T) {
 	tests := map[string]struct {
-		cut   []relay.Link
-		heard bool
+		cut       []relay.Link
+		delivered bool
 	}{
-		"nothing":                 {heard: true},
+		"nothing":                 {delivered: true},
 		"requests":                {cut: []relay.Link{{From: "a", To: "b"}}},
 		"answers":                 {cut: []relay.Link{{From: "b", To: "a"}}},
-		"another process's links": {cut: []relay.Link{{From: "c", To: "b"}, {From: "b", To: "c"}}, heard: true},
+		"another process's links": {cut: []relay.Link{{From: "c", To: "b"}, {From: "b", To: "c"}}, delivered: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -80,17 +82,17 @@
 			defer network.Close()
 			conn := connect(t, network)
 			reader := bufio.NewReader(conn)
-			require.True(t, says(t, conn, reader, "before"))
+			require.True(t, echoes(t, conn, reader, "before"))
 			network.Cut(test.cut...)
-			require.Equal(t, test.heard, says(t, conn, reader, "during"))
-			network.Mend()
+			require.Equal(t, test.delivered, echoes(t, conn, reader, "during"))
+			network.Heal()
 			require.NoError(t, conn.SetReadDeadline(time.Now().Add(10*time.Second)))
-			if !test.heard {
+			if !test.delivered {
 				got, err := reader.ReadString('\n')
 				require.NoError(t, err)
 				require.Equal(t, "during\n", got, "a cut holds bytes back and loses none")
 			}
-			require.True(t, says(t, conn, reader, "after"))
+			require.True(t, echoes(t, conn, reader, "after"))
 		})
 	}
 }
@@ -100,11 +102,11 @@
 	defer network.Close()
 	network.Cut(relay.Link{From: "a", To: "b"})
 	conn := connect(t, network)
-	require.False(t, says(t, conn, bufio.NewReader(conn), "hello"))
+	require.False(t, echoes(t, conn, bufio.NewReader(conn), "hello"))
 }
 
-// A connection whose far process is killed must break, not end: an end could
-// be taken for the end of an answer.
+// If the process behind the relay is killed, its connections must end with a reset:
+// the client could mistake a regular end for the end of an answer.
 func TestBrokenConnectionIsReset(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -131,10 +133,10 @@
 	require.Error(t, err)
 }
 
-// Two connections with one local port, to different places, as Linux makes
-// them when many processes connect: each must be told from the other, or a cut
-// cuts nothing and its cell passes. Seen failing with the remote end ignored.
-func TestFinderTellsConnectionsOfOneLocalPortApart(t *testing.T) {
+// Linux uses one local port for connections to different remote addresses when many
+// processes connect. A finder that ignores the remote address confuses these
+// connections, so that a cut cuts nothing and its cell passes all the same.
+func TestFinderDistinguishesConnectionsOfOneLocalPort(t *testing.T) {
 	first, second := dialFrom(t, 0)
 	own := netip.MustParseAddrPort(first.LocalAddr().String())
 	third, fourth := dialFrom(t, int(own.Port()))
@@ -152,8 +154,8 @@
 	require.Empty(t, nobody.Owner(own, netip.MustParseAddrPort(first.RemoteAddr().String())))
 }
 
-// dialFrom returns both ends of a connection to a listener of its own, from a
-// local port, or from any if it is 0.
+// dialFrom returns both ends of a connection from a local port, or from any free one
+// if port is 0, to a new listener.
 func dialFrom(t *testing.T, port int) (near, far net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
