--- a/bench/docs_test.go
+++ b/bench/docs_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sources holds the text of every Go file below the roots, either of the tests
-// or of all others.
-func sources(t *testing.T, tests bool, roots ...string) string {
+// sourceText returns the concatenated text of the Go files below the roots: of the
+// test files if tests is true, of all other files if not.
+func sourceText(t *testing.T, tests bool, roots ...string) string {
 	t.Helper()
 	var text strings.Builder
 	for _, root := range roots {
@@ -30,21 +30,26 @@
 }
 
 var (
-	named   = regexp.MustCompile(`"(shallotkeel_[a-z_]+)"`)
-	keepers = regexp.MustCompile(`(?:gauge|counters?)\("([a-z_]+)", `)
-	proof   = regexp.MustCompile(`\b(Test[A-Z]\w+)`)
-	listed  = regexp.MustCompile("`((?:shallotkeel|keeper)_[a-z_]+)`")
+	// routerMetric matches the full name of a metric in a string literal.
+	routerMetric = regexp.MustCompile(`"(shallotkeel_[a-z_]+)"`)
+	// keeperMetric matches the name, without its prefix, that a keeper registers a metric by.
+	keeperMetric = regexp.MustCompile(`(?:gauge|counters?)\("([a-z_]+)", `)
+	// testFunction matches the name of a test function.
+	testFunction = regexp.MustCompile(`\b(Test[A-Z]\w+)`)
+	// documentedMetric matches the name of a metric in code format on a page.
+	documentedMetric = regexp.MustCompile("`((?:shallotkeel|keeper)_[a-z_]+)`")
 )
 
-// The page of metrics must list exactly what the programs publish: an operator
-// builds alarms from it.
+// Guards against a metrics page that differs from what the programs publish:
+// operators build alarms from the page, and an alarm on a metric that does not
+// exist never fires.
 func TestMetricsPageIsComplete(t *testing.T) {
 	published := make(map[string]bool)
-	code := sources(t, false, "../router", "../keeper", "../lib")
-	for _, found := range named.FindAllStringSubmatch(code, -1) {
+	code := sourceText(t, false, "../router", "../keeper", "../lib")
+	for _, found := range routerMetric.FindAllStringSubmatch(code, -1) {
 		published[found[1]] = true
 	}
-	for _, found := range keepers.FindAllStringSubmatch(code, -1) {
+	for _, found := range keeperMetric.FindAllStringSubmatch(code, -1) {
 		if !strings.HasPrefix(found[1], "shallotkeel_") {
 			published["keeper_"+found[1]] = true
 		}
@@ -52,20 +57,20 @@
 	page, err := os.ReadFile("../docs/METRICS.md")
 	require.NoError(t, err)
 	documented := make(map[string]bool)
-	for _, found := range listed.FindAllStringSubmatch(string(page), -1) {
+	for _, found := range documentedMetric.FindAllStringSubmatch(string(page), -1) {
 		documented[found[1]] = true
 	}
 	require.Equal(t, published, documented)
 }
 
-// A proof that was renamed or deleted must not go on being claimed.
+// Guards against docs/PROOFS.md claiming a test that has been renamed or deleted.
 func TestProofsExist(t *testing.T) {
 	page, err := os.ReadFile("../docs/PROOFS.md")
 	require.NoError(t, err)
-	code := sources(t, true, "..")
-	proofs := proof.FindAllStringSubmatch(string(page), -1)
+	code := sourceText(t, true, "..")
+	proofs := testFunction.FindAllStringSubmatch(string(page), -1)
 	require.NotEmpty(t, proofs)
 	for _, found := range proofs {
-		require.Contains(t, code, "func "+found[1]+"(", "docs/PROOFS.md names it")
+		require.Contains(t, code, "func "+found[1]+"(", "docs/PROOFS.md names a test that does not exist")
 	}
 }
--- a/bench/internal/attributor/attributor.go
+++ b/bench/internal/attributor/attributor.go
@@ -1,14 +1,15 @@
-// Package attributor says where a played day's credit was lost, from the report of the
-// day and the lines that its routers logged.
+// Package attributor attributes the credit that a played day lost to causes. It reads the
+// report of the day and the log lines of its routers.
 //
-// A report tells for each few seconds how much of what was owed was earned. What was
-// served late costs LateCost of its tokens, what failed all of them; both are taken
-// from the lines, by cause. What is missing beyond that was refused though it was
-// owed, and is divided by what engines had to do at that moment. So the causes of a
-// window add up to what is missing in it, and those of a day to what is missing in the
-// day, up to the part that is called Rest.
+// The report states, for each window of a few seconds, the credit earned as a part of the
+// credit owed. A late answer costs LateCost of its tokens, a failed request all of them;
+// both are counted from the log lines, by cause. The credit missing beyond that belongs to
+// requests that were owed but refused. It is divided among their causes, which differ by
+// the backlog of the engines at that moment. The losses of a window therefore add up to
+// the credit missing in it, and those of a day to the credit missing in the day, including
+// the part that is Unattributed.
 //
-// Invariant: no cause is negative, and the sum of all is what is missing.
+// Invariant: no loss is negative, and the sum of all losses is the missing credit.
 package attributor
 
 import (
@@ -18,89 +19,93 @@
 	"shallotkeel.example/platform"
 )
 
-// Cause is why credit was lost.
+// Cause is a reason for which credit was lost.
 type Cause string
 
-// The causes, in the order in which they are asked for.
+// The causes, in the order in which they are printed.
 const (
-	// Start is late or refused within startSpan of its router's first configuration.
-	Start Cause = "at a start"
-	// Back is late because it came back after a refusal.
-	Back Cause = "late, came back after a refusal"
-	// Reading is late by the reading of its own prompt alone.
-	Reading Cause = "late, by reading its own prompt"
-	// Queue is late behind other prompts, as was expected when it was sent.
-	Queue Cause = "late, behind a queue that was known"
-	// Unforeseen is late although it was expected in time.
+	// RouterStart: late or refused within startPeriod of its router's first configuration.
+	RouterStart Cause = "at a start"
+	// RetriedTooLate: late because the client retried after a refusal.
+	RetriedTooLate Cause = "late, came back after a refusal"
+	// OwnPrefill: late because the prefill of its own prompt alone exceeds the target.
+	OwnPrefill Cause = "late, by reading its own prompt"
+	// KnownQueue: late behind other prompts, as the router expected when it sent the request.
+	KnownQueue Cause = "late, behind a queue that was known"
+	// Unforeseen: late although the router expected it in time.
 	Unforeseen Cause = "late, unforeseen"
-	// Endpoint failed at its endpoint, which crashed or said so.
-	Endpoint Cause = "failed at its endpoint"
-	// Unanswered had no answer in time, or no way to an endpoint.
+	// EndpointFailed: failed at its endpoint, which crashed or answered with an error.
+	EndpointFailed Cause = "failed at its endpoint"
+	// Unanswered: failed because no endpoint answered in time or could be reached.
 	Unanswered Cause = "failed without an answer"
-	// Idle was refused while engines had next to nothing to do.
-	Idle Cause = "refused beside idle engines"
-	// Busy was refused while engines were busy.
-	Busy Cause = "refused beside busy engines"
-	// Rest is missing without a line that would tell why: clients that reached no
-	// router, and what the model does not see.
-	Rest Cause = "not seen in the logs"
+	// RefusedIdle: refused while engines were almost idle.
+	RefusedIdle Cause = "refused beside idle engines"
+	// RefusedBusy: refused while engines were busy.
+	RefusedBusy Cause = "refused beside busy engines"
+	// Unattributed: missing credit that no log line explains, such as that of clients that
+	// reached no router, and of effects that the model of this package leaves out.
+	Unattributed Cause = "not seen in the logs"
 )
 
-// Causes are all causes in their order.
-var Causes = []Cause{Start, Back, Reading, Queue, Unforeseen, Endpoint, Unanswered, Idle, Busy, Rest}
+// Causes lists all causes in order.
+var Causes = []Cause{RouterStart, RetriedTooLate, OwnPrefill, KnownQueue, Unforeseen, EndpointFailed, Unanswered, RefusedIdle, RefusedBusy, Unattributed}
 
 const (
-	// LateCost is the part of its credit that a late answer loses, the mean of what the
-	// deployments' sheets say.
+	// LateCost is the part of its credit that a late answer loses. It is the mean of the
+	// values in the deployments' sheets.
 	LateCost = 0.5
-	// startSpan is how long a router counts as starting: its measures take that long.
-	startSpan = 2500 * time.Millisecond
-	// backShare is the part of its target after which a request that was refused before
-	// is late whatever engines do.
-	backShare = 0.6
+	// startPeriod is the time for which a router counts as starting. Its measurements take
+	// that long to become usable.
+	startPeriod = 2500 * time.Millisecond
+	// retriedTooLateShare is the part of the target after which a retry of a refused request
+	// is late whatever the engines do.
+	retriedTooLateShare = 0.6
 )
 
-// Loss is the credit lost to one cause, as a part of what a day owed.
+// Loss is the credit lost to one cause, as a fraction of the credit owed on the day.
 type Loss struct {
-	Cause Cause
-	Part  float64
+	Cause    Cause
+	Fraction float64
 }
 
-// sums are the tokens of one window by cause, and what was served in time.
-type sums struct {
+// windowTokens counts the tokens of the requests of one window: those served in time, and
+// the others by cause.
+type windowTokens struct {
 	served  float64
 	late    map[Cause]float64
 	failed  map[Cause]float64
 	refused map[Cause]float64
 }
 
-// Attribute divides what is missing in a day among the causes.
+// Attribute divides the missing credit of a day among the causes. The credit is the earned
+// fraction of the credit owed on the day.
 func Attribute(windows []platform.Window, credit float64, lines []Line) []Loss {
-	parts := make([]sums, len(windows))
-	for i := range parts {
-		parts[i] = sums{late: make(map[Cause]float64), failed: make(map[Cause]float64), refused: make(map[Cause]float64)}
+	tokens := make([]windowTokens, len(windows))
+	for i := range tokens {
+		tokens[i] = windowTokens{late: make(map[Cause]float64), failed: make(map[Cause]float64), refused: make(map[Cause]float64)}
 	}
 	for _, line := range lines {
-		if at := windowOf(windows, line.Came); at >= 0 {
-			parts[at].add(line)
+		if at := windowOf(windows, line.Arrival); at >= 0 {
+			tokens[at].add(line)
 		}
 	}
 	lost := make(map[Cause]float64)
-	whole := 0.0
+	totalWeight := 0.0
 	for i, w := range windows {
-		weight := parts[i].owed()
-		whole += weight
-		for cause, part := range parts[i].divide(1 - w.Credit) {
-			lost[cause] += part * weight
+		weight := tokens[i].weight()
+		totalWeight += weight
+		for cause, fraction := range tokens[i].lossByCause(1 - w.Credit) {
+			lost[cause] += fraction * weight
 		}
 	}
-	return scaled(lost, whole, 1-credit)
+	return dayLosses(lost, totalWeight, 1-credit)
 }
 
-// windowOf returns the window of a time, -1 for one before the first.
-func windowOf(windows []platform.Window, came time.Duration) int {
-	at, found := slices.BinarySearchFunc(windows, came, func(w platform.Window, came time.Duration) int {
-		return int(w.Begin - came)
+// windowOf returns the index of the window that contains a time, -1 for a time before the
+// first window.
+func windowOf(windows []platform.Window, arrival time.Duration) int {
+	at, found := slices.BinarySearchFunc(windows, arrival, func(w platform.Window, arrival time.Duration) int {
+		return int(w.Begin - arrival)
 	})
 	if found {
 		return at
@@ -108,7 +113,8 @@
 	return at - 1
 }
 
-func (s *sums) add(line Line) {
+// add counts the tokens of a line under its cause.
+func (s *windowTokens) add(line Line) {
 	tokens := float64(line.Tokens)
 	switch cause := line.cause(); {
 	case line.Refused:
@@ -122,61 +128,63 @@
 	}
 }
 
-// owed returns the tokens that were run or failed, as the weight of the window.
-func (s *sums) owed() float64 {
+// weight returns the weight of the window in the day: the tokens of its served and failed
+// requests.
+func (s *windowTokens) weight() float64 {
 	return s.served + total(s.late) + total(s.failed)
 }
 
-// divide returns the part of the window's credit that each cause cost, adding up to
-// what is missing.
-func (s *sums) divide(missing float64) map[Cause]float64 {
+// lossByCause returns the part of the window's credit that each cause cost. The parts add
+// up to the missing credit. If the lines explain more than that, their parts are scaled
+// down.
+func (s *windowTokens) lossByCause(missing float64) map[Cause]float64 {
 	missing = max(missing, 0)
-	owed := s.owed()
+	weight := s.weight()
 	costs := make(map[Cause]float64)
-	if owed > 0 {
+	if weight > 0 {
 		for cause, tokens := range s.late {
-			costs[cause] += LateCost * tokens / owed
+			costs[cause] += LateCost * tokens / weight
 		}
 		for cause, tokens := range s.failed {
-			costs[cause] += tokens / owed
+			costs[cause] += tokens / weight
 		}
 	}
-	if seen := total(costs); seen > missing {
+	if explained := total(costs); explained > missing {
 		for cause := range costs {
-			costs[cause] *= missing / seen
+			costs[cause] *= missing / explained
 		}
 		return costs
 	}
-	left := missing - total(costs)
+	remaining := missing - total(costs)
 	if refused := total(s.refused); refused > 0 {
 		for cause, tokens := range s.refused {
-			costs[cause] += left * tokens / refused
+			costs[cause] += remaining * tokens / refused
 		}
 		return costs
 	}
-	costs[Rest] += left
+	costs[Unattributed] += remaining
 	return costs
 }
 
-// scaled returns the losses as parts of the day, with what the windows do not explain
-// as Rest.
-func scaled(lost map[Cause]float64, whole, missing float64) []Loss {
+// dayLosses returns the losses as fractions of the day. Missing credit that the windows do
+// not explain is Unattributed.
+func dayLosses(lost map[Cause]float64, totalWeight, missing float64) []Loss {
 	parts := make(map[Cause]float64, len(lost))
-	if whole > 0 {
+	if totalWeight > 0 {
 		for cause, part := range lost {
-			parts[cause] = part / whole
+			parts[cause] = part / totalWeight
 		}
 	}
-	if seen := total(parts); seen > missing && seen > 0 {
+	if explained := total(parts); explained > missing && explained > 0 {
 		for cause := range parts {
-			parts[cause] *= missing / seen
+			parts[cause] *= missing / explained
 		}
 	} else {
-		parts[Rest] += missing - seen
+		parts[Unattributed] += missing - explained
 	}
 	losses := make([]Loss, 0, len(Causes))
 	for _, cause := range Causes {
-		losses = append(losses, Loss{Cause: cause, Part: parts[cause]})
+		losses = append(losses, Loss{Cause: cause, Fraction: parts[cause]})
 	}
 	return losses
 }
--- a/bench/internal/attributor/line.go
+++ b/bench/internal/attributor/line.go
@@ -14,63 +14,65 @@
 	"shallotkeel.example/lib/apportioner"
 )
 
-// ErrLog means that a log cannot be read.
+// ErrLog means that a log cannot be read or holds no requests.
 var ErrLog = merry.Sentinel("log cannot be read")
 
-// Line is one request of an engine, as its router logged it.
+// Line is one request to an engine, as its router logged it.
 type Line struct {
-	Came    time.Duration // from the start of traffic
-	Tokens  int
-	Target  time.Duration
-	First   time.Duration // until the first token
-	Since   time.Duration // since it came for the first time
-	Queue   time.Duration // expected behind other prompts
-	Wait    time.Duration // expected in all
-	Backlog time.Duration // of the engines, where it was refused
-	Refused bool
-	Failed  bool
-	// Answered tells that its endpoint itself failed it.
-	Answered bool
-	// Starting tells that its router has had a configuration for a short time only.
+	Arrival           time.Duration // from the start of traffic
+	Tokens            int
+	Target            time.Duration
+	FirstToken        time.Duration // from the arrival until the first token
+	SinceFirstAttempt time.Duration // from the client's first attempt, 0 if this is the first
+	ExpectedQueue     time.Duration // part of ExpectedWait spent behind other prompts
+	ExpectedWait      time.Duration // time until the first token that the router expected
+	Backlog           time.Duration // of the engines, if the request was refused
+	Refused           bool
+	Failed            bool
+	// FailedByEndpoint reports whether the endpoint itself caused the failure.
+	FailedByEndpoint bool
+	// Starting reports whether the router had its first configuration for less than
+	// startPeriod.
 	Starting bool
 }
 
 // cause returns why the line cost credit, "" if it did not.
 func (l *Line) cause() Cause {
-	late := !l.Refused && !l.Failed && l.Target > 0 && l.Since+l.First > l.Target
+	late := !l.Refused && !l.Failed && l.Target > 0 && l.SinceFirstAttempt+l.FirstToken > l.Target
 	switch {
 	case l.Starting && (late || l.Refused):
-		return Start
+		return RouterStart
 	case l.Refused && l.Backlog <= apportioner.IdleBacklog:
-		return Idle
+		return RefusedIdle
 	case l.Refused:
-		return Busy
-	case l.Failed && l.Answered:
-		return Endpoint
+		return RefusedBusy
+	case l.Failed && l.FailedByEndpoint:
+		return EndpointFailed
 	case l.Failed:
 		return Unanswered
 	case !late:
 		return ""
-	case l.Since >= time.Duration(backShare*float64(l.Target)):
-		return Back
-	case l.Wait-l.Queue > l.Target:
-		return Reading
-	case l.Wait+l.Since > l.Target:
-		return Queue
+	case l.SinceFirstAttempt >= time.Duration(retriedTooLateShare*float64(l.Target)):
+		return RetriedTooLate
+	case l.ExpectedWait-l.ExpectedQueue > l.Target:
+		return OwnPrefill
+	case l.ExpectedWait+l.SinceFirstAttempt > l.Target:
+		return KnownQueue
 	default:
 		return Unforeseen
 	}
 }
 
-// The messages of a router that tell of requests.
+// The messages of the log lines that are read: two about requests, and one about the start
+// of a router.
 const (
-	messageRequest = "request"
-	messageShare   = "share used up"
-	messagePlan    = "configuration in force"
+	messageRequest       = "request"
+	messageShareUsedUp   = "share used up"
+	messageConfiguration = "configuration in force"
 )
 
-// logged is what a router's line may hold.
-type logged struct {
+// logRecord holds the fields of a log line that are used.
+type logRecord struct {
 	Message    string  `json:"message"`
 	Workspace  string  `json:"workspace"`
 	Tokens     int     `json:"tokens"`
@@ -86,35 +88,35 @@
 	TookMs     float64 `json:"took_ms"`
 }
 
-// longestLine bounds a line of a log.
-const longestLine = 1 << 20
+// maxLineBytes is the maximum length of a line of a log.
+const maxLineBytes = 1 << 20
 
-// ReadLog reads the lines of routers, each behind the seconds since the start of
-// traffic and the router's name. Other lines are passed over. It is an error if none
-// tells of a request.
+// ReadLog reads the log lines of routers. Each has as prefix the seconds since the start of
+// traffic and the router's name. Other lines are skipped. It returns ErrLog if no line
+// describes a request.
 func ReadLog(from io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(from)
-	scanner.Buffer(nil, longestLine)
-	begun := make(map[string]time.Duration)
+	scanner.Buffer(nil, maxLineBytes)
+	startedAt := make(map[string]time.Duration) // by router
 	var lines []Line
 	for scanner.Scan() {
-		head, _, found := bytes.Cut(scanner.Bytes(), []byte("{"))
-		words := bytes.Fields(head)
+		prefix, _, found := bytes.Cut(scanner.Bytes(), []byte("{"))
+		words := bytes.Fields(prefix)
 		if !found || len(words) != 2 {
 			continue
 		}
 		seconds, err := strconv.ParseFloat(string(words[0]), 64)
-		var read logged
-		if err != nil || json.Unmarshal(scanner.Bytes()[len(head):], &read) != nil {
+		var record logRecord
+		if err != nil || json.Unmarshal(scanner.Bytes()[len(prefix):], &record) != nil {
 			continue
 		}
 		at, router := time.Duration(seconds*float64(time.Second)), string(words[1])
 		switch {
-		case read.Message == messagePlan && read.Before == 0:
-			begun[router] = max(at, 0)
-		case read.Workspace != "" && read.Tokens > 0:
-			if line, counts := read.line(at); counts {
-				line.Starting = line.Came-begun[router] < startSpan
+		case record.Message == messageConfiguration && record.Before == 0:
+			startedAt[router] = max(at, 0)
+		case record.Workspace != "" && record.Tokens > 0:
+			if line, isRequest := record.decode(at); isRequest {
+				line.Starting = line.Arrival-startedAt[router] < startPeriod
 				lines = append(lines, line)
 			}
 		}
@@ -123,32 +125,34 @@
 		return nil, merry.Errorf("%w: %v", ErrLog, err)
 	}
 	if len(lines) == 0 {
-		return nil, merry.Errorf("%w: no line tells of a request; log all routers", ErrLog)
+		return nil, merry.Errorf("%w: no line describes a request; give the log of all routers", ErrLog)
 	}
 	return lines, nil
 }
 
-// line decodes a line that tells of a request, and tells whether it is one.
-func (r *logged) line(at time.Duration) (Line, bool) {
+// decode converts a line that was logged at a time, and reports whether it describes a
+// request.
+func (r *logRecord) decode(at time.Duration) (Line, bool) {
 	line := Line{
-		Came: at - milliseconds(r.TookMs), Tokens: r.Tokens, Target: milliseconds(r.TargetMs),
-		First: milliseconds(r.FirstMs), Since: milliseconds(r.SinceMs),
-		Queue: milliseconds(r.QueueMs), Wait: milliseconds(r.ExpectedMs), Backlog: milliseconds(r.BacklogMs),
+		Arrival: at - milliseconds(r.TookMs), Tokens: r.Tokens, Target: milliseconds(r.TargetMs),
+		FirstToken: milliseconds(r.FirstMs), SinceFirstAttempt: milliseconds(r.SinceMs),
+		ExpectedQueue: milliseconds(r.QueueMs), ExpectedWait: milliseconds(r.ExpectedMs), Backlog: milliseconds(r.BacklogMs),
 	}
 	switch {
-	case r.Message == messageShare:
+	case r.Message == messageShareUsedUp:
 		line.Refused = true
 	case r.Message != messageRequest:
 		return Line{}, false
 	case r.Status == http.StatusOK:
 	case r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable && r.Sends == 0:
-		line.Refused, line.Backlog = true, line.Queue
+		line.Refused, line.Backlog = true, line.ExpectedQueue
 	default:
-		line.Failed, line.Answered = true, r.Status == http.StatusInternalServerError || r.Status == http.StatusBadGateway
+		line.Failed, line.FailedByEndpoint = true, r.Status == http.StatusInternalServerError || r.Status == http.StatusBadGateway
 	}
 	return line, true
 }
 
+// milliseconds converts a number of milliseconds to a duration.
 func milliseconds(count float64) time.Duration {
 	return time.Duration(count * float64(time.Millisecond))
 }
--- a/bench/internal/attributor/print.go
+++ b/bench/internal/attributor/print.go
@@ -7,7 +7,8 @@
 	"shallotkeel.example/platform"
 )
 
-// Print reads a day's report and its routers' logs, and writes the table of its losses.
+// Print reads the report of a day and the log of its routers, and writes a table of the
+// earned credit and of the losses, as fractions of the credit owed.
 func Print(to io.Writer, report, log io.Reader) error {
 	windows, credit, err := platform.ReadReport(report)
 	if err != nil {
@@ -21,7 +22,7 @@
 		return err
 	}
 	for _, loss := range Attribute(windows, credit, lines) {
-		if _, err := fmt.Fprintf(to, "%-40s %6.3f\n", loss.Cause, loss.Part); err != nil {
+		if _, err := fmt.Fprintf(to, "%-40s %6.3f\n", loss.Cause, loss.Fraction); err != nil {
 			return err
 		}
 	}
--- a/bench/internal/demo/demo.go
+++ b/bench/internal/demo/demo.go
@@ -1,9 +1,9 @@
-// Package demo runs a small deployment shaped after Scambiocasa's on one
-// machine, as separate processes, sends it a mixed load and checks all of it.
+// Package demo runs a small deployment, modelled on Scambiocasa's, as separate processes
+// on one machine. It sends a mixed load and checks the answers and executions of all
+// requests.
 //
-// Invariants: whatever happens, the last line is "demo: ok" or "demo: failed:
-// why", all processes are ended, and the data folder is removed only if
-// nothing failed.
+// Invariants: in every case the last line is "demo: ok" or "demo: failed: " with the
+// reason, and all processes are ended; the data folder is removed only if nothing failed.
 package demo
 
 import (
@@ -22,25 +22,25 @@
 	"shallotkeel.example/lib/caller"
 )
 
-// ErrDemo is the kind of every failure of the demo.
+// ErrDemo is wrapped by every error about a fault that the demo found.
 var ErrDemo = merry.Sentinel("demo found a fault")
 
-// Durations of the demo's parts.
+// Times and sizes of the demo.
 const (
-	startLimit   = 20 * time.Second
-	mixedTime    = 8 * time.Second
-	backlogTime  = 6 * time.Second
-	settleTime   = 1500 * time.Millisecond // after which a backlog is a steady state
-	patience     = 20 * time.Second
-	spansLimit   = 8 * time.Second
-	maxInFlight  = 4096
-	maxExplained = 8 // failures that are printed
-	demoSeed     = 7
-	backlogSeed  = 8
-	largeRate    = 8.0 // requests a second
-	smallRate    = 2.0
-	largeBacklog = 48 // requests outstanding
-	smallBacklog = 24
+	startTimeout       = 20 * time.Second
+	mixedTime          = 8 * time.Second
+	backlogTime        = 6 * time.Second
+	settleTime         = 1500 * time.Millisecond // until a backlog reaches its steady state
+	callTimeout        = 20 * time.Second
+	spansTimeout       = 8 * time.Second
+	maxInFlight        = 4096
+	maxPrintedFailures = 8 // failed calls
+	demoSeed           = 7
+	backlogSeed        = 8
+	largeRate          = 8.0 // requests per second
+	smallRate          = 2.0
+	largeBacklog       = 48 // outstanding requests
+	smallBacklog       = 24
 )
 
 // Options of the demo.
@@ -60,7 +60,7 @@
 	report     report
 }
 
-// Run runs the demo and returns whether all was well.
+// Run runs the demo, prints its report, and returns whether no fault was found.
 func Run(options Options, out io.Writer) bool {
 	folder, err := os.MkdirTemp("", "shallotkeel-demo-")
 	if err != nil {
@@ -68,7 +68,7 @@
 		return false
 	}
 	d := &run{options: options, out: out, folder: folder, recorder: &caller.Recorder{KeepResults: true}}
-	err = d.all()
+	err = d.runSteps()
 	if d.fleet != nil {
 		d.fleet.Close()
 	}
@@ -84,7 +84,8 @@
 	return true
 }
 
-func (d *run) all() error {
+// runSteps runs the parts of the demo in order, up to the first error.
+func (d *run) runSteps() error {
 	if err := d.start(); err != nil {
 		return err
 	}
@@ -92,19 +93,19 @@
 	if err != nil {
 		return err
 	}
-	d.say("sending a mixed load to %d routers for %v", len(d.fleet.Targets()), mixedTime)
-	d.load(d.mixed(), demoSeed, mixedTime)
+	d.printf("sending a mixed load to %d routers for %v", len(d.fleet.Targets()), mixedTime)
+	d.load(d.mixedLoads(), demoSeed, mixedTime)
 	d.report.latency = d.recorder.Summary()
 	after, err := inspector.Scrape(context.Background(), d.fleet.Of(launcher.Router))
 	if err != nil {
 		return err
 	}
 	d.report.control = after.Minus(before)
-	d.say("keeping four clubs backlogged, each at one router of its own, for %v", backlogTime)
+	d.printf("keeping four clubs backlogged, each at one router of its own, for %v", backlogTime)
 	if err := d.backlog(); err != nil {
 		return err
 	}
-	spans, err := d.trace()
+	spans, err := d.traceRequest()
 	if err != nil {
 		return err
 	}
@@ -117,7 +118,8 @@
 	return nil
 }
 
-func (d *run) say(format string, values ...any) {
+// printf prints a line.
+func (d *run) printf(format string, values ...any) {
 	fmt.Fprintf(d.out, format+"\n", values...)
 }
 
@@ -127,10 +129,10 @@
 	if d.deployment, err = launcher.ReadDeployment(d.options.Example); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	began := time.Now()
-	if d.fleet, err = launcher.Prepare(d.plan()); err != nil {
+	started := time.Now()
+	if d.fleet, err = launcher.Prepare(d.fleetPlan()); err != nil {
 		return err
 	}
 	if err := d.fleet.Start(); err != nil {
@@ -145,12 +147,13 @@
 	if err := d.fleet.AwaitEndpoints(ctx); err != nil {
 		return err
 	}
-	d.say("%d processes run, %d objects are in force, after %.1f s",
-		len(d.fleet.Nodes), len(d.deployment.Objects), time.Since(began).Seconds())
+	d.printf("%d processes run, %d objects are in force, after %.1f s",
+		len(d.fleet.Nodes), len(d.deployment.Objects), time.Since(started).Seconds())
 	return nil
 }
 
-func (d *run) plan() launcher.Plan {
+// fleetPlan returns a plan of two zones with keepers, routers, engines and a plain service.
+func (d *run) fleetPlan() launcher.Plan {
 	models, plain := d.deployment.Models, d.deployment.Plain
 	engine := func(name string) launcher.StandinSettings {
 		return launcher.ModelStandin(name, d.deployment.Model, models)
@@ -168,13 +171,15 @@
 	}
 }
 
+// mix returns the mix of the mixed load.
 func (d *run) mix() caller.Mix {
 	return caller.Mix{
 		Stream: 5, Whole: 2, Plain: 2, Once: 2, Models: d.deployment.Models, Service: d.deployment.Plain, Bound: 48, Prompt: 600,
 	}
 }
 
-func (d *run) mixed() []caller.Load {
+// mixedLoads returns an open-loop load of every workspace, at a rate by its size.
+func (d *run) mixedLoads() []caller.Load {
 	loads := make([]caller.Load, 0, len(d.deployment.Workspaces))
 	for _, workspace := range d.deployment.Workspaces {
 		rate := smallRate
@@ -186,17 +191,18 @@
 	return loads
 }
 
-// uneven are two large and two small clubs, each backlogged at one router.
-func (d *run) uneven() ([]caller.Load, map[string]float64) {
+// unevenBacklog returns the loads of two large and two small workspaces, each backlogged
+// at one router, and their weights.
+func (d *run) unevenBacklog() ([]caller.Load, map[string]float64) {
 	var loads []caller.Load
 	weights := make(map[string]float64)
 	targets := d.fleet.Targets()
-	wanted := map[bool]int{true: 2, false: 2}
+	remaining := map[bool]int{true: 2, false: 2} // by Large
 	for _, workspace := range d.deployment.Workspaces {
-		if wanted[workspace.Large] == 0 {
+		if remaining[workspace.Large] == 0 {
 			continue
 		}
-		wanted[workspace.Large]--
+		remaining[workspace.Large]--
 		outstanding := smallBacklog
 		if workspace.Large {
 			outstanding = largeBacklog
@@ -211,20 +217,22 @@
 	return loads, weights
 }
 
-func (d *run) load(loads []caller.Load, seed uint64, lasts time.Duration) {
+// load runs loads against the routers for a time and records the results.
+func (d *run) load(loads []caller.Load, seed uint64, duration time.Duration) {
 	driver := caller.Driver{
-		Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Timeout: patience},
+		Caller:  &caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Timeout: callTimeout},
 		Targets: d.fleet.Targets(), Loads: loads, Seed: seed, Recorder: d.recorder, MaxOutstanding: maxInFlight,
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), lasts)
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	driver.Run(ctx)
 	d.report.dropped += driver.Dropped()
 }
 
-// backlog measures gap and utilisation while four clubs always have work waiting.
+// backlog measures the fairness gap and the utilisation while four workspaces always have
+// waiting requests.
 func (d *run) backlog() error {
-	loads, weights := d.uneven()
+	loads, weights := d.unevenBacklog()
 	var models []*launcher.Node
 	for _, standin := range d.fleet.Of(launcher.Standin) {
 		if standin.Standin.Type == "model" {
@@ -234,13 +242,13 @@
 	}
 	meter := inspector.Meter{Standins: models}
 	meter.Start()
-	began := time.Now()
+	started := time.Now()
 	d.load(loads, backlogSeed, backlogTime)
 	samples, err := meter.Stop()
 	if err != nil {
 		return err
 	}
-	steady := inspector.Between(samples, began.Add(settleTime), began.Add(backlogTime))
+	steady := inspector.Between(samples, started.Add(settleTime), started.Add(backlogTime))
 	if name, starved := inspector.Starved(steady, weights); starved || len(steady) == 0 {
 		return merry.Errorf("%w: %s received nothing while it was backlogged", ErrDemo, name)
 	}
@@ -249,13 +257,15 @@
 	return nil
 }
 
-// check holds what callers were told against what was executed.
+// check compares the results that callers got with the executions of the stand-ins. It
+// fails on any false result, and on any call that was neither answered nor refused as not
+// run.
 func (d *run) check() error {
 	executions, err := inspector.Read(d.fleet)
 	if err != nil {
 		return err
 	}
-	counted, err := inspector.Ask(context.Background(), d.fleet)
+	counted, err := inspector.QueryExecutions(context.Background(), d.fleet)
 	if err != nil {
 		return err
 	}
@@ -263,17 +273,17 @@
 		return merry.Errorf("%w: the stand-ins count %d executed requests, their journals %d",
 			ErrDemo, len(counted), len(executions.ByIdentity))
 	}
-	results, whole := d.recorder.Results()
-	if !whole {
-		return merry.Errorf("%w: more results than are kept; shorten the load", ErrDemo)
+	results, complete := d.recorder.Results()
+	if !complete {
+		return merry.Errorf("%w: the recorder kept only a part of the results; shorten the load", ErrDemo)
 	}
 	d.report.verdict = inspector.Judge(results, executions)
 	v := d.report.verdict
 	if n := v.Requests - v.Answered - v.NotRun; n > 0 {
-		d.explain()
+		d.printFailures()
 		return merry.Errorf("%w: %d of %d calls were neither answered nor refused as not run", ErrDemo, n, v.Requests)
 	}
-	if v.Broken() > 0 {
+	if v.Violations() > 0 {
 		return merry.Errorf("%w: double %d, false not-run %d, answered without being run %d",
 			ErrDemo, v.Double, v.FalseNotRun, v.Phantom)
 	}
@@ -283,10 +293,11 @@
 	return nil
 }
 
-func (d *run) explain() {
+// printFailures prints the first failed calls.
+func (d *run) printFailures() {
 	failures := d.recorder.Failures()
-	for _, failure := range failures[:min(len(failures), maxExplained)] {
-		d.say("  %s: %s %s at %s, request %s: %s %s %.60q", failure.Ending, failure.Request.Workspace,
+	for _, failure := range failures[:min(len(failures), maxPrintedFailures)] {
+		d.printf("  %s: %s %s at %s, request %s: %s %s %.60q", failure.Ending, failure.Request.Workspace,
 			failure.Request.Kind, failure.Target, failure.ID, failure.Code, failure.Error, failure.Got)
 	}
 }
--- a/bench/internal/demo/report.go
+++ b/bench/internal/demo/report.go
@@ -11,18 +11,19 @@
 	"shallotkeel.example/lib/caller"
 )
 
-// report is what the demo prints.
+// report holds the figures that the demo prints.
 type report struct {
 	latency    caller.Summary // of the mixed load
 	control    inspector.Metrics
-	throughput float64 // tokens a second under backlog
-	ideal      float64
-	gap        float64 // weighted tokens
-	dropped    int
+	throughput float64 // tokens per second under backlog
+	ideal      float64 // tokens per second of engines with full batches
+	gap        float64 // tokens divided by weight
+	dropped    int     // requests that were not sent
 	verdict    inspector.Verdict
 	spans      []span
 }
 
+// write prints the spans and a table of the figures.
 func (r *report) write(out io.Writer) {
 	r.writeSpans(out)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -45,8 +46,8 @@
 	_ = table.Flush()
 }
 
-// controlBytes says what the routers sent to one another and to the keepers,
-// for each request of the mixed load.
+// controlBytes formats the bytes that the routers sent to each other and to the keepers,
+// per request of the mixed load.
 func (r *report) controlBytes() string {
 	bytes, found := r.control.Matching("control", "sent", "bytes")
 	if !found || r.latency.Requests == 0 {
@@ -55,6 +56,7 @@
 	return fmt.Sprintf("%.0f", bytes/float64(r.latency.Requests))
 }
 
+// writeSpans prints the spans of the traced request as an indented tree.
 func (r *report) writeSpans(out io.Writer) {
 	if len(r.spans) == 0 {
 		return
--- a/bench/internal/demo/trace.go
+++ b/bench/internal/demo/trace.go
@@ -21,11 +21,11 @@
 	"shallotkeel.example/lib/caller"
 )
 
-// leastSpans is how many hops the spans of one request must show: the caller's
-// request at the router, and its way to the endpoint.
-const leastSpans = 2
+// minSpans is the least number of spans of one request: the request of the caller at the
+// router, and that of the router to the endpoint.
+const minSpans = 2
 
-// span is one line of a router's trace log.
+// span is one span from a router's log.
 type span struct {
 	Router  string    `json:"-"`
 	Message string    `json:"message"`
@@ -37,25 +37,25 @@
 	Took    float64   `json:"took_ms"`
 }
 
-// trace sends one request that carries a trace id and collects its spans from
-// the routers' logs.
-func (d *run) trace() ([]span, error) {
+// traceRequest sends one request with a trace id and waits until its spans are in the
+// logs of the routers.
+func (d *run) traceRequest() ([]span, error) {
 	random := rand.New(rand.NewPCG(demoSeed, demoSeed))
 	id := fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64())
 	planner := caller.NewPlanner(d.deployment.Workspaces[0].Name, d.deployment.Workspaces[0].Token,
 		caller.Mix{Stream: 1, Models: d.deployment.Models, Bound: 16, Prompt: 600}, demoSeed+backlogSeed)
 	request := planner.Next()
 	request.Traceparent = fmt.Sprintf("00-%s-%016x-01", id, random.Uint64())
-	c := caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Timeout: patience}
+	c := caller.Caller{Client: caller.NewClient(), Clock: clockwork.NewRealClock(), Timeout: callTimeout}
 	result := c.Call(context.Background(), d.fleet.Targets()[0], request)
 	d.recorder.Add(result)
 	if result.Ending != caller.Answered {
 		return nil, merry.Errorf("%w: the traced request ended %s: %s", ErrDemo, result.Ending, result.Error)
 	}
-	deadline := time.Now().Add(spansLimit)
+	deadline := time.Now().Add(spansTimeout)
 	for {
-		spans, err := d.spans(id)
-		if err != nil || len(spans) >= leastSpans {
+		spans, err := d.readSpans(id)
+		if err != nil || len(spans) >= minSpans {
 			return spans, err
 		}
 		if time.Now().After(deadline) {
@@ -65,7 +65,9 @@
 	}
 }
 
-func (d *run) spans(id string) ([]span, error) {
+// readSpans returns the spans of a trace from the logs of all routers, in order of their
+// start. Of spans with the same start the longest is first.
+func (d *run) readSpans(id string) ([]span, error) {
 	var spans []span
 	for _, router := range d.fleet.Of(launcher.Router) {
 		text, err := os.ReadFile(router.Process().Log)
@@ -89,11 +91,11 @@
 	return spans, nil
 }
 
-// depth is how many of the spans stand above this one.
+// depth returns the number of ancestors of a span among the spans.
 func depth(spans []span, of span) int {
-	for _, above := range spans {
-		if above.ID == of.Parent {
-			return 1 + depth(spans, above)
+	for _, parent := range spans {
+		if parent.ID == of.Parent {
+			return 1 + depth(spans, parent)
 		}
 	}
 	return 0
--- a/bench/internal/faults/leaving.go
+++ b/bench/internal/faults/leaving.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	before, last := executions.LastWork(victim.Name, left)
+	before, last := executions.LastReceived(victim.Name, left)
 	if before == 0 {
 		return merry.Errorf("%w: %s had no work before it left", ErrCell, victim.Name)
 	}
--- a/bench/internal/faults/testbed.go
+++ b/bench/internal/faults/testbed.go
@@ -306,7 +306,7 @@
 // checkVerdict fails on a violated guarantee, and on endings that the cell does
 // not allow.
 func (b *testbed) checkVerdict(verdict inspector.Verdict, results []caller.Result, allowed []caller.Ending) error {
-	if verdict.Broken() > 0 {
+	if verdict.Violations() > 0 {
 		return merry.Errorf("%w: double %d, false not-run %d, wrong %d, missing %d, answered without being run %d", ErrCell,
 			verdict.Double, verdict.FalseNotRun, verdict.Wrong, verdict.Missing, verdict.Phantom)
 	}
--- a/bench/internal/inspector/inspector.go
+++ b/bench/internal/inspector/inspector.go
@@ -1,10 +1,10 @@
-// Package inspector finds out what a fleet really did: what stand-ins
-// executed, what service each workspace received, and what the processes'
-// metrics say; and holds it against what callers were told.
+// Package inspector determines what a fleet did: the requests that stand-ins executed, the
+// service that each workspace received, and the metrics of the processes. It compares the
+// executions with the results that callers got.
 //
-// Invariants: executions are read from the journals, which outlive a killed
-// stand-in; a journal that cannot be read or is incomplete is an error, never
-// a zero.
+// Invariants: executions are read from the journals, which survive the kill of a
+// stand-in; a journal that cannot be read or is incomplete is an error and never
+// counts as zero.
 package inspector
 
 import (
@@ -22,7 +22,7 @@
 	"shallotkeel.example/lib/caller"
 )
 
-// ErrInspect is the kind of every error about an inspection.
+// ErrInspect is wrapped by every error about an inspection.
 var ErrInspect = merry.Sentinel("fleet cannot be inspected")
 
 // Entry is one line of a stand-in's journal.
@@ -35,27 +35,27 @@
 	Standin   string    `json:"-"`
 }
 
-// The verbs that are looked at.
+// The verbs of entries that are evaluated.
 const (
 	verbReceived = "received"
 	verbStarted  = "started"
 	verbRefused  = "refused"
 )
 
-// onTheWay is how long after an endpoint's answer requests may still arrive that were sent
-// before its router had the answer.
-const onTheWay = 500 * time.Millisecond
+// inFlightGrace is the time after an endpoint's refusal in which requests may still arrive
+// that the router sent before it received the refusal.
+const inFlightGrace = 500 * time.Millisecond
 
-// Executions is what all stand-ins executed.
+// Executions holds the journals of all stand-ins.
 type Executions struct {
-	// ByIdentity counts by idempotency key, or by request id where there was none.
+	// ByIdentity counts executions by idempotency key, or by request id if there is none.
 	ByIdentity map[string]int
-	// Started holds the request ids that an endpoint started.
+	// Started holds the ids of the requests that an endpoint started.
 	Started map[string]bool
 	Entries []Entry
 }
 
-// Read reads the journals of every stand-in of the fleet.
+// Read reads the journals of all stand-ins of the fleet.
 func Read(fleet *launcher.Fleet) (Executions, error) {
 	executions := Executions{ByIdentity: make(map[string]int), Started: make(map[string]bool)}
 	for _, standin := range fleet.Of(launcher.Standin) {
@@ -70,27 +70,29 @@
 	return executions, nil
 }
 
-// Ask asks every stand-in, all of which must run, what it executed.
-func Ask(ctx context.Context, fleet *launcher.Fleet) (map[string]int, error) {
+// QueryExecutions queries all stand-ins for their execution counts by identity and adds
+// them up. All of them must be running.
+func QueryExecutions(ctx context.Context, fleet *launcher.Fleet) (map[string]int, error) {
 	sums := make(map[string]int)
 	for _, standin := range fleet.Of(launcher.Standin) {
-		var told struct {
+		var response struct {
 			Executions map[string]int `json:"executions"`
 			Incomplete bool           `json:"incomplete"`
 		}
-		if err := get(ctx, standin.URL()+"/control/executions", "", &told); err != nil {
+		if err := get(ctx, standin.URL()+"/control/executions", "", &response); err != nil {
 			return nil, err
 		}
-		if told.Incomplete {
+		if response.Incomplete {
 			return nil, merry.Errorf("%w: %s counts only a part; shorten the load", ErrInspect, standin.Name)
 		}
-		for identity, n := range told.Executions {
+		for identity, n := range response.Executions {
 			sums[identity] += n
 		}
 	}
 	return sums, nil
 }
 
+// read adds the entries of a stand-in's journal.
 func (e *Executions) read(standin string, text []byte) error {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for lines.Scan() {
@@ -104,6 +106,7 @@
 	return lines.Err()
 }
 
+// add adds one entry and counts it if it is the start of an execution.
 func (e *Executions) add(entry Entry) {
 	e.Entries = append(e.Entries, entry)
 	if entry.Verb != verbStarted {
@@ -117,24 +120,25 @@
 	e.ByIdentity[identity]++
 }
 
-// Verdict counts what callers were told and what of it was not true.
+// Verdict counts the results of calls, and those that contradict the executions.
 type Verdict struct {
 	Requests    int `json:"requests"`
 	Answered    int `json:"answered"`
 	NotRun      int `json:"not_run"`
 	Unknown     int `json:"unknown"`
-	Cut         int `json:"cut"`     // visibly cut short
-	Lost        int `json:"lost"`    // the connection failed before an answer
-	Unsent      int `json:"unsent"`  // no router took a connection
-	Invalid     int `json:"invalid"` // refused for what the request is
-	Wrong       int `json:"wrong"`   // ended cleanly and is not whole or not the request's own
-	Missing     int `json:"missing"`
-	Double      int `json:"double"`        // not repeatable, and executed more than once
-	FalseNotRun int `json:"false_not_run"` // refused as not run, and executed
-	Phantom     int `json:"phantom"`       // answered, and not executed
+	Cut         int `json:"cut"`           // visibly cut short
+	Lost        int `json:"lost"`          // the connection failed before any answer
+	Unsent      int `json:"unsent"`        // no router accepted a connection
+	Invalid     int `json:"invalid"`       // refused because the request itself is invalid
+	Wrong       int `json:"wrong"`         // ended cleanly, but is incomplete or belongs to another request
+	Missing     int `json:"missing"`       // no final answer before the caller's timeout
+	Double      int `json:"double"`        // not repeatable, but executed more than once
+	FalseNotRun int `json:"false_not_run"` // refused as not run, but executed
+	Phantom     int `json:"phantom"`       // answered, but not executed
 }
 
-// Judge holds what callers were told against what was executed.
+// Judge compares the results that callers got with the executions. A request that may not
+// be repeated and was executed more than once counts once, however many results it has.
 func Judge(results []caller.Result, executions Executions) Verdict {
 	verdict := Verdict{Requests: len(results)}
 	counted := make(map[string]bool)
@@ -158,6 +162,7 @@
 	return verdict
 }
 
+// count counts a result under its ending.
 func (v *Verdict) count(ending caller.Ending) {
 	counters := map[caller.Ending]*int{
 		caller.Answered: &v.Answered, caller.NotRun: &v.NotRun, caller.Unknown: &v.Unknown, caller.Cut: &v.Cut,
@@ -166,44 +171,45 @@
 	*counters[ending]++
 }
 
-// Broken counts what must never happen, whatever fails.
-func (v Verdict) Broken() int {
+// Violations returns the number of results that must not occur under any fault.
+func (v Verdict) Violations() int {
 	return v.Wrong + v.Missing + v.Double + v.FalseNotRun + v.Phantom
 }
 
-// InBackoff returns the most requests that a stand-in got from one router within a backoff of that
-// length, which each refusal asks for, less those that were on their way. Routers are told
-// apart by the ids that they give to requests.
-func (e Executions) InBackoff(standin string, length time.Duration) (backoffs, most int) {
-	type span struct {
-		begun time.Time
-		got   int
+// InBackoff returns the number of backoffs that a stand-in asked for, and the largest number
+// of requests that it received from one router within one of them. A refusal asks for a
+// backoff of the given length. Requests that arrive within inFlightGrace do not count.
+// Routers are distinguished by the prefix of the ids that they give to requests.
+func (e Executions) InBackoff(standin string, length time.Duration) (backoffs, maxRequests int) {
+	type backoff struct {
+		started  time.Time
+		requests int
 	}
-	open := make(map[string]*span)
+	current := make(map[string]*backoff) // by router
 	for _, entry := range e.Entries {
 		if entry.Standin != standin || entry.Verb != verbRefused && entry.Verb != verbReceived {
 			continue
 		}
 		router, _, _ := strings.Cut(entry.Request, "-")
-		known := open[router]
-		if known != nil && entry.At.Sub(known.begun) < length {
-			if entry.At.Sub(known.begun) > onTheWay {
-				known.got++
-				most = max(most, known.got)
+		last := current[router]
+		if last != nil && entry.At.Sub(last.started) < length {
+			if entry.At.Sub(last.started) > inFlightGrace {
+				last.requests++
+				maxRequests = max(maxRequests, last.requests)
 			}
 			continue
 		}
 		if entry.Verb == verbRefused {
-			open[router] = &span{begun: entry.At}
+			current[router] = &backoff{started: entry.At}
 			backoffs++
 		}
 	}
-	return backoffs, most
+	return backoffs, maxRequests
 }
 
-// LastWork returns how many requests a stand-in received before a moment, and
-// how long after it the last one came.
-func (e Executions) LastWork(standin string, moment time.Time) (before int, after time.Duration) {
+// LastReceived returns the number of requests that a stand-in received before a moment,
+// and the time from that moment until the last request, zero if there was none after it.
+func (e Executions) LastReceived(standin string, moment time.Time) (before int, after time.Duration) {
 	for _, entry := range e.Entries {
 		if entry.Standin != standin || entry.Verb != verbReceived {
 			continue
--- a/bench/internal/inspector/meter.go
+++ b/bench/internal/inspector/meter.go
@@ -13,11 +13,11 @@
 	"shallotkeel.example/bench/internal/launcher"
 )
 
-// sampleEvery is how often the meter looks.
-const sampleEvery = 100 * time.Millisecond
+// sampleInterval is the interval between the samples of a meter.
+const sampleInterval = 100 * time.Millisecond
 
-// Sample is the service that each workspace received up to a moment, in
-// units of its service, over the sampled stand-ins.
+// Sample is the service that each workspace received from all sampled stand-ins up to a
+// moment, in units of their service.
 type Sample struct {
 	At         time.Time
 	Workspaces map[string]float64
@@ -39,24 +39,25 @@
 	m.stop = cancel
 	m.done.Go(func() {
 		for ctx.Err() == nil {
-			m.look(ctx)
+			m.sample(ctx)
 			select {
 			case <-ctx.Done():
-			case <-time.After(sampleEvery):
+			case <-time.After(sampleInterval):
 			}
 		}
 	})
 }
 
-// Stop ends sampling and returns the samples. A stand-in that did not answer
-// once makes the series useless, and is an error.
+// Stop ends sampling and returns the samples. It returns an error if a stand-in failed to
+// answer even once, because the series then has gaps.
 func (m *Meter) Stop() ([]Sample, error) {
 	m.stop()
 	m.done.Wait()
 	return m.samples, m.err
 }
 
-func (m *Meter) look(ctx context.Context) {
+// sample queries all stand-ins and appends a sample.
+func (m *Meter) sample(ctx context.Context) {
 	sample := Sample{Workspaces: make(map[string]float64)}
 	for _, standin := range m.Standins {
 		service, err := serviceOf(ctx, standin)
@@ -75,6 +76,7 @@
 	m.samples = append(m.samples, sample)
 }
 
+// serviceOf returns the units that a stand-in has served, by workspace.
 func serviceOf(ctx context.Context, standin *launcher.Node) (map[string]int64, error) {
 	var service struct {
 		Workspaces map[string]int64 `json:"workspaces"`
@@ -83,6 +85,7 @@
 	return service.Workspaces, err
 }
 
+// get decodes the JSON body of an answer, which must have status 200.
 func get(ctx context.Context, url, token string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -97,7 +100,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return merry.Errorf("%w: %s says %s", ErrInspect, url, response.Status)
+		return merry.Errorf("%w: %s answered with status %s, want 200", ErrInspect, url, response.Status)
 	}
 	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
 		return merry.Errorf("%w: %s: %v", ErrInspect, url, err)
@@ -105,18 +108,18 @@
 	return nil
 }
 
-// Between returns the samples from one time to another.
+// Between returns the samples from one time to another, both included.
 func Between(samples []Sample, from, to time.Time) []Sample {
-	var inside []Sample
+	var selected []Sample
 	for _, sample := range samples {
 		if !sample.At.Before(from) && !sample.At.After(to) {
-			inside = append(inside, sample)
+			selected = append(selected, sample)
 		}
 	}
-	return inside
+	return selected
 }
 
-// Throughput returns the units a second that all workspaces received together.
+// Throughput returns the units per second that all workspaces together received.
 func Throughput(samples []Sample) float64 {
 	if len(samples) < 2 {
 		return 0
@@ -132,8 +135,8 @@
 	return total / last.At.Sub(first.At).Seconds()
 }
 
-// Gap returns the largest difference in weighted service that any two of the
-// workspaces built up within the samples, over any stretch of them.
+// Gap returns the largest difference between the service of any two of the workspaces over
+// any interval within the samples, in units divided by weight.
 func Gap(samples []Sample, weights map[string]float64) float64 {
 	gap := 0.0
 	for a, weightA := range weights {
@@ -149,18 +152,20 @@
 	return gap
 }
 
+// spread returns the difference between the largest and the smallest value of the samples.
 func spread(samples []Sample, value func(Sample) float64) float64 {
 	if len(samples) == 0 {
 		return 0
 	}
-	least, most := value(samples[0]), value(samples[0])
+	lowest, highest := value(samples[0]), value(samples[0])
 	for _, sample := range samples {
-		least, most = min(least, value(sample)), max(most, value(sample))
+		lowest, highest = min(lowest, value(sample)), max(highest, value(sample))
 	}
-	return most - least
+	return highest - lowest
 }
 
-// Starved names a workspace that received nothing within the samples, if any.
+// Starved returns a workspace that received no service within the samples, if there is
+// one.
 func Starved(samples []Sample, weights map[string]float64) (workspace string, starved bool) {
 	if len(samples) == 0 {
 		return "", false
--- a/bench/internal/inspector/metrics.go
+++ b/bench/internal/inspector/metrics.go
@@ -12,7 +12,7 @@
 	"shallotkeel.example/bench/internal/launcher"
 )
 
-// Metrics are the sums of a process's counters and gauges by name.
+// Metrics holds sums of counters and gauges, over all labels and processes, by name.
 type Metrics map[string]float64
 
 // Scrape reads the metrics of processes and adds them up.
@@ -26,6 +26,7 @@
 	return sums, nil
 }
 
+// scrape adds the metrics of one process.
 func (m Metrics) scrape(ctx context.Context, node *launcher.Node) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, node.URL()+"/metrics", nil)
 	if err != nil {
@@ -49,24 +50,24 @@
 	return nil
 }
 
-// Minus returns how much each sum has grown.
+// Minus returns the growth of each sum since earlier metrics.
 func (m Metrics) Minus(earlier Metrics) Metrics {
-	grown := make(Metrics)
+	growth := make(Metrics)
 	for name, value := range m {
-		grown[name] = value - earlier[name]
+		growth[name] = value - earlier[name]
 	}
-	return grown
+	return growth
 }
 
-// Matching adds up the metrics whose name contains every part, and says
-// whether there was one: a metric that is not there must not pass for zero.
+// Matching adds up the metrics with a name that contains every part. It reports whether
+// there is one, because a metric that is not published must not count as zero.
 func (m Metrics) Matching(parts ...string) (sum float64, found bool) {
 	for name, value := range m {
-		fits := true
+		matches := true
 		for _, part := range parts {
-			fits = fits && strings.Contains(name, part)
+			matches = matches && strings.Contains(name, part)
 		}
-		if fits {
+		if matches {
 			sum += value
 			found = true
 		}
--- a/bench/internal/measurer/figure.go
+++ b/bench/internal/measurer/figure.go
@@ -1,10 +1,10 @@
-// Package measurer measures what the running path does and costs: processes on
-// this machine, against the baseline in which each router schedules alone, in
-// the same run.
+// Package measurer measures the performance and the cost of the running path. It
+// starts processes on this machine and compares schedulers with the baseline, in
+// which each router schedules alone, in the same run.
 //
-// Invariants: a figure is printed only if it was measured in this run; what
-// could not be measured is printed as such, with the reason; loads come from
-// fixed seeds.
+// Invariants: a figure is printed only if it was measured in this run; a figure that
+// could not be measured is printed as not measured, with the reason; loads are
+// drawn from fixed seeds.
 package measurer
 
 import (
@@ -16,23 +16,23 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrMeasure is the kind of every error about a measurement.
+// ErrMeasure is wrapped by every error about a measurement.
 var ErrMeasure = merry.Sentinel("measurement failed")
 
-// Figure is one measured value.
+// Figure is one measured value. Where names the fleet and the load.
 type Figure struct {
 	Name     string   `json:"figure"`
 	Where    string   `json:"where"`
 	Unit     string   `json:"unit"`
 	Value    float64  `json:"value"`
 	Baseline *float64 `json:"baseline,omitempty"`
-	// Ratio is Value over Baseline.
+	// Ratio is Value divided by Baseline, nil if there is no baseline or it is zero.
 	Ratio *float64 `json:"ratio,omitempty"`
 	Note  string   `json:"note,omitempty"`
 }
 
-// against adds the baseline's value of the same run.
-func (f Figure) against(baseline float64) Figure {
+// withBaseline adds the baseline's value from the same run, and the ratio.
+func (f Figure) withBaseline(baseline float64) Figure {
 	f.Baseline = &baseline
 	if baseline != 0 {
 		ratio := f.Value / baseline
@@ -41,23 +41,25 @@
 	return f
 }
 
-// report collects figures and what could not be measured.
+// report collects figures, and the reasons for those that could not be measured.
 type report struct {
-	out     io.Writer
-	figures []Figure
-	failed  []string
+	out        io.Writer
+	figures    []Figure
+	unmeasured []string
 }
 
+// add adds measured figures.
 func (r *report) add(figures ...Figure) {
 	r.figures = append(r.figures, figures...)
 }
 
-// miss says that something was not measured.
-func (r *report) miss(what string, err error) {
-	r.failed = append(r.failed, fmt.Sprintf("not measured: %s: %v", what, err))
+// addUnmeasured records that something could not be measured, and why.
+func (r *report) addUnmeasured(what string, err error) {
+	r.unmeasured = append(r.unmeasured, fmt.Sprintf("not measured: %s: %v", what, err))
 }
 
-// write prints a table for people and one JSON line a figure.
+// write prints a table, then one JSON line per figure, then a line for everything that
+// was not measured.
 func (r *report) write() error {
 	table := tabwriter.NewWriter(r.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "figure\twhere\tvalue\tbaseline\tratio\tunit\tnote")
@@ -73,12 +75,13 @@
 			return merry.Errorf("%w: %v", ErrMeasure, err)
 		}
 	}
-	for _, line := range r.failed {
+	for _, line := range r.unmeasured {
 		fmt.Fprintln(r.out, line)
 	}
 	return nil
 }
 
+// optional formats a value of the table, "-" if there is none.
 func optional(value *float64) string {
 	if value == nil {
 		return "-"
@@ -89,7 +92,8 @@
 // line is a straight line fitted by least squares.
 type line struct{ slope, intercept float64 }
 
-// fit fits a line through points.
+// fit returns the line through points that has the least squared error, and the zero
+// line if all points have the same x.
 func fit(xs, ys []float64) line {
 	n := float64(len(xs))
 	var sumX, sumY, sumXX, sumXY float64
--- a/bench/internal/measurer/measurer_test.go
+++ b/bench/internal/measurer/measurer_test.go
@@ -9,6 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against wrong slopes of cost over load, and against a division by zero when all
+// loads are equal.
 func TestFit(t *testing.T) {
 	tests := map[string]struct {
 		xs, ys []float64
@@ -27,18 +29,21 @@
 	}
 }
 
-// A figure that could not be measured must be seen as such, never as a zero.
-func TestReportTellsWhatWasNotMeasured(t *testing.T) {
+// Guards against a figure that could not be measured being reported as zero, or not at
+// all.
+func TestReportListsUnmeasuredFigures(t *testing.T) {
 	var out bytes.Buffer
 	r := &report{out: &out}
-	r.add(Figure{Name: "gap", Where: "here", Unit: "tokens", Value: 5}.against(10), Figure{Name: "plain", Value: 1}.against(0))
-	r.miss("64 routers", errors.New("no port"))
+	r.add(Figure{Name: "gap", Where: "here", Unit: "tokens", Value: 5}.withBaseline(10), Figure{Name: "plain", Value: 1}.withBaseline(0))
+	r.addUnmeasured("64 routers", errors.New("no port"))
 	require.NoError(t, r.write())
 	require.Contains(t, out.String(), `{"figure":"gap","where":"here","unit":"tokens","value":5,"baseline":10,"ratio":0.5}`)
-	require.Contains(t, out.String(), `"baseline":0}`, "there is no ratio to nothing")
+	require.Contains(t, out.String(), `"baseline":0}`, "a baseline of zero has no ratio")
 	require.True(t, strings.HasSuffix(out.String(), "not measured: 64 routers: no port\n"))
 }
 
+// Guards against placements other than intended: even must use all routers, and uneven must
+// put half of the workspaces at the first router.
 func TestPlacement(t *testing.T) {
 	targets := []string{"a", "b", "c", "d"}
 	require.Equal(t, targets, even(3, targets))
--- a/bench/internal/measurer/site.go
+++ b/bench/internal/measurer/site.go
@@ -21,26 +21,26 @@
 	"shallotkeel.example/lib/matcher"
 )
 
-// What is measured on.
+// Sizes and times of the measured fleet and its load.
 const (
-	workspaces  = 12
-	engines     = 8
-	slots       = 8
-	tokenTime   = 20 * time.Millisecond
-	bound       = 48
-	prompt      = 600
-	outstanding = 16 // requests that each backlogged workspace keeps waiting or running
-	startLimit  = 40 * time.Second
-	patience    = 30 * time.Second
-	settle      = 2 * time.Second // until a backlog is a steady state
-	// DefaultSteady is how long a backlog is metered unless told otherwise.
+	workspaces      = 12
+	engines         = 8
+	slots           = 8
+	tokenTime       = 20 * time.Millisecond
+	completionBound = 48  // tokens
+	prompt          = 600 // bytes
+	outstanding     = 16  // waiting or running requests of each backlogged workspace
+	startTimeout    = 40 * time.Second
+	callTimeout     = 30 * time.Second
+	settleTime      = 2 * time.Second // until a backlog reaches its steady state
+	// DefaultSteady is the default of Options.Steady.
 	DefaultSteady = 5 * time.Second
 	modelName     = "bozza-7b"
 	modelPool     = "modelli"
 	plainPool     = "scambio-app"
 )
 
-// site is a running fleet that is measured.
+// site is a running fleet under measurement, with its data in a temporary folder.
 type site struct {
 	ctx    context.Context
 	fleet  *launcher.Fleet
@@ -50,8 +50,8 @@
 	steady time.Duration
 }
 
-// open launches a fleet in two zones.
-func open(ctx context.Context, options Options, routers int, scheduling string) (*site, error) {
+// launchSite launches a fleet in two zones and waits until its endpoints are available.
+func launchSite(ctx context.Context, options Options, routers int, scheduling string) (*site, error) {
 	folder, err := os.MkdirTemp("", "shallotkeel-measure-")
 	if err != nil {
 		return nil, merry.Errorf("%w: %v; free some disk", ErrMeasure, err)
@@ -77,15 +77,16 @@
 	return s, nil
 }
 
+// start launches the processes and applies the configuration.
 func (s *site) start(plan launcher.Plan) error {
-	limit, cancel := context.WithTimeout(s.ctx, startLimit)
+	limit, cancel := context.WithTimeout(s.ctx, startTimeout)
 	defer cancel()
 	var err error
 	if s.fleet, err = launcher.Launch(limit, plan); err != nil {
 		return err
 	}
 	path := filepath.Join(s.folder, "objects.json")
-	if err := s.describe(path); err != nil {
+	if err := s.writeObjects(path); err != nil {
 		return err
 	}
 	if err := s.fleet.Apply(limit, path); err != nil {
@@ -94,8 +95,9 @@
 	return s.fleet.AwaitEndpoints(limit)
 }
 
-// describe writes equal workspaces with queues that take any backlog.
-func (s *site) describe(path string) error {
+// writeObjects writes a configuration with the services and with equal workspaces, whose
+// queues are long enough for any backlog.
+func (s *site) writeObjects(path string) error {
 	objects := []describer.Object{
 		{Kind: describer.Service, Name: modelPool, Labels: labeler.Labels{
 			describer.LabelType: describer.TypeModel, describer.PrefixModel + modelName: describer.Yes,
@@ -119,8 +121,10 @@
 	return nil
 }
 
+// token returns the API token of a workspace.
 func token(workspace string) string { return workspace + "-token" }
 
+// close ends the processes and removes the folder.
 func (s *site) close() {
 	if s.fleet != nil {
 		s.fleet.Close()
@@ -128,39 +132,41 @@
 	_ = os.RemoveAll(s.folder)
 }
 
-func streams() caller.Mix {
-	return caller.Mix{Stream: 1, Models: []string{modelName}, Bound: bound, Prompt: prompt}
+// streamMix returns the mix of a load that consists of streams only.
+func streamMix() caller.Mix {
+	return caller.Mix{Stream: 1, Models: []string{modelName}, Bound: completionBound, Prompt: prompt}
 }
 
-// drive runs loads for a time and returns what callers saw.
-func (s *site) drive(loads []caller.Load, targets []string, seed uint64, lasts time.Duration, direct bool) caller.Summary {
+// drive runs loads for a time and returns the summary of all calls. If direct, the
+// targets are engines, not routers.
+func (s *site) drive(loads []caller.Load, targets []string, seed uint64, duration time.Duration, direct bool) caller.Summary {
 	recorder := &caller.Recorder{}
 	driver := caller.Driver{
-		Caller:  &caller.Caller{Client: s.client, Clock: clockwork.NewRealClock(), Timeout: patience, Direct: direct},
+		Caller:  &caller.Caller{Client: s.client, Clock: clockwork.NewRealClock(), Timeout: callTimeout, Direct: direct},
 		Targets: targets, Loads: loads, Seed: seed, Recorder: recorder, MaxOutstanding: 4096,
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, lasts)
+	ctx, cancel := context.WithTimeout(s.ctx, duration)
 	defer cancel()
 	driver.Run(ctx)
 	return recorder.Summary()
 }
 
-// backlog is a load that keeps every workspace backlogged.
-func (s *site) backlog(place func(workspace int, targets []string) []string) []caller.Load {
+// backlogLoads returns a closed-loop load that keeps every workspace backlogged.
+func (s *site) backlogLoads(place func(workspace int, targets []string) []string) []caller.Load {
 	var loads []caller.Load
 	for i, name := range s.names {
 		loads = append(loads, caller.Load{
-			Workspace: name, Token: token(name), Backlog: outstanding, Targets: place(i, s.fleet.Targets()), Mix: streams(),
+			Workspace: name, Token: token(name), Backlog: outstanding, Targets: place(i, s.fleet.Targets()), Mix: streamMix(),
 		})
 	}
 	return loads
 }
 
-// even sends each workspace's requests to all routers in turn.
+// even places each workspace's requests at all routers.
 func even(_ int, targets []string) []string { return targets }
 
-// uneven has half of the workspaces at one router and the others at one router
-// each, so that most routers have none.
+// uneven places half of the workspaces at the first router and the others at one
+// router each, so that most routers of a large fleet get no request.
 func uneven(workspace int, targets []string) []string {
 	if workspace < workspaces/2 {
 		return targets[:1]
@@ -180,25 +186,26 @@
 	return nodes
 }
 
-// ideal measures the tokens a second of the engines when each has a backlog of
-// its own, without any router: what no scheduling can exceed.
+// ideal measures the tokens per second of the engines when each has its own backlog
+// without any router. No scheduling can exceed it.
 func (s *site) ideal() (float64, error) {
 	var loads []caller.Load
 	for i, engine := range s.engineNodes() {
 		loads = append(loads, caller.Load{
-			Workspace: s.names[i%len(s.names)], Backlog: 3 * slots, Targets: []string{engine.URL()}, Mix: streams(),
+			Workspace: s.names[i%len(s.names)], Backlog: 3 * slots, Targets: []string{engine.URL()}, Mix: streamMix(),
 		})
 	}
-	samples, _, err := s.metered(loads, true)
+	samples, _, err := s.meterBacklog(loads, true)
 	return inspector.Throughput(samples), err
 }
 
-// metered drives a backlog and returns the samples of its steady state.
-func (s *site) metered(loads []caller.Load, direct bool) ([]inspector.Sample, caller.Summary, error) {
+// meterBacklog drives a backlog and returns the samples of its steady state. It fails
+// if any call is not answered.
+func (s *site) meterBacklog(loads []caller.Load, direct bool) ([]inspector.Sample, caller.Summary, error) {
 	meter := inspector.Meter{Standins: s.engineNodes()}
 	meter.Start()
-	began := time.Now()
-	summary := s.drive(loads, s.fleet.Targets(), 1, settle+s.steady, direct)
+	started := time.Now()
+	summary := s.drive(loads, s.fleet.Targets(), 1, settleTime+s.steady, direct)
 	samples, err := meter.Stop()
 	if err != nil {
 		return nil, summary, err
@@ -206,14 +213,14 @@
 	if summary.Endings[caller.Answered] != summary.Requests {
 		return nil, summary, merry.Errorf("%w: not every call was answered: %v %v", ErrMeasure, summary.Endings, summary.Codes)
 	}
-	steadily := inspector.Between(samples, began.Add(settle), began.Add(settle+s.steady))
-	if len(steadily) == 0 {
+	steadySamples := inspector.Between(samples, started.Add(settleTime), started.Add(settleTime+s.steady))
+	if len(steadySamples) == 0 {
 		return nil, summary, merry.Errorf("%w: no sample of the steady state", ErrMeasure)
 	}
-	return steadily, summary, nil
+	return steadySamples, summary, nil
 }
 
-// cpu adds up the processor time of nodes.
+// cpu returns the processor time that the processes of nodes have used.
 func cpu(nodes []*launcher.Node) (time.Duration, error) {
 	var sum time.Duration
 	for _, node := range nodes {
--- a/bench/internal/policy/fleet.go
+++ b/bench/internal/policy/fleet.go
@@ -12,67 +12,70 @@
 
 // Times of the simulated fleet.
 const (
-	progressEvery = 250 * time.Millisecond
-	compareFirst  = 200 * time.Millisecond
-	detection     = time.Second // until a lost scheduler is replaced
-	sampleEvery   = 100 * time.Millisecond
-	overlap       = 3 * time.Second // of two schedulers
-	frozenFor     = 5 * time.Second
+	progressInterval       = 250 * time.Millisecond
+	initialCompareInterval = 200 * time.Millisecond // before the first exchange, and while there is no scheduler
+	detectionDelay         = time.Second            // until a lost scheduler or router is noticed
+	sampleInterval         = 100 * time.Millisecond
+	schedulerOverlap       = 3 * time.Second // for which two schedulers of a pool run
+	freezeDuration         = 5 * time.Second
 )
 
+// model is the only model of the simulated engines.
 const model = "draft"
 
-// plan is what a fleet looks like.
+// plan describes a fleet and its load.
 type plan struct {
-	alone   bool // the baseline
-	zones   int
-	routers int // in all
-	engines int // in all
-	slots   int
-	pools   int // that one node schedules
-	weights []float64
-	// place says at which router a workspace's n-th request arrives.
+	standalone bool // whether each router schedules alone, as the baseline does
+	zones      int
+	routers    int // in all zones
+	engines    int // in all zones
+	slots      int
+	pools      int // scheduled by one node
+	weights    []float64
+	// place returns the index of the router at which a workspace's n-th request arrives.
 	place func(workspace, n, routers int) int
 	depth int // waiting requests of each workspace
 	work
-	// light is how many of the workspaces, the first ones, are not backlogged: each
-	// has one request at a time, and thinks before the next.
-	light int
-	think time.Duration
-	liar  int // workspace whose hints are ten times too low, -1 for none
+	// lightWorkspaces is the number of workspaces that are not backlogged, which are the
+	// first ones. Each has one request at a time, and waits before the next.
+	lightWorkspaces  int
+	thinkTime        time.Duration // mean wait of a light workspace
+	lowHintWorkspace int           // workspace whose hints are ten times too low, -1 for none
 }
 
-// fleet is zones of routers, engines and schedulers under simulated time.
+// fleet is a set of zones with routers, engines and schedulers, simulated in virtual
+// time.
 type fleet struct {
 	timeline
 	plan
-	random   *rand.Rand
-	names    []string
-	zones    []*zone
-	routers  []*router
-	engines  map[string]*engine
-	served   []uint64 // units of finished jobs
-	requests []int    // made so far
-	messages int      // between routers and schedulers, and between schedulers
-	origins  uint64
-	cut      bool
-	spans    []time.Time // when each workspace last got a unit
-	longest  time.Duration
-	samples  []sample
-	inFlight inFlight
-	traffic  traffic
-	slowest  time.Duration // longest time between two exchanges
+	random             *rand.Rand
+	names              []string
+	zones              []*zone
+	routers            []*router
+	engines            map[string]*engine
+	served             []uint64 // units of finished jobs, by workspace
+	requests           []int    // submitted so far, by workspace
+	messages           int      // between routers and schedulers, and between schedulers
+	origins            uint64
+	partitioned        bool
+	lastServed         []time.Time // when each workspace last received service
+	longestStarvation  time.Duration
+	samples            []sample
+	inFlight           inFlight
+	traffic            traffic
+	maxCompareInterval time.Duration // longest interval between two exchanges of a pool
 }
 
-// sample is what had been served at a time.
+// sample is the service up to a time.
 type sample struct {
 	at     time.Time
 	busy   int       // slots in use
-	served []float64 // units by weight
-	units  float64
+	served []float64 // units divided by weight, by workspace
+	units  float64   // of all workspaces
 }
 
-// inFlight is the largest values seen of the terms of the bound, units by weight.
+// inFlight holds the largest observed values of the terms of the bound, in units by
+// weight.
 type inFlight struct {
 	reserved  float64
 	remaining float64
@@ -80,16 +83,17 @@
 
 // zone is one availability zone.
 type zone struct {
-	fleet   *fleet
-	name    string
-	pool    *scheduler.Pool
-	former  *scheduler.Pool // still believed in by some routers
-	origin  uint64
-	engines []*engine
-	routers []*router
-	ticking time.Time
+	fleet      *fleet
+	name       string
+	pool       *scheduler.Pool
+	formerPool *scheduler.Pool // replaced, but still in use by some routers
+	origin     uint64
+	engines    []*engine
+	routers    []*router
+	nextTick   time.Time
 }
 
+// Weight returns the weight of a workspace, 1 for an unknown one.
 func (f *fleet) Weight(workspace string) float64 {
 	for i, name := range f.names {
 		if name == workspace {
@@ -102,9 +106,11 @@
 // Allowed lets every workspace use every endpoint.
 func (f *fleet) Allowed(_, _ string, _ labeler.Labels) bool { return true }
 
-// Draining drains none.
+// Draining reports false, since no endpoint drains.
 func (f *fleet) Draining(_ string, _ labeler.Labels) bool { return false }
 
+// newFleet returns a fleet at virtual time zero, with the first requests of all
+// workspaces submitted.
 func newFleet(p plan, seed uint64) *fleet {
 	f := &fleet{
 		plan: p, random: rand.New(rand.NewPCG(seed, 0)), engines: make(map[string]*engine),
@@ -121,22 +127,23 @@
 		f.addRouter(i)
 	}
 	for _, z := range f.zones {
-		z.begin()
+		z.start()
 	}
 	for workspace := range p.weights {
-		if workspace < p.light {
-			f.replace(workspace)
+		if workspace < p.lightWorkspaces {
+			f.submitNext(workspace)
 			continue
 		}
 		for range p.depth {
-			f.replace(workspace)
+			f.submitNext(workspace)
 		}
 	}
-	f.spans = make([]time.Time, len(p.weights))
-	f.every(sampleEvery, f.sample)
+	f.lastServed = make([]time.Time, len(p.weights))
+	f.every(sampleInterval, f.sample)
 	return f
 }
 
+// newZone returns a zone with its engines.
 func (f *fleet) newZone(index int) *zone {
 	z := &zone{fleet: f, name: fmt.Sprintf("zone-%d", index)}
 	for i := range f.plan.engines / f.plan.zones {
@@ -148,58 +155,63 @@
 	return z
 }
 
+// addRouter adds a router to one of the zones, which take routers in rotation.
 func (f *fleet) addRouter(index int) {
 	z := f.zones[index%len(f.zones)]
 	r := &router{
-		zone: z, name: fmt.Sprintf("router-%03d", index), life: 1,
+		zone: z, name: fmt.Sprintf("router-%03d", index), incarnation: 1,
 		waiting: make(map[uint64]*job), running: make(map[uint64]*job),
 	}
-	if f.alone {
-		r.alone = newRoundRobin(r, f.plan.routers/f.plan.zones, len(f.weights))
+	if f.standalone {
+		r.baseline = newRoundRobin(r, f.plan.routers/f.plan.zones, len(f.weights))
 	}
 	z.routers = append(z.routers, r)
 	f.routers = append(f.routers, r)
-	// Routers do not report in step.
-	f.after(progressEvery*time.Duration(index)/time.Duration(f.plan.routers), func() {
-		f.every(progressEvery, func() bool { r.progress(); return true })
+	// Stagger the reports of the routers.
+	f.after(progressInterval*time.Duration(index)/time.Duration(f.plan.routers), func() {
+		f.every(progressInterval, func() bool { r.progress(); return true })
 	})
 }
 
-// replace lets a workspace make its next request, so that it stays backlogged.
-func (f *fleet) replace(workspace int) {
+// submitNext submits a workspace's next request. Each start of a job calls it, so that
+// a backlogged workspace stays backlogged. A light workspace waits first.
+func (f *fleet) submitNext(workspace int) {
 	n := f.requests[workspace]
 	f.requests[workspace]++
 	cost := uint32(float64(f.cost[workspace]) * (0.25 + 1.5*f.random.Float64()))
 	hint := uint32(float64(cost) * (0.5 + 1.5*f.random.Float64()))
-	if workspace == f.liar {
+	if workspace == f.lowHintWorkspace {
 		hint /= 10
 	}
 	r := f.routers[f.place(workspace, n, len(f.routers))]
 	wait := f.hop
-	if workspace < f.light {
-		wait += time.Duration(2 * f.random.Float64() * float64(f.think))
+	if workspace < f.lightWorkspaces {
+		wait += time.Duration(2 * f.random.Float64() * float64(f.thinkTime))
 	}
 	f.after(wait, func() { r.receive(workspace, max(cost, 1), max(hint, 1)) })
 }
 
-func (z *zone) begin() {
-	if z.fleet.alone {
+// start starts the zone's scheduler, the announcements of its engines and its exchanges
+// with other zones. The baseline has none of them.
+func (z *zone) start() {
+	if z.fleet.standalone {
 		return
 	}
-	z.elect()
+	z.startScheduler()
 	z.fleet.every(leaseTTL/3, func() bool { z.announce(); return true })
-	z.compareAfter(compareFirst)
+	z.scheduleCompare(initialCompareInterval)
 }
 
-// elect gives the zone a scheduler without memory.
-func (z *zone) elect() {
+// startScheduler starts a scheduler for the zone. Its only state is the history that
+// it gets from the first reachable zone that has a scheduler.
+func (z *zone) startScheduler() {
 	z.fleet.origins++
 	z.origin = z.fleet.origins
 	z.pool = scheduler.New(scheduler.Options{Zone: z.name, Service: "modelli", Origin: z.origin, Plain: z.fleet.plain})
-	z.ticking = time.Time{}
+	z.nextTick = time.Time{}
 	z.apply(z.pool, scheduler.Configured{Rules: z.fleet})
 	for _, other := range z.fleet.zones {
-		if other != z && other.pool != nil && !z.fleet.cutBetween(z, other) {
+		if other != z && other.pool != nil && !z.fleet.partitionedBetween(z, other) {
 			z.apply(z.pool, scheduler.History{Totals: other.pool.History()})
 			break
 		}
@@ -207,76 +219,81 @@
 	z.announce()
 }
 
-// failover replaces a lost scheduler once its loss is noticed.
+// failover stops the zone's scheduler and starts another one after detectionDelay.
 func (z *zone) failover() {
 	z.pool = nil
-	z.fleet.after(detection, func() {
-		z.elect()
+	z.fleet.after(detectionDelay, func() {
+		z.startScheduler()
 		for _, r := range z.routers {
-			r.enrol()
+			r.sendFullReport()
 		}
 	})
 }
 
-// double lets a second scheduler begin while every other router still believes
-// in the first one, and endpoints announce themselves to both.
-func (z *zone) double() {
-	z.former = z.pool
-	z.elect()
+// startSecondScheduler starts a second scheduler while every other router still uses
+// the first one. Endpoints announce themselves to both. After schedulerOverlap all
+// routers use the second one.
+func (z *zone) startSecondScheduler() {
+	z.formerPool = z.pool
+	z.startScheduler()
 	for i, r := range z.routers {
-		r.former = i%2 == 0
-		if !r.former {
-			r.enrol()
+		r.usesFormerPool = i%2 == 0
+		if !r.usesFormerPool {
+			r.sendFullReport()
 		}
 	}
-	z.fleet.after(overlap, func() {
-		z.former = nil
+	z.fleet.after(schedulerOverlap, func() {
+		z.formerPool = nil
 		for _, r := range z.routers {
-			if r.former {
-				r.former = false
-				r.enrol()
+			if r.usesFormerPool {
+				r.usesFormerPool = false
+				r.sendFullReport()
 			}
 		}
 	})
 }
 
+// announce announces the zone's engines to its schedulers.
 func (z *zone) announce() {
 	for _, e := range z.engines {
-		z.apply(z.pool, e.announced())
-		z.apply(z.former, e.announced())
+		z.apply(z.pool, e.announcement())
+		z.apply(z.formerPool, e.announcement())
 	}
 }
 
-// apply gives an event to a scheduler, unless it has been lost since.
+// apply applies an event to a scheduler and performs its actions, unless the scheduler
+// has been lost in the meantime.
 func (z *zone) apply(pool *scheduler.Pool, event scheduler.Event) {
-	if pool == nil || (pool != z.pool && pool != z.former) {
+	if pool == nil || (pool != z.pool && pool != z.formerPool) {
 		return
 	}
 	z.fleet.messages++
 	for _, action := range pool.Apply(z.fleet.now, event) {
-		z.act(action)
+		z.perform(action)
 	}
 	if pool == z.pool {
 		z.tickAt(pool.NextDeadline(z.fleet.now))
 	}
 }
 
-// tickAt lets time pass at the scheduler when it asked for it.
+// tickAt schedules a tick of the scheduler at its next deadline, unless an earlier tick
+// is already scheduled.
 func (z *zone) tickAt(next time.Time) {
-	if next.IsZero() || (!z.ticking.IsZero() && !z.ticking.After(next)) {
+	if next.IsZero() || (!z.nextTick.IsZero() && !z.nextTick.After(next)) {
 		return
 	}
 	pool := z.pool
-	z.ticking = next
+	z.nextTick = next
 	z.fleet.at(next, func() {
-		if z.ticking.Equal(next) {
-			z.ticking = time.Time{}
+		if z.nextTick.Equal(next) {
+			z.nextTick = time.Time{}
 		}
 		z.apply(pool, scheduler.Tick{})
 	})
 }
 
-func (z *zone) act(action scheduler.Action) {
+// perform sends a grant to its router. Other actions have no effect here.
+func (z *zone) perform(action scheduler.Action) {
 	grant, isGrant := action.(scheduler.Grant)
 	if !isGrant {
 		return
@@ -284,26 +301,27 @@
 	for _, r := range z.routers {
 		if r.name == grant.Request.Router.Name {
 			to := z.fleet.engines[grant.Endpoint]
-			z.fleet.after(z.fleet.hop, func() { r.granted(grant.Request.Router.Incarnation, grant.Request.Seq, to) })
+			z.fleet.after(z.fleet.hop, func() { r.receiveGrant(grant.Request.Router.Incarnation, grant.Request.Seq, to) })
 		}
 	}
 }
 
-// compareAfter lets the zone's pool compare after a wait, and on and on.
-func (z *zone) compareAfter(wait time.Duration) {
+// scheduleCompare schedules the next exchange of the zone's pool after a wait, and each
+// following one at the interval that the pool returns.
+func (z *zone) scheduleCompare(wait time.Duration) {
 	z.fleet.after(wait, func() {
-		next := compareFirst
+		next := initialCompareInterval
 		if z.pool != nil {
 			z.compare()
-			z.fleet.traffic.estimated += z.pool.ExchangeBytes()
+			z.fleet.traffic.estimatedBytes += z.pool.ExchangeBytes()
 			next = z.pool.CompareInterval(z.fleet.now, len(z.fleet.zones)-1, z.fleet.pools)
-			z.fleet.slowest = max(z.fleet.slowest, next)
+			z.fleet.maxCompareInterval = max(z.fleet.maxCompareInterval, next)
 		}
-		z.compareAfter(next)
+		z.scheduleCompare(next)
 	})
 }
 
-// compare sends the pool's offer to the other zones and takes their answers.
+// compare sends the pool's offer to the other zones.
 func (z *zone) compare() {
 	pool, origin := z.pool, z.origin
 	totals, demand, returned, renewed, idle := pool.Offer(z.fleet.now)
@@ -315,51 +333,55 @@
 			continue
 		}
 		offer.Returned, offer.Renewed = pool.LoansOf(other.name, z.fleet.now)
-		z.fleet.traffic.ask(z, offer)
-		if !z.fleet.cutBetween(z, other) {
+		z.fleet.traffic.addOffer(z, offer)
+		if !z.fleet.partitionedBetween(z, other) {
 			sent := offer
 			z.fleet.after(z.fleet.zoneHop, func() { other.answer(z, pool, sent) })
 		}
 	}
 }
 
-// answer applies an offer here and carries the loans back.
+// answer applies an offer from another zone to this zone's pool and sends the loans of
+// its answer back.
 func (z *zone) answer(from *zone, borrower *scheduler.Pool, offer scheduler.Compared) {
-	if z.pool == nil || z.fleet.cutBetween(z, from) {
+	if z.pool == nil || z.fleet.partitionedBetween(z, from) {
 		return
 	}
-	asked := z.fleet.now.Add(-z.fleet.zoneHop)
+	requested := z.fleet.now.Add(-z.fleet.zoneHop)
 	z.fleet.messages++
 	for _, action := range z.pool.Apply(z.fleet.now, offer) {
 		lend, isLend := action.(scheduler.Lend)
 		if !isLend {
-			z.act(action)
+			z.perform(action)
 			continue
 		}
-		z.fleet.traffic.answer(z, lend.Loans)
-		answer := scheduler.Lent{Zone: z.name, Origin: z.origin, Loans: lend.Loans, RequestedAt: asked}
+		z.fleet.traffic.addAnswer(z, lend.Loans)
+		answer := scheduler.Lent{Zone: z.name, Origin: z.origin, Loans: lend.Loans, RequestedAt: requested}
 		z.fleet.after(z.fleet.zoneHop, func() { from.apply(borrower, answer) })
 	}
 }
 
-func (f *fleet) cutBetween(a, b *zone) bool {
-	return f.cut && a != b
+// partitionedBetween reports whether two zones cannot reach each other.
+func (f *fleet) partitionedBetween(a, b *zone) bool {
+	return f.partitioned && a != b
 }
 
-// part cuts the zones from each other; streams between them break.
-func (f *fleet) part() {
-	f.cut = true
+// partitionZones separates the zones from each other. Streams between them fail.
+func (f *fleet) partitionZones() {
+	f.partitioned = true
 	for _, z := range f.zones {
 		for _, e := range z.engines {
 			for _, j := range append(append([]*job(nil), e.batch...), e.queue...) {
 				if j.router.zone != z {
-					e.end(j, scheduler.Failed)
+					e.finish(j, scheduler.Failed)
 				}
 			}
 		}
 	}
 }
 
+// sample records the service so far and the terms of the bound. It returns true, so
+// that it is called again.
 func (f *fleet) sample() bool {
 	s := sample{at: f.now, served: make([]float64, len(f.weights))}
 	remaining := make([]float64, len(f.weights))
@@ -372,8 +394,8 @@
 			for _, j := range e.batch {
 				units := float64(j.units(f.now))
 				s.served[j.workspace] += units
-				// What has been generated and not yet reported is not charged either.
-				unreported := min(units, float64(progressEvery/f.perUnit))
+				// Units that are generated but not yet reported are not yet charged.
+				unreported := min(units, float64(progressInterval/f.perUnit))
 				remaining[j.workspace] += float64(j.cost) - units + unreported
 			}
 			for _, j := range e.queue {
@@ -385,39 +407,41 @@
 		s.units += s.served[i]
 		s.served[i] /= weight
 	}
-	f.noteStarving(s)
-	// The first requests of all are not work in flight between two workspaces
-	// that both wait: whoever comes first takes every slot.
-	if f.now.Sub(time.Unix(0, 0)) >= warm {
-		f.noteRemaining(remaining)
-		f.noteReserved()
+	f.recordStarvation(s)
+	// The first requests are not in-flight work between two waiting workspaces: the
+	// workspace that submits first takes every slot.
+	if f.now.Sub(time.Unix(0, 0)) >= warmUp {
+		f.recordRemaining(remaining)
+		f.recordReserved()
 	}
 	f.samples = append(f.samples, s)
 	return true
 }
 
-func (f *fleet) noteRemaining(remaining []float64) {
+// recordRemaining records the largest unfinished work that any workspace has at engines.
+func (f *fleet) recordRemaining(remaining []float64) {
 	for i, weight := range f.weights {
 		f.inFlight.remaining = max(f.inFlight.remaining, remaining[i]/weight)
 	}
 }
 
-// noteStarving measures how long any workspace has gone without service. All
-// are backlogged at all times.
-func (f *fleet) noteStarving(s sample) {
+// recordStarvation records the longest time that any workspace has gone without service
+// after the warm-up. It assumes that all workspaces are always backlogged.
+func (f *fleet) recordStarvation(s sample) {
 	last := s
 	if len(f.samples) > 0 {
 		last = f.samples[len(f.samples)-1]
 	}
 	for i := range s.served {
-		if s.served[i] > last.served[i] || f.spans[i].IsZero() || f.now.Sub(time.Unix(0, 0)) < warm {
-			f.spans[i] = f.now
+		if s.served[i] > last.served[i] || f.lastServed[i].IsZero() || f.now.Sub(time.Unix(0, 0)) < warmUp {
+			f.lastServed[i] = f.now
 		}
-		f.longest = max(f.longest, f.now.Sub(f.spans[i]))
+		f.longestStarvation = max(f.longestStarvation, f.now.Sub(f.lastServed[i]))
 	}
 }
 
-func (f *fleet) noteReserved() {
+// recordReserved records the largest reservation that any workspace has in all pools.
+func (f *fleet) recordReserved() {
 	reserved := make(map[string]float64)
 	for _, z := range f.zones {
 		if z.pool == nil {
--- a/bench/internal/policy/measure.go
+++ b/bench/internal/policy/measure.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// window returns the samples between two times after the start.
+// window returns the samples between two times, both counted from the start.
 func (f *fleet) window(from, to time.Duration) []sample {
 	start := time.Unix(0, 0)
 	var inside []sample
@@ -17,22 +17,22 @@
 	return inside
 }
 
-// gap is the largest difference of service, counted from the window's first
-// sample, between any two workspaces at any sample of the window.
+// gap returns the largest difference in service between any two workspaces at any
+// sample of the window, counted from the window's first sample, in units by weight.
 func gap(window []sample) float64 {
 	largest := 0.0
 	for _, s := range window {
-		least, most := math.Inf(1), math.Inf(-1)
+		lowest, highest := math.Inf(1), math.Inf(-1)
 		for i := range s.served {
 			since := s.served[i] - window[0].served[i]
-			least, most = min(least, since), max(most, since)
+			lowest, highest = min(lowest, since), max(highest, since)
 		}
-		largest = max(largest, most-least)
+		largest = max(largest, highest-lowest)
 	}
 	return largest
 }
 
-// mean is the service per workspace in the window, units by weight.
+// mean returns the mean service per workspace in the window, in units by weight.
 func mean(window []sample) float64 {
 	first, last := window[0], window[len(window)-1]
 	sum := 0.0
@@ -42,8 +42,9 @@
 	return sum / float64(len(last.served))
 }
 
-// utilisation is the units generated in the window over what all slots could
-// have generated without a pause, the prefill of each request left aside.
+// utilisation returns the units generated in the window, divided by those that all slots
+// could have generated with no idle time between requests. The prefill of a request does
+// not count as idle time.
 func (f *fleet) utilisation(window []sample) float64 {
 	first, last := window[0], window[len(window)-1]
 	passed := last.at.Sub(first.at)
@@ -53,11 +54,11 @@
 			slots += e.slots
 		}
 	}
-	return (last.units - first.units) / (float64(slots) * f.ideal(passed))
+	return (last.units - first.units) / (float64(slots) * f.idealUnits(passed))
 }
 
-// busyShare is the mean share of the slots that were in use at the samples.
-func (f *fleet) busyShare(window []sample) float64 {
+// slotUtilisation returns the mean share of the slots that were in use at the samples.
+func (f *fleet) slotUtilisation(window []sample) float64 {
 	busy := 0
 	for _, s := range window {
 		busy += s.busy
@@ -65,46 +66,48 @@
 	return float64(busy) / float64(len(window)*f.plan.engines*f.slots)
 }
 
-// ideal is the units that one slot generates in a time with requests of the
-// mean cost one after the other.
-func (f *fleet) ideal(passed time.Duration) float64 {
+// idealUnits returns the units that one slot generates in a time with back-to-back
+// requests of the mean cost, including the prefill of each.
+func (f *fleet) idealUnits(passed time.Duration) float64 {
 	share, cost := 0.0, 0.0
-	// Service is shared by weight, so requests come in the ratio of weight to cost.
+	// Service is shared by weight, so the number of a workspace's requests is
+	// proportional to its weight divided by its cost.
 	for i, weight := range f.weights {
 		share += weight / float64(f.cost[i])
 		cost += weight
 	}
-	usual := cost / share
-	return passed.Seconds() / (f.prefill.Seconds() + usual*f.perUnit.Seconds()) * usual
+	meanCost := cost / share
+	return passed.Seconds() / (f.prefill.Seconds() + meanCost*f.perUnit.Seconds()) * meanCost
 }
 
-// bound is the formula of docs/FAIRNESS.md for the gap over an interval: twice
-// what may lie between two counters at one time.
+// bound returns the bound of docs/FAIRNESS.md for the gap over an interval: twice the
+// largest difference of two counters at one time.
 func (f *fleet) bound() float64 {
-	return 2 * (f.inFlight.reserved + f.inFlight.remaining + f.exchanged())
+	return 2 * (f.inFlight.reserved + f.inFlight.remaining + f.exchangeLag())
 }
 
-// exchanged is the service that can be had in other zones before it is told
-// here, and the advantage of local work.
-func (f *fleet) exchanged() float64 {
+// exchangeLag returns the service, in units by weight, that a workspace can get in
+// other zones before its own zone receives it in an exchange, and the advantage of
+// local work.
+func (f *fleet) exchangeLag() float64 {
 	if len(f.zones) == 1 {
 		return 0
 	}
 	slots := float64(f.plan.engines * f.slots)
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, weight := range f.weights {
-		least = min(least, weight)
+		lowest = min(lowest, weight)
 	}
-	delay := f.slowest + f.zoneHop + progressEvery
-	return slots * delay.Seconds() / f.perUnit.Seconds() / least
+	delay := f.maxCompareInterval + f.zoneHop + progressInterval
+	return slots * delay.Seconds() / f.perUnit.Seconds() / lowest
 }
 
-// within returns how long after a time it takes until, from then to the end,
-// the gap stays within the bound and the utilisation of each following window
-// reaches the level. It is negative if that does not come about.
-func (f *fleet) within(after, end time.Duration, level float64) time.Duration {
+// recoveryTime returns the time from after until the fleet has recovered: the gap stays
+// within the bound until end, and the utilisation over the following span reaches the
+// level. It is negative if the fleet does not recover.
+func (f *fleet) recoveryTime(after, end time.Duration, level float64) time.Duration {
 	const span = 5 * time.Second
-	for from := after; from+span <= end; from += sampleEvery {
+	for from := after; from+span <= end; from += sampleInterval {
 		if f.utilisation(f.window(from, from+span)) >= level && gap(f.window(from, end)) <= f.bound() {
 			return from - after
 		}
--- a/bench/internal/policy/timeline.go
+++ b/bench/internal/policy/timeline.go
@@ -5,31 +5,34 @@
 	"time"
 )
 
-// timeline runs functions at simulated times, in order of time and then of
-// being scheduled, so that a run is the same for the same seed.
+// timeline runs functions in virtual time: in order of their times and, for equal
+// times, in the order in which they were scheduled. Runs with the same seed are
+// therefore identical.
 type timeline struct {
-	now    time.Time
-	number uint64
-	queue  eventQueue
+	now      time.Time
+	sequence uint64
+	queue    eventQueue
 }
 
+// event is one scheduled function.
 type event struct {
-	at     time.Time
-	number uint64
-	run    func()
+	at       time.Time
+	sequence uint64
+	run      func()
 }
 
-// at runs a function at a time, at once if that is past.
+// at schedules a function for a time. A time in the past counts as now.
 func (t *timeline) at(when time.Time, run func()) {
-	t.number++
-	heap.Push(&t.queue, event{at: when, number: t.number, run: run})
+	t.sequence++
+	heap.Push(&t.queue, event{at: when, sequence: t.sequence, run: run})
 }
 
+// after schedules a function for a time from now.
 func (t *timeline) after(wait time.Duration, run func()) {
 	t.at(t.now.Add(wait), run)
 }
 
-// every runs a function at an interval for as long as it returns true.
+// every runs a function at an interval until it returns false.
 func (t *timeline) every(interval time.Duration, run func() bool) {
 	t.after(interval, func() {
 		if run() {
@@ -38,8 +41,9 @@
 	})
 }
 
-// until runs everything that is due before the time.
-func (t *timeline) until(end time.Time) {
+// runUntil runs the functions scheduled up to and including a time, and advances the
+// clock to it.
+func (t *timeline) runUntil(end time.Time) {
 	for len(t.queue) > 0 && !t.queue[0].at.After(end) {
 		next := heap.Pop(&t.queue).(event)
 		if next.at.After(t.now) {
@@ -50,6 +54,7 @@
 	t.now = end
 }
 
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 func (q eventQueue) Len() int      { return len(q) }
@@ -59,13 +64,13 @@
 	if !q[i].at.Equal(q[j].at) {
 		return q[i].at.Before(q[j].at)
 	}
-	return q[i].number < q[j].number
+	return q[i].sequence < q[j].sequence
 }
 
-// Push is called by container/heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop is called by container/heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
--- a/bench/internal/policy/traffic.go
+++ b/bench/internal/policy/traffic.go
@@ -8,27 +8,29 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// traffic is what pools send to each other, in bytes as encoded, without framing.
+// traffic counts what the pools of different zones send to each other. Bytes are those
+// of the encoded messages, without framing.
 type traffic struct {
-	asked    int // bytes of offers
-	answered int // bytes of answers
-	calls    int
-	// estimated is what pools take all of it for.
-	estimated int
+	offerBytes  int
+	answerBytes int
+	calls       int
+	// estimatedBytes is the pools' own estimate of all bytes.
+	estimatedBytes int
 }
 
-func (t traffic) bytes() int { return t.asked + t.answered }
+func (t traffic) bytes() int { return t.offerBytes + t.answerBytes }
 
-// originBit makes origins as long as those of the running path, of forty bits.
+// originBit makes origins as long as those of the running path, which have forty bits.
 const originBit = 1 << 39
 
-func (t *traffic) ask(z *zone, offer scheduler.Compared) {
+// addOffer counts one call and the bytes of its offer.
+func (t *traffic) addOffer(z *zone, offer scheduler.Compared) {
 	t.calls++
-	t.asked += proto.Size(encode(z, offer))
+	t.offerBytes += proto.Size(encodeOffer(z, offer))
 }
 
-// encode makes the message as the running path does.
-func encode(z *zone, offer scheduler.Compared) *messenger.CompareRequest {
+// encodeOffer builds the message of an offer as the running path does.
+func encodeOffer(z *zone, offer scheduler.Compared) *messenger.CompareRequest {
 	var names interner.Writer
 	request := &messenger.CompareRequest{
 		From: &messenger.Pool{Zone: z.name, Service: "modelli"}, Origin: z.origin | originBit,
@@ -49,7 +51,8 @@
 	return request
 }
 
-func (t *traffic) answer(z *zone, loans []scheduler.Loan) {
+// addAnswer counts the bytes of the answer to an offer.
+func (t *traffic) addAnswer(z *zone, loans []scheduler.Loan) {
 	var names interner.Writer
 	response := &messenger.CompareResponse{Origin: z.origin | originBit}
 	for _, l := range loans {
@@ -63,5 +66,5 @@
 		response.Loans = append(response.Loans, message)
 	}
 	response.Names = names.Take()
-	t.answered += proto.Size(response)
+	t.answerBytes += proto.Size(response)
 }
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,5 +1,6 @@
-// Package main is the bench program of shallotkeel: the demo, the fault cells
-// and the measurements, against the real processes.
+// Package main is the bench program of shallotkeel. It runs the demo, the fault
+// cells and the measurements against real processes, and attributes the credit
+// that a played day lost to causes.
 package main
 
 import (
@@ -19,43 +20,46 @@
 	"shallotkeel.example/lib/starter"
 )
 
-// demoCommand runs the demo.
+// demoCommand runs a small deployment and checks it.
 type demoCommand struct {
 	common
 	Example string `long:"example" default:"examples/scambiocasa" value-name:"FOLDER" description:"deployment whose configuration is applied"`
 }
 
-// common are the flags of every command.
+// common holds the flags that every command but losses has.
 type common struct {
 	Programs string `long:"programs" value-name:"FOLDER" description:"folder of the programs; the bench's own by default"`
 }
 
-// failed is returned by a command that found a fault and has said so.
-type failed struct{}
+// reportedFailure is the error of a command that found a fault and has already
+// printed it. Its text is empty, and only the exit status is left to set.
+type reportedFailure struct{}
 
-func (failed) Error() string { return "" }
+func (reportedFailure) Error() string { return "" }
 
+// programs returns the folder of the programs: that of the flag, or that of the
+// running executable.
 func (c *common) programs() (string, error) {
 	if c.Programs != "" {
 		return c.Programs, nil
 	}
-	own, err := os.Executable()
-	return filepath.Dir(own), err
+	executable, err := os.Executable()
+	return filepath.Dir(executable), err
 }
 
-// Execute is called by the parser.
+// Execute implements flags.Commander.
 func (c *demoCommand) Execute([]string) error {
 	programs, err := c.programs()
 	if err != nil {
 		return err
 	}
 	if !demo.Run(demo.Options{Programs: programs, Example: c.Example}, os.Stdout) {
-		return failed{}
+		return reportedFailure{}
 	}
 	return nil
 }
 
-// faultsCommand runs the fault cells.
+// faultsCommand runs the cells of the fault matrix.
 type faultsCommand struct {
 	common
 	Example string `long:"example" default:"examples/scambiocasa" value-name:"FOLDER" description:"deployment whose configuration is applied"`
@@ -63,19 +67,19 @@
 	List    bool   `long:"list" description:"list the cells and run none"`
 }
 
-// Execute is called by the parser.
+// Execute implements flags.Commander.
 func (c *faultsCommand) Execute([]string) error {
 	programs, err := c.programs()
 	if err != nil {
 		return err
 	}
 	if !faults.Run(faults.Options{Programs: programs, Example: c.Example, Only: c.Only, List: c.List}, os.Stdout) {
-		return failed{}
+		return reportedFailure{}
 	}
 	return nil
 }
 
-// measureCommand measures the path and the policy.
+// measureCommand measures the running path and the scheduling policy.
 type measureCommand struct {
 	common
 	Sizes  []int         `long:"routers" default:"4" default:"16" default:"64" value-name:"N" description:"a number of routers to measure with; may be repeated"`
@@ -83,30 +87,30 @@
 	Seed   uint64        `long:"seed" default:"1" description:"seed of the policy's runs"`
 }
 
-// Execute is called by the parser.
+// Execute implements flags.Commander.
 func (c *measureCommand) Execute([]string) error {
 	programs, err := c.programs()
 	if err != nil {
 		return err
 	}
-	measured := measurer.Run(measurer.Options{Programs: programs, Sizes: c.Sizes, Steady: c.Steady}, os.Stdout)
+	complete := measurer.Run(measurer.Options{Programs: programs, Sizes: c.Sizes, Steady: c.Steady}, os.Stdout)
 	fmt.Println("the policy alone, on simulated time:")
 	if err := policy.Run(os.Stdout, c.Seed); err != nil {
 		return err
 	}
-	if !measured {
-		return failed{}
+	if !complete {
+		return reportedFailure{}
 	}
 	return nil
 }
 
-// lossesCommand says where a played day's credit was lost.
+// lossesCommand prints where a played day's credit was lost, by cause.
 type lossesCommand struct {
 	Report string `long:"report" required:"true" value-name:"FILE" description:"report of the day"`
 	Log    string `long:"log" required:"true" value-name:"FILE" description:"what all routers logged on that day"`
 }
 
-// Execute is called by the parser.
+// Execute implements flags.Commander.
 func (c *lossesCommand) Execute([]string) error {
 	report, err := os.Open(c.Report)
 	if err != nil {
@@ -125,6 +129,7 @@
 	os.Exit(run(os.Args[1:]))
 }
 
+// run executes the command line and returns the exit status.
 func run(arguments []string) int {
 	if len(arguments) == 1 && arguments[0] == "--version" {
 		fmt.Println("bench", starter.Version)
@@ -147,20 +152,22 @@
 		}
 	}
 	_, err := parser.ParseArgs(arguments)
-	return status(err)
+	return exitStatus(err)
 }
 
-func status(err error) int {
-	var asked *flags.Error
+// exitStatus maps an error to the exit status, and prints the error unless the
+// command has already reported it. Help goes to standard output and is a success.
+func exitStatus(err error) int {
+	var flagsError *flags.Error
 	switch {
 	case err == nil:
 		return starter.StatusOK
-	case errors.Is(err, failed{}):
+	case errors.Is(err, reportedFailure{}):
 		return starter.StatusFailed
-	case errors.As(err, &asked) && asked.Type == flags.ErrHelp:
+	case errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp:
 		fmt.Println(err)
 		return starter.StatusOK
-	case errors.As(err, &asked):
+	case errors.As(err, &flagsError):
 		fmt.Fprintln(os.Stderr, "bench:", err)
 		return starter.StatusUsage
 	}
