--- a/lib/accountant/accountant.go
+++ b/lib/accountant/accountant.go
@@ -232,7 +232,7 @@
 	merged := before.max(entry.Row)
 	from.rows[entry.Workspace] = merged
 	counter := account.Counter()
-	lift := account.raise(merged)
+	lift := account.mergeMaxima(merged)
 	if seen || from.contact >= minContact {
 		account.count(merged.Charged - before.Charged)
 	} else {
@@ -242,10 +242,11 @@
 	return Change{Account: account, Jump: account.Counter() - counter, Lift: lift}
 }
 
-// raise merges the maxima of lifted and forgiven and returns the resulting change of the counter.
+// mergeMaxima merges a row's lifted and forgiven units into the maxima and returns the resulting
+// change of the counter.
 // The account's own row repeats them; otherwise a scheduler that is elected after the end of their
 // origin would never receive them. They are sent when the row is sent for its charges.
-func (a *Account) raise(row Row) float64 {
+func (a *Account) mergeMaxima(row Row) float64 {
 	before := a.adjustment()
 	a.lifted = max(a.lifted, row.Lifted)
 	a.forgiven = max(a.forgiven, row.Forgiven)
@@ -315,10 +316,10 @@
 	entries := make([]Entry, 0, len(l.order))
 	for _, account := range l.order {
 		row := Row{Charged: account.total}
-		if moved := account.adjustment(); moved >= 0 {
-			row.Lifted = uint64(moved)
+		if adjustment := account.adjustment(); adjustment >= 0 {
+			row.Lifted = uint64(adjustment)
 		} else {
-			row.Forgiven = uint64(-moved)
+			row.Forgiven = uint64(-adjustment)
 		}
 		if row != (Row{}) {
 			entries = append(entries, Entry{Workspace: account.Workspace, Row: row})
--- a/lib/announcer/announcer.go
+++ b/lib/announcer/announcer.go
@@ -190,7 +190,7 @@
 	defer response.Body.Close()
 	answer, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	if response.StatusCode/100 != 2 {
-		return merry.Errorf("%w: %s said %s: %s", ErrAnnounce, router, response.Status, answer)
+		return merry.Errorf("%w: %s answered %s: %s", ErrAnnounce, router, response.Status, answer)
 	}
 	return nil
 }
--- a/lib/caller/caller.go
+++ b/lib/caller/caller.go
@@ -147,7 +147,7 @@
 }
 
 // readError reads a typed error answer. The X-Outcome header states the outcome;
-// an error without it counts as Unknown, because the router owes that header.
+// an error without it counts as Unknown, because routers must always send it.
 func (c *Caller) readError(result *Result, response *http.Response) {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	var body errorAnswer
--- a/lib/enlister/enlister.go
+++ b/lib/enlister/enlister.go
@@ -269,7 +269,7 @@
 }
 
 // composeFull builds a full batch of all waiting and running requests. Endings that
-// were not acknowledged are left out: a scheduler without the request has nothing to
+// were not acknowledged are omitted: a scheduler without the request has nothing to
 // free, and a scheduler with it frees every slot that the batch does not list.
 func (e *Enlister) composeFull(now time.Time) *messenger.ExchangeRequest {
 	e.unsentTickets, e.finished = nil, nil
--- a/lib/enlister/enlister_test.go
+++ b/lib/enlister/enlister_test.go
@@ -65,7 +65,7 @@
 		steps["scheduler restarts"] = func(*rapid.T) { w.restartRegistrar() }
 		steps["router is wrongly declared dead"] = func(t *rapid.T) {
 			w.registrar.RouterGone(w.now, router(t).enlister.Router)
-			w.forgotRunning = true
+			w.lostRunning = true
 		}
 		steps["scheduler changes"] = func(*rapid.T) {
 			w.restartRegistrar()
@@ -91,7 +91,7 @@
 		w := newSimulation(2)
 		steps := walkSteps(w, faults)
 		steps[""] = func(t *rapid.T) {
-			if !w.forgotRunning {
+			if !w.lostRunning {
 				require.LessOrEqual(t, w.running(), testSlots, "a slot is used twice")
 			}
 			for _, r := range w.routers {
--- a/lib/enlister/simulation_test.go
+++ b/lib/enlister/simulation_test.go
@@ -48,19 +48,19 @@
 // simulation is routers, a scheduler, and a network that loses, repeats and delays
 // calls.
 type simulation struct {
-	now           time.Time
-	registrar     *Registrar
-	routers       map[string]*simRouter
-	calls         []pendingCall
-	seq           uint64 // of the last request
-	incarnation   uint64 // of the scheduler
-	forgotRunning bool   // the scheduler lost running requests: slots may be used twice for a while
+	now         time.Time
+	registrar   *Registrar
+	routers     map[string]*simRouter
+	calls       []pendingCall
+	seq         uint64 // of the last request
+	incarnation uint64 // of the scheduler
+	lostRunning bool   // the scheduler lost running requests: slots may be used twice for a while
 }
 
 func newSimulation(routers int) *simulation {
 	w := &simulation{now: time.Unix(1000, 0), routers: make(map[string]*simRouter)}
 	w.restartRegistrar()
-	w.forgotRunning = false
+	w.lostRunning = false
 	for i := range routers {
 		w.restartRouter(fmt.Sprintf("r%d", i))
 	}
@@ -74,7 +74,7 @@
 	})}
 	w.registrar.Apply(w.now, scheduler.Configured{Rules: allowAll{}})
 	w.announce()
-	w.forgotRunning = true
+	w.lostRunning = true
 }
 
 func (w *simulation) announce() {
@@ -250,5 +250,5 @@
 func (w *simulation) expireSessions() {
 	before := len(w.registrar.Routers())
 	w.registrar.Expire(w.now)
-	w.forgotRunning = w.forgotRunning || len(w.registrar.Routers()) < before
+	w.lostRunning = w.lostRunning || len(w.registrar.Routers()) < before
 }
--- a/lib/orderer/orderer.go
+++ b/lib/orderer/orderer.go
@@ -351,6 +351,7 @@
 	return count
 }
 
+// has reports whether a model is loaded, is loading, or was ordered to be loaded.
 func (e *engine) has(model string) bool {
 	ordered := e.inFlight != nil && e.inFlight.Kind == Load && e.inFlight.Model == model
 	return ordered || e.loading == model || slices.Contains(e.Loaded, model)
@@ -454,6 +455,8 @@
 	return count
 }
 
+// hidesModel reports whether a model is hidden at any endpoint. At most one surplus
+// model of a pool is hidden at a time.
 func (o *Orderer) hidesModel() bool {
 	for _, e := range o.endpoints {
 		if e.hidden != "" {
--- a/lib/reporter/reporter.go
+++ b/lib/reporter/reporter.go
@@ -119,7 +119,7 @@
 	Window   int               `json:"window"`
 	Busy     int               `json:"busy"`
 	Draining bool              `json:"draining,omitempty"`
-	State    string            `json:"state"` // "serving", "draining", "leaving", "suspect" or "gone"
+	State    string            `json:"state"` // "serving", "draining", "leaving" or "suspect"
 }
 
 // Explanation is the response to GET /admin/explain/{id}.
--- a/lib/scheduler/endpoint.go
+++ b/lib/scheduler/endpoint.go
@@ -72,7 +72,10 @@
 
 // Limits of detecting a hung endpoint.
 const (
-	hungFactor = 4 // multiple of the mean time to the first unit and, for plain services, the mean service time
+	// hungFactor is the multiple of the mean wait before the first unit, in excess
+	// of the shortest one, and for plain services of the mean service time as
+	// well, after which an endpoint without progress counts as hung.
+	hungFactor = 4
 )
 
 // hangTimeout returns how long the endpoint may have work without showing
@@ -220,7 +223,7 @@
 // routers reported as running there.
 func (p *Pool) attachRequests(now time.Time, e *endpoint) {
 	for _, r := range p.unplaced[e.id] {
-		if r.running && r.endpoint == nil && r.loan == nil && r.target == e.id {
+		if r.running && r.endpoint == nil && r.borrowing == nil && r.target == e.id {
 			r.endpoint = e
 			e.occupy(now, r.lane.key.alone)
 		}
--- a/lib/scheduler/event.go
+++ b/lib/scheduler/event.go
@@ -103,7 +103,7 @@
 }
 
 // Report is an update from a router. If Full is set, Tickets and Running are
-// complete and replace everything that the pool knew of the router.
+// complete and replace all earlier state of the router.
 type Report struct {
 	Router   RouterID
 	Full     bool
@@ -153,9 +153,10 @@
 	Loans  []Loan
 	Totals []Total
 	Idle   int
-	// RequestedAt is when the exchange was sent that this event answers. The
-	// leases count from this time at the latest. Zero means the time of the
-	// event.
+	// RequestedAt is when the exchange that this event answers was sent. The
+	// borrower counts leases and terms from this time: the lender counts from a
+	// later one, so that they never end at the lender first. Zero means the time
+	// of the event.
 	RequestedAt time.Time
 }
 
@@ -170,7 +171,8 @@
 	Seqs   []uint64
 }
 
-// Tick advances the time: leases end, windows adapt, loans expire.
+// Tick advances the time: announcements, loans and the demand of other zones expire,
+// hung endpoints are detected, and tickets that no endpoint can serve are refused.
 type Tick struct{}
 
 // Configured replaces the rules.
@@ -218,7 +220,7 @@
 	Term time.Duration
 }
 
-// Grant tells a router to send a request to an endpoint now.
+// Grant instructs a router to send a request to an endpoint now.
 type Grant struct {
 	Request     RequestID
 	Endpoint    string
@@ -226,8 +228,8 @@
 	Address     netip.AddrPort
 }
 
-// Refusal tells a router that a request cannot be served, and after which time
-// to retry.
+// Refusal notifies a router that a request cannot be served, and after which time
+// its caller may retry.
 type Refusal struct {
 	Request RequestID
 	Reason  string
--- a/lib/scheduler/exchange_test.go
+++ b/lib/scheduler/exchange_test.go
@@ -12,8 +12,8 @@
 // poolPair is the pools of one service in two zones.
 type poolPair struct{ near, far *model }
 
-// newPair returns the pools of zones trento-a, the near one, and verona-b, without
-// endpoints.
+// newPair returns the pools of zones trento-a, the near one, and verona-b, the far one,
+// without endpoints.
 func newPair(t *testing.T) poolPair {
 	p := poolPair{near: newModel(t, scheduler.Options{Origin: 1}), far: newModel(t, scheduler.Options{Origin: 2})}
 	p.far.pool = scheduler.New(scheduler.Options{Zone: "verona-b", Service: "modelli", Origin: 2})
@@ -142,7 +142,7 @@
 
 // Guards against a workspace that was idle in the whole fleet and then takes all slots
 // of another zone: its own zone has had no slots and no work for long, workspaces of
-// the other zone wait at high counters, and it is lifted only to the level that its own
+// the other zone wait at high counters, and it is lifted only to the counter that its own
 // zone has seen.
 func TestNewcomerIsLiftedToRemoteDemand(t *testing.T) {
 	m := newModel(t, scheduler.Options{Origin: 1})
--- a/lib/scheduler/expire.go
+++ b/lib/scheduler/expire.go
@@ -8,9 +8,9 @@
 	peakHalfLife = 10 * time.Second
 	peakDecay    = 0.5
 	// routerRetention is how long the incarnation of a router that is gone is
-	// remembered, so that a late report of that incarnation is rejected.
+	// stored, so that a late report of that incarnation is rejected.
 	routerRetention = 10 * time.Minute
-	// maxRouters bounds the number of remembered routers, whatever the fleet's
+	// maxRouters bounds the number of stored routers, whatever the fleet's
 	// size.
 	maxRouters = 4096
 )
@@ -56,7 +56,7 @@
 }
 
 // expireStranded refuses tickets that no endpoint could serve for
-// Options.NoEndpointAfter, and tells their callers when to retry.
+// Options.NoEndpointAfter, with the time after which their callers may retry.
 func (p *Pool) expireStranded(now time.Time) {
 	for _, w := range p.workspaceList {
 		for _, l := range append([]*lane(nil), w.active...) {
@@ -65,7 +65,8 @@
 	}
 }
 
-// refuseStranded refuses the tickets of one lane whose time is up.
+// refuseStranded refuses the tickets of one lane that have waited for
+// Options.NoEndpointAfter.
 func (p *Pool) refuseStranded(now time.Time, l *lane) {
 	if l.strandedSince.IsZero() || l.remote() {
 		return
@@ -86,7 +87,7 @@
 	}
 }
 
-// expireRouters forgets routers that have been gone for routerRetention.
+// expireRouters deletes routers that have been gone for routerRetention.
 func (p *Pool) expireRouters(now time.Time) {
 	for name, r := range p.routers {
 		if r.gone && now.Sub(r.lastSeen) > routerRetention {
--- a/lib/scheduler/loan.go
+++ b/lib/scheduler/loan.go
@@ -164,7 +164,7 @@
 		p.rebuildGroups(now)
 	}
 	p.extendLoans(now, z, renewed)
-	p.fetchHolds(now, z)
+	p.lendHeldSlots(now, z)
 	p.dispatch(now)
 	if len(p.answerLoans) > 0 {
 		p.countAnswerBytes(p.answerLoans)
@@ -173,8 +173,9 @@
 	p.answeredZone, p.answerLoans = nil, nil
 }
 
-// fetchHolds turns held slots into loans where there is still demand.
-func (p *Pool) fetchHolds(now time.Time, z *zone) {
+// lendHeldSlots turns the slots held for a zone into loans where there is still
+// demand, and frees the others.
+func (p *Pool) lendHeldSlots(now time.Time, z *zone) {
 	holds := z.holds
 	z.holds = nil
 	p.heldSlots -= len(holds)
@@ -343,10 +344,10 @@
 
 // borrow accepts an offered loan and uses or returns its slot.
 func (p *Pool) borrow(now time.Time, offered Loan, until time.Time, zone string) {
-	taken := &borrowing{Loan: offered, zone: zone, termEnd: until}
-	p.borrowings[taken.ID] = taken
-	if !p.useBorrowing(now, taken) {
-		p.endBorrowing(now, taken)
+	accepted := &borrowing{Loan: offered, zone: zone, termEnd: until}
+	p.borrowings[accepted.ID] = accepted
+	if !p.useBorrowing(now, accepted) {
+		p.endBorrowing(now, accepted)
 	}
 }
 
@@ -360,7 +361,7 @@
 	r := l.first
 	p.unqueue(l, r)
 	r.target = b.Endpoint
-	r.loan = b
+	r.borrowing = b
 	p.beginAttempt(now, r)
 	p.reprice(l.workspace)
 	p.deactivate(l)
--- a/lib/scheduler/offer.go
+++ b/lib/scheduler/offer.go
@@ -100,9 +100,9 @@
 	return max(minReturnRepeat, returnIntervals*p.interval)
 }
 
-// pruneEndedBorrowings forgets ended loans. An answer may be repeated during
-// the lease of its loans, so forgetting a loan earlier would use it a second
-// time.
+// pruneEndedBorrowings deletes borrowings that ended long ago. An answer may be
+// repeated during the lease of its loans, so that a loan that is deleted earlier
+// would be used a second time.
 func (p *Pool) pruneEndedBorrowings(now time.Time) {
 	p.endedBorrowings = slices.DeleteFunc(p.endedBorrowings, func(b *borrowing) bool {
 		return now.Sub(b.endedAt) > max(p.returnRepeatTime(), b.Lease)
--- a/lib/scheduler/probation.go
+++ b/lib/scheduler/probation.go
@@ -6,10 +6,10 @@
 const (
 	minProbation = 250 * time.Millisecond
 	maxProbation = 30 * time.Second
-	// cutThreshold and refusalThreshold are how many of these endings without a
-	// success in between put an endpoint on probation. A single cut may be the
-	// fault of the request.
-	cutThreshold     = 3
+	// failedThreshold and refusalThreshold are how many attempts that end as Failed
+	// or as Refused, without a success in between, put an endpoint on probation. A
+	// single failed attempt may be the fault of the request.
+	failedThreshold  = 3
 	refusalThreshold = 2
 )
 
@@ -20,12 +20,12 @@
 // receives no request for that time, whatever the outcome of its earlier
 // requests.
 type probation struct {
-	failures     int       // counted failures since the last success
-	blockedUntil time.Time // end of the period without requests
-	backoffUntil time.Time // end of the backoff that the endpoint asked for
-	probing      bool      // one request at a time until one succeeds
-	cuts         int       // endings Failed since the last success
-	refusals     int       // endings Refused since the last success
+	failures      int       // counted failures since the last success
+	blockedUntil  time.Time // end of the period without requests
+	backoffUntil  time.Time // end of the backoff that the endpoint asked for
+	probing       bool      // one request at a time until one succeeds
+	failedEndings int       // endings Failed since the last success
+	refusals      int       // endings Refused since the last success
 }
 
 // fail counts a failure. Failures during a blocked period are ignored: their
@@ -81,8 +81,8 @@
 			p.fail(now)
 		}
 	case Failed:
-		p.cuts++
-		if p.probing || p.cuts >= cutThreshold {
+		p.failedEndings++
+		if p.probing || p.failedEndings >= failedThreshold {
 			p.fail(now)
 		}
 	case Cancelled, Declined:
--- a/lib/scheduler/report.go
+++ b/lib/scheduler/report.go
@@ -337,9 +337,9 @@
 	w.running--
 	p.running--
 	r.running = false
-	if r.loan != nil {
-		p.vacateBorrowing(now, r.loan, r.slotReusable)
-		r.loan = nil
+	if r.borrowing != nil {
+		p.vacateBorrowing(now, r.borrowing, r.slotReusable)
+		r.borrowing = nil
 	}
 	if e := r.endpoint; e != nil {
 		r.endpoint = nil
--- a/lib/scheduler/request.go
+++ b/lib/scheduler/request.go
@@ -17,16 +17,16 @@
 
 	running        bool
 	granted        time.Time
-	confirmed      bool      // the router has confirmed that the request runs
-	windowFull     bool      // the grant took the endpoint's last free slot
-	endpoint       *endpoint // nil if it runs in a borrowed slot or its endpoint is unknown
-	target         string    // endpoint ID
-	loan           *borrowing
-	slotReusable   bool   // its ending allows reuse of its borrowed slot
-	estimate       uint64 // units reserved at dispatch, including the prompt
-	used           uint64 // units charged so far, including the prompt
-	inheritedUnits uint64 // units that another scheduler charged
-	reportNumber   uint64 // number of the last report that listed it
+	confirmed      bool       // the router has confirmed that the request runs
+	windowFull     bool       // the grant took the endpoint's last free slot
+	endpoint       *endpoint  // nil if it runs in a borrowed slot or its endpoint is unknown
+	target         string     // endpoint ID
+	borrowing      *borrowing // borrowed slot in which it runs, nil if none
+	slotReusable   bool       // its ending allows reuse of its borrowed slot
+	estimate       uint64     // units reserved at dispatch, including the prompt
+	used           uint64     // units charged so far, including the prompt
+	inheritedUnits uint64     // units that another scheduler charged
+	reportNumber   uint64     // number of the last report that listed it
 }
 
 // reserved returns the uncharged part of the estimate, in units.
--- a/lib/scheduler/stats.go
+++ b/lib/scheduler/stats.go
@@ -35,7 +35,7 @@
 	// Lent and Borrowed count loans that are in use.
 	Lent     int
 	Borrowed int
-	// Held counts slots kept for a loan that the other zone has yet to fetch.
+	// Held counts slots kept free for another zone until its next exchange.
 	Held int
 }
 
--- a/lib/scheduler/usage.go
+++ b/lib/scheduler/usage.go
@@ -46,7 +46,7 @@
 		model.Waiting++
 	}
 	u.Models[r.lane.key.model] = model
-	if r.running && r.loan == nil {
+	if r.running && r.borrowing == nil {
 		u.occupy(r.target, r.lane.key.model)
 	}
 }
--- a/lib/scheduler/workspace.go
+++ b/lib/scheduler/workspace.go
@@ -97,7 +97,7 @@
 }
 
 // lift applies the start-time rule: it raises the counter of a workspace that
-// becomes backlogged, so that the time without work banks no credit against
+// becomes backlogged, so that the time without work earns no credit against
 // workspaces that had work. If no ticket waits here, the competitors are the
 // workspaces waiting in other zones.
 func (p *Pool) lift(w *workspace) {
--- a/lib/starter/async_writer.go
+++ b/lib/starter/async_writer.go
@@ -9,9 +9,9 @@
 const (
 	// maxQueuedLines bounds the log lines that wait to be written, about 1 MB.
 	maxQueuedLines = 4096
-	// maxBatchBytes is the size at which a batch takes no more lines. Lines are
-	// written in batches because a system call per line would cost more than
-	// formatting the line.
+	// maxBatchBytes is the size from which no further line is added to a batch.
+	// Lines are written in batches because a system call per line would cost more
+	// than formatting the line.
 	maxBatchBytes = 32 << 10
 )
 
@@ -25,34 +25,34 @@
 }
 
 func newAsyncWriter(to io.Writer) *asyncWriter {
-	s := &asyncWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
-	go s.run(to)
-	return s
+	w := &asyncWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
+	go w.run(to)
+	return w
 }
 
 // Write queues a line, or drops it if the queue is full. It never returns an
 // error.
-func (s *asyncWriter) Write(line []byte) (int, error) {
+func (w *asyncWriter) Write(line []byte) (int, error) {
 	select {
-	case s.lines <- append([]byte(nil), line...):
+	case w.lines <- append([]byte(nil), line...):
 	default:
-		s.dropped.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 // close writes the queued lines and stops the writer.
-func (s *asyncWriter) close() {
-	close(s.lines)
-	<-s.done
+func (w *asyncWriter) close() {
+	close(w.lines)
+	<-w.done
 }
 
-func (s *asyncWriter) run(to io.Writer) {
-	defer close(s.done)
+func (w *asyncWriter) run(to io.Writer) {
+	defer close(w.done)
 	var batch []byte
-	for line := range s.lines {
-		batch = s.fillBatch(append(batch[:0], line...))
-		if dropped := s.dropped.Swap(0); dropped > 0 {
+	for line := range w.lines {
+		batch = w.fillBatch(append(batch[:0], line...))
+		if dropped := w.dropped.Swap(0); dropped > 0 {
 			batch = fmt.Appendf(batch, "{\"level\":\"warn\",\"dropped\":%d,\"message\":\"log lines were dropped: they came faster than they could be written\"}\n", dropped)
 		}
 		to.Write(batch) //nolint:errcheck // there is no other place to report that the log cannot be written
@@ -61,10 +61,10 @@
 
 // fillBatch appends lines that are already queued, until the batch has
 // maxBatchBytes or the queue is empty.
-func (s *asyncWriter) fillBatch(batch []byte) []byte {
+func (w *asyncWriter) fillBatch(batch []byte) []byte {
 	for len(batch) < maxBatchBytes {
 		select {
-		case line, open := <-s.lines:
+		case line, open := <-w.lines:
 			if !open {
 				return batch
 			}
--- a/lib/tracker/tracker.go
+++ b/lib/tracker/tracker.go
@@ -73,8 +73,8 @@
 }
 
 // New returns the tracker of a newly received request.
-func New(nature Traits, budget Budget) *Tracker {
-	return &Tracker{traits: nature, budget: budget}
+func New(traits Traits, budget Budget) *Tracker {
+	return &Tracker{traits: traits, budget: budget}
 }
 
 // State returns the state of the request.
--- a/router/internal/claimant/claimant.go
+++ b/router/internal/claimant/claimant.go
@@ -30,8 +30,8 @@
 var ErrNoQuorum = merry.Sentinel("the claim was not taken")
 
 const (
-	maxBatch            = 512
-	maxRecords          = 4096
+	maxBatch            = 512  // claims or records in one call
+	maxRecords          = 4096 // records that wait to be sent
 	maxRecordBytes      = 32 << 20
 	recordRetryInterval = 200 * time.Millisecond
 	// recordRetryWindow is how long a record is retried; the keepers drop the claim
@@ -150,7 +150,7 @@
 	c.mutex.Unlock()
 	select {
 	case answered := <-waiting.result:
-		c.free(waiting, answered)
+		c.release(waiting, answered)
 	default:
 	}
 	return merry.Errorf("%w: %v; send the request again with the same key", ErrNoQuorum, err)
@@ -219,14 +219,14 @@
 	}
 	c.mutex.Unlock()
 	if abandoned {
-		c.free(waiting, answered)
+		c.release(waiting, answered)
 	}
 }
 
-// free releases the key of a request that gave up before it was claimed. Otherwise a
-// retry of the client would be told that the request may have run. A call without an
-// answer may have claimed the key as well, so it is released too.
-func (c *Claimant) free(waiting *claim, answered result) {
+// release releases the key of a request that gave up before its claim was answered.
+// Otherwise the answer to the client's retry would be that the request may have run.
+// A call without an answer may have claimed the key as well, so it is released too.
+func (c *Claimant) release(waiting *claim, answered result) {
 	if answered.unsent || answered.err == nil && answered.answer.GetOutcome() != messenger.ClaimOutcome_CLAIM_GRANTED {
 		return
 	}
@@ -284,8 +284,8 @@
 	}
 	batch := c.records[:min(maxBatch, len(c.records))]
 	c.records = c.records[len(batch):]
-	for _, taken := range batch {
-		c.recordBytes -= len(taken.entry.GetAnswer().GetBody())
+	for _, queued := range batch {
+		c.recordBytes -= len(queued.entry.GetAnswer().GetBody())
 	}
 	if len(batch) == 0 {
 		c.recorderRunning = false
@@ -296,8 +296,8 @@
 
 func (c *Claimant) sendRecordBatch(batch []record) bool {
 	request := &messenger.RecordRequest{}
-	for _, taken := range batch {
-		request.Entries = append(request.Entries, taken.entry)
+	for _, queued := range batch {
+		request.Entries = append(request.Entries, queued.entry)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -309,8 +309,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.records = append(append([]record(nil), batch...), c.records...)
-	for _, taken := range batch {
-		c.recordBytes += len(taken.entry.GetAnswer().GetBody())
+	for _, queued := range batch {
+		c.recordBytes += len(queued.entry.GetAnswer().GetBody())
 	}
 }
 
--- a/router/internal/claimant/claimant_test.go
+++ b/router/internal/claimant/claimant_test.go
@@ -110,7 +110,7 @@
 }
 
 // Guards against a key that stays claimed although no request was sent, so that the
-// client's retry is told "may have run". The request times out while its claim is in
+// client's retry gets "may have run". The request times out while its claim is in
 // flight, and the claim is granted afterwards.
 func TestAbandonedClaimIsFreed(t *testing.T) {
 	k := &fakeKeepers{hold: make(chan struct{}), called: make(chan struct{}, 1)}
@@ -132,8 +132,8 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// Guards against an outcome that is lost after a single attempt, so that a retry is
-// told "may have run". The keepers do not answer for a while.
+// Guards against an outcome that is lost after a single attempt, so that a retry
+// gets "may have run". The keepers do not answer for a while.
 func TestRecordIsRetriedUntilStored(t *testing.T) {
 	k := &fakeKeepers{failures: 2}
 	c := newClaimant(k)
--- a/router/internal/commander/sender.go
+++ b/router/internal/commander/sender.go
@@ -84,11 +84,11 @@
 }
 
 // Write writes data unless the order's deadline has passed.
-func (g *deadlineConn) Write(data []byte) (int, error) {
-	if !g.clock.Now().Before(g.deadline) {
+func (c *deadlineConn) Write(data []byte) (int, error) {
+	if !c.clock.Now().Before(c.deadline) {
 		return 0, errDeadlinePassed
 	}
-	return g.Conn.Write(data)
+	return c.Conn.Write(data)
 }
 
 // orderBody is the JSON form of an order.
--- a/router/internal/coordinator/announcements.go
+++ b/router/internal/coordinator/announcements.go
@@ -100,8 +100,9 @@
 	return a.Name == b.Name && a.Incarnation == b.Incarnation
 }
 
-// differsOnlyInLoad reports whether a renewal carries all that the announcement
-// changes.
+// differsOnlyInLoad reports whether two announcements of an endpoint differ in nothing
+// but the load, which a renewal carries, and bring no cache events, which a renewal does
+// not carry.
 func differsOnlyInLoad(old, message *messenger.Announcement) bool {
 	if len(message.GetCached())+len(message.GetEvicted())+len(old.GetCached())+len(old.GetEvicted()) > 0 {
 		return false
@@ -181,8 +182,8 @@
 }
 
 // age is the time since the endpoint announced itself. An announcement that is sent
-// again to a new scheduler is old and must not count as a state that was read just
-// now.
+// again to a new scheduler may be old, and its state must not be taken for the current
+// one.
 func (a *announcement) age(now time.Time) time.Duration {
 	receivedAt := a.expires.Add(-time.Duration(a.message.GetTtlMs()) * time.Millisecond)
 	return max(0, now.Sub(receivedAt))
--- a/router/internal/coordinator/collector.go
+++ b/router/internal/coordinator/collector.go
@@ -86,17 +86,17 @@
 func (c *Collector) stats() []scheduler.Stats {
 	ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
 	defer cancel()
-	taken := make(chan []scheduler.Stats, 1)
+	gathered := make(chan []scheduler.Stats, 1)
 	c.coordinator.do(ctx, func() {
 		var list []scheduler.Stats
 		now := c.coordinator.clock.Now()
 		for _, h := range c.coordinator.pools {
-			list = append(list, h.desk.Pool.Stats(now))
+			list = append(list, h.registrar.Pool.Stats(now))
 		}
-		taken <- list
+		gathered <- list
 	})
 	select {
-	case list := <-taken:
+	case list := <-gathered:
 		return list
 	default:
 		return nil
--- a/router/internal/coordinator/compare.go
+++ b/router/internal/coordinator/compare.go
@@ -35,8 +35,8 @@
 	return decoded
 }
 
-// compare sends the offers of the pools whose exchange time has come to the
-// schedulers of the same services in the other zones.
+// compare sends the offers of the pools with an exchange due to the schedulers of the
+// same services in the other zones.
 func (c *Coordinator) compare(now time.Time) {
 	c.checkRouters(now)
 	c.removeExpiredEndpoints(now)
@@ -51,7 +51,7 @@
 		c.comparePool(now, h)
 		// The pool computes the interval from the cost of its exchanges; the setting
 		// is the minimum.
-		h.compareAt = now.Add(max(c.options.CompareInterval, h.desk.Pool.CompareInterval(now, zones, len(c.pools))))
+		h.compareAt = now.Add(max(c.options.CompareInterval, h.registrar.Pool.CompareInterval(now, zones, len(c.pools))))
 	}
 }
 
@@ -59,11 +59,11 @@
 // A zone gets no offer without changes until idleCompareInterval has passed.
 func (c *Coordinator) comparePool(now time.Time, h *hostedPool) {
 	c.compareRound++
-	totals, demand, returned, renewed, idle := h.desk.Pool.Offer(now)
+	totals, demand, returned, renewed, idle := h.registrar.Pool.Offer(now)
 	changed := len(totals)+len(demand)+len(returned)+len(renewed) > 0 || h.joining
 	var table interner.Writer
 	shared := &messenger.CompareRequest{
-		From: &messenger.Pool{Zone: c.options.Zone, Service: h.service}, Origin: h.desk.Incarnation,
+		From: &messenger.Pool{Zone: c.options.Zone, Service: h.service}, Origin: h.registrar.Incarnation,
 		Totals: encodeTotals(&table, totals), Idle: uint32(idle), Joining: h.joining, Round: c.compareRound,
 	}
 	for _, row := range demand {
@@ -77,7 +77,7 @@
 		if !found || h.comparing[zone] || (!changed && now.Sub(h.answeredAt[zone]) < idleCompareInterval) {
 			continue
 		}
-		c.compareWith(now, h, zone, owner, requestFor(shared, h.desk.Pool, zone, now))
+		c.compareWith(now, h, zone, owner, requestFor(shared, h.registrar.Pool, zone, now))
 	}
 }
 
@@ -105,7 +105,7 @@
 		if h.joining {
 			c.join(now, h, answer)
 		}
-		h.desk.Apply(now, scheduler.Lent{
+		h.registrar.Apply(now, scheduler.Lent{
 			Zone: zone, Origin: answer.GetOrigin(), Idle: int(answer.GetIdle()), RequestedAt: sentAt,
 			Totals: decodeTotals(answer.GetNames(), answer.GetTotals()), Loans: decodeLoans(answer),
 		})
@@ -117,7 +117,7 @@
 // history, and its answer must not hide the history that another zone has.
 func (c *Coordinator) join(now time.Time, h *hostedPool, answer *messenger.CompareResponse) {
 	if len(answer.GetHistory()) > 0 {
-		h.desk.Apply(now, scheduler.History{Totals: decodeTotals(answer.GetNames(), answer.GetHistory())})
+		h.registrar.Apply(now, scheduler.History{Totals: decodeTotals(answer.GetNames(), answer.GetHistory())})
 		h.joining = false
 		return
 	}
@@ -174,12 +174,12 @@
 			Model:     interner.At(request.GetNames(), row.GetModel()), Waiting: int(row.GetWaiting()),
 		})
 	}
-	return c.answerCompare(h, request.GetJoining(), h.desk.Apply(now, event))
+	return c.answerCompare(h, request.GetJoining(), h.registrar.Apply(now, event))
 }
 
 func (c *Coordinator) answerCompare(h *hostedPool, joining bool, loans []scheduler.Loan) *messenger.CompareResponse {
 	var table interner.Writer
-	response := &messenger.CompareResponse{Origin: h.desk.Incarnation}
+	response := &messenger.CompareResponse{Origin: h.registrar.Incarnation}
 	for _, l := range loans {
 		response.Loans = append(response.Loans, &messenger.Loan{
 			Id: l.ID, Workspace: table.Intern(l.Workspace), Model: table.Intern(l.Model), Endpoint: table.Intern(l.Endpoint),
@@ -188,7 +188,7 @@
 		})
 	}
 	if joining && !h.joining {
-		response.History = encodeTotals(&table, h.desk.Pool.History())
+		response.History = encodeTotals(&table, h.registrar.Pool.History())
 	}
 	response.Names = table.Take()
 	return response
--- a/router/internal/coordinator/compare_test.go
+++ b/router/internal/coordinator/compare_test.go
@@ -35,7 +35,7 @@
 		Origin: 2, Names: []string{"large"}, History: []*messenger.Total{{Workspace: 0, Charged: 700}},
 	})
 	require.False(t, h.joining)
-	history := h.desk.Pool.History()
+	history := h.registrar.Pool.History()
 	require.Len(t, history, 1)
 	require.Equal(t, uint64(700), history[0].Charged)
 
--- a/router/internal/coordinator/coordinator.go
+++ b/router/internal/coordinator/coordinator.go
@@ -3,13 +3,19 @@
 // the router's requests wait for slots of a pool, and the pools whose scheduler runs
 // on this router.
 //
+// Routers use two protocols. Within a zone, the poolClient of a router sends batches of
+// its waiting and running requests to the scheduler of their pool (Exchange), which
+// answers with grants or sends them later (Grant). Between zones, the schedulers of one
+// service exchange offers: service counters, demand and loans of slots (Compare). The
+// exchanges named in comments are those between zones.
+//
 // All control state belongs to one goroutine. Every event is a function sent to that
 // goroutine; calls to other routers run in goroutines of their own and return their
 // result the same way. Decisions are made by the pure state machines of the packages
 // detector, enlister and scheduler.
 //
 // Invariants: no other goroutine touches control state; at most one call for each
-// enlister and one for each session of a desk is in flight, and every call has a
+// enlister and one for each session of a registrar is in flight, and every call has a
 // timeout; a pool that this router no longer schedules is handed over and dropped;
 // all pools are dropped after this process has stalled for longer than the other
 // routers wait before they take its pools over.
@@ -86,7 +92,7 @@
 	events  chan func()
 	launch  func(func()) // runs a call outside the control goroutine
 	done    chan struct{}
-	settled atomic.Bool
+	settled atomic.Bool // this router has joined its zone; see Ready
 	// livePeers are the control addresses of the other live routers of the zone.
 	livePeers atomic.Pointer[[]netip.AddrPort]
 
@@ -94,16 +100,16 @@
 	self          scheduler.RouterID
 	detector      *detector.Detector
 	version       uint64 // last version of the detector's lists that was acted upon
-	handledStalls uint64
+	handledStalls uint64 // stalls of the detector after which the pools were dropped
 	rules         *matcher.Rules
-	poolClients   map[string]*poolClient
-	pools         map[string]*hostedPool
-	pending       map[uint64]*Waiter
-	seq           uint64
-	origins       uint64
-	heartbeatAt   time.Time
-	compareAt     time.Time
-	compareRound  uint32
+	poolClients   map[string]*poolClient // by service
+	pools         map[string]*hostedPool // by service
+	pending       map[uint64]*Waiter     // requests without an outcome, by their seq
+	seq           uint64                 // of the last Waiter
+	origins       uint64                 // number of origins generated so far
+	heartbeatAt   time.Time              // next heartbeats
+	compareAt     time.Time              // next check for pools with an exchange due
+	compareRound  uint32                 // number of the last offer of any pool
 	announcements announcementTable
 	handovers     []handover // handovers to be retried
 }
@@ -242,10 +248,10 @@
 // resetAfterStall drops all pools. While this process stalled, other routers took
 // its pools over and gave their slots to other requests, so its state is stale.
 func (c *Coordinator) resetAfterStall(now time.Time) {
-	c.log.Warn().Msg("this process stood still for longer than its lease; its pools start anew")
+	c.log.Warn().Msg("this process stalled for longer than its lease; dropping its pools, which other routers may have taken over")
 	clear(c.pools)
-	for _, l := range c.poolClients {
-		l.enlister.Restart(now)
+	for _, pc := range c.poolClients {
+		pc.enlister.Restart(now)
 	}
 }
 
@@ -260,8 +266,8 @@
 		}
 	}
 	c.livePeers.Store(&peers)
-	for _, l := range c.poolClients {
-		c.reassign(now, l)
+	for _, pc := range c.poolClients {
+		c.reassign(now, pc)
 	}
 	for _, h := range c.pools {
 		if owner, found := c.owner(h.service); found && owner.Name != c.self.Name {
@@ -305,7 +311,7 @@
 				delete(c.pools, service)
 				continue
 			}
-			h.desk.Apply(now, scheduler.Configured{Rules: rules})
+			h.registrar.Apply(now, scheduler.Configured{Rules: rules})
 		}
 	})
 }
@@ -341,8 +347,8 @@
 	for flushed := false; !flushed && ctx.Err() == nil; {
 		ran := c.do(ctx, func() {
 			flushed = true
-			for _, l := range c.poolClients {
-				flushed = flushed && l.enlister.EndingsDelivered()
+			for _, pc := range c.poolClients {
+				flushed = flushed && pc.enlister.EndingsDelivered()
 			}
 		})
 		if !ran || flushed {
--- a/router/internal/coordinator/coordinator_test.go
+++ b/router/internal/coordinator/coordinator_test.go
@@ -143,7 +143,7 @@
 	more := keepBacklogged(w, 6, always)
 	w.run(3*time.Second, more)
 	n := w.nodes[w.scheduler(0)]
-	before := n.pools[service].desk.Incarnation
+	before := n.pools[service].registrar.Incarnation
 	n.stalled = true
 	w.run(1600*time.Millisecond, more)
 	successor := w.nodes[w.scheduler(0)]
@@ -151,7 +151,7 @@
 	n.stalled = false
 	w.run(simulationStep, more)
 	if h := n.pools[service]; h != nil {
-		require.NotEqual(t, before, h.desk.Incarnation)
+		require.NotEqual(t, before, h.registrar.Incarnation)
 	}
 	w.run(time.Second, more)
 	require.Empty(t, successor.pools, "the successor has handed the pool back")
@@ -168,13 +168,13 @@
 	more := keepBacklogged(w, 6, always)
 	w.run(5*time.Second, more)
 	at := w.scheduler(0)
-	before := w.nodes[at].pools[service].desk.Pool.Stats(w.clock.Now())
+	before := w.nodes[at].pools[service].registrar.Pool.Stats(w.clock.Now())
 	w.nodes[at].sendHeartbeats(w.nodes[at].detector.Leave())
 	w.run(time.Second, more)
 	require.Empty(t, w.nodes[at].pools)
 	next := w.scheduler(0)
 	require.NotEqual(t, at, next)
-	after := w.nodes[next].pools[service].desk.Pool.Stats(w.clock.Now())
+	after := w.nodes[next].pools[service].registrar.Pool.Stats(w.clock.Now())
 	for i, workspace := range after.Workspaces {
 		require.GreaterOrEqual(t, workspace.Counter, before.Workspaces[i].Counter)
 	}
@@ -242,7 +242,7 @@
 	w.run(3*time.Second, more)
 	for _, n := range w.nodes {
 		require.Len(t, n.pools, 1)
-		require.Equal(t, 1, n.pools[service].desk.Pool.Stats(w.clock.Now()).Endpoints[0].Slots)
+		require.Equal(t, 1, n.pools[service].registrar.Pool.Stats(w.clock.Now()).Endpoints[0].Slots)
 	}
 	require.Greater(t, meanRunning(w, 5*time.Second, more), 0.9*endpointSlots)
 	require.LessOrEqual(t, w.maxRunning["e1"], endpointSlots)
--- a/router/internal/coordinator/endpoints.go
+++ b/router/internal/coordinator/endpoints.go
@@ -12,8 +12,8 @@
 	"shallotkeel.example/lib/scheduler"
 )
 
-// receiveAnnouncement handles what a router forwarded: an announcement, or the
-// renewals of a pool.
+// receiveAnnouncement handles an announcement, or the renewals of a pool, that a router
+// forwarded.
 func (c *Coordinator) receiveAnnouncement(now time.Time, request *messenger.AnnounceRequest) *messenger.AnnounceResponse {
 	if message := request.GetAnnouncement(); message != nil {
 		if message.GetZone() != c.options.Zone || !c.applyAnnouncement(now, message, time.Duration(request.GetAgeMs())*time.Millisecond) {
@@ -50,8 +50,9 @@
 	return c.applyAnnouncement(now, renewed, 0)
 }
 
-// applyAnnouncement applies an announcement that a router received that long ago. It
-// returns false if this router does not schedule the pool or the address is invalid.
+// applyAnnouncement applies an announcement, which its endpoint sent the given age ago,
+// to the pool. It returns false if this router does not schedule the pool or the address
+// is invalid.
 func (c *Coordinator) applyAnnouncement(now time.Time, message *messenger.Announcement, age time.Duration) bool {
 	h := c.pool(now, message.GetService())
 	address, err := netip.ParseAddrPort(message.GetAddress())
@@ -60,11 +61,11 @@
 	}
 	old := h.endpoints[message.GetId()]
 	if old.GetIncarnation() > message.GetIncarnation() || (old == nil && len(h.endpoints) >= maxAnnounced) {
-		return true // stale: the announcement of a former incarnation changes nothing
+		return true // ignored: it is of a former incarnation, or above the bound of endpoints
 	}
 	ttl := time.Duration(message.GetTtlMs()) * time.Millisecond
 	h.expires[message.GetId()] = now.Add(ttl)
-	h.desk.Apply(now, scheduler.Announced{
+	h.registrar.Apply(now, scheduler.Announced{
 		ID: message.GetId(), Incarnation: message.GetIncarnation(), Address: address,
 		Labels: labelsOf(message), Models: h.visibleModels(message), Slots: c.slots(message), TTL: ttl,
 		Leaving: message.GetLeaving(), Load: int(message.GetLoad()),
@@ -98,7 +99,7 @@
 const endpointRetention = time.Minute
 
 // slots returns how many requests this router's pool may run at an endpoint. In
-// standalone mode every router takes an equal part, and at least one.
+// standalone mode every live router has an equal part of the slots, and at least one.
 func (c *Coordinator) slots(message *messenger.Announcement) int {
 	slots := int(message.GetSlots())
 	if !c.options.Standalone {
--- a/router/internal/coordinator/ordering.go
+++ b/router/internal/coordinator/ordering.go
@@ -60,7 +60,7 @@
 		return
 	}
 	if h.commander == nil {
-		holder := c.self.Name + "/" + strconv.FormatUint(c.self.Incarnation, 36) + "/" + strconv.FormatUint(h.desk.Incarnation, 36)
+		holder := c.self.Name + "/" + strconv.FormatUint(c.self.Incarnation, 36) + "/" + strconv.FormatUint(h.registrar.Incarnation, 36)
 		h.commander = commander.New(&messenger.Pool{Zone: c.options.Zone, Service: h.service}, holder)
 	}
 	h.commander.Observe(commander.Reading{
@@ -92,7 +92,7 @@
 	if next := h.commander.NextStep(now); next.IsZero() || now.Before(next) {
 		return next
 	}
-	actions := h.commander.Step(now, c.rules, func() scheduler.Usage { return h.desk.Pool.Usage() })
+	actions := h.commander.Step(now, c.rules, func() scheduler.Usage { return h.registrar.Pool.Usage() })
 	for _, order := range actions.Orders {
 		c.sendOrder(now, h.commander, order)
 	}
--- a/router/internal/coordinator/pool_clients.go
+++ b/router/internal/coordinator/pool_clients.go
@@ -67,56 +67,56 @@
 	if known := c.poolClients[service]; known != nil {
 		return known
 	}
-	l := &poolClient{
+	pc := &poolClient{
 		service:  service,
 		enlister: &enlister.Enlister{Zone: c.options.Zone, Service: service, Router: c.self},
 	}
-	c.poolClients[service] = l
-	c.reassign(c.clock.Now(), l)
-	return l
+	c.poolClients[service] = pc
+	c.reassign(c.clock.Now(), pc)
+	return pc
 }
 
 // reassign makes the client enrol with the current scheduler of the pool.
-func (c *Coordinator) reassign(now time.Time, l *poolClient) {
-	owner, found := c.owner(l.service)
-	same := owner.Name == l.owner.Name && owner.Incarnation == l.owner.Incarnation
-	if found == l.assigned && same {
+func (c *Coordinator) reassign(now time.Time, pc *poolClient) {
+	owner, found := c.owner(pc.service)
+	same := owner.Name == pc.owner.Name && owner.Incarnation == pc.owner.Incarnation
+	if found == pc.assigned && same {
 		return
 	}
-	l.owner, l.assigned = owner, found
-	l.enlister.Restart(now)
+	pc.owner, pc.assigned = owner, found
+	pc.enlister.Restart(now)
 }
 
 // stepPoolClients sends the batches that are ready, and returns the time of the next
 // step.
 func (c *Coordinator) stepPoolClients(now time.Time) (next time.Time) {
-	for _, l := range c.poolClients {
-		for l.assigned {
-			batch := l.enlister.Next(now)
+	for _, pc := range c.poolClients {
+		for pc.assigned {
+			batch := pc.enlister.Next(now)
 			if batch == nil {
 				break
 			}
-			c.exchange(now, l, batch)
+			c.sendBatch(now, pc, batch)
 		}
-		next = earliest(next, l.enlister.NextWake())
+		next = earliest(next, pc.enlister.NextWake())
 	}
 	return next
 }
 
-// exchange sends a batch to the pool's scheduler. A scheduler on this router needs
-// no call.
-func (c *Coordinator) exchange(now time.Time, l *poolClient, batch *messenger.ExchangeRequest) {
-	if l.owner.Name == c.self.Name {
-		c.deliver(l.enlister.Answered(now, batch.GetNumber(), c.receiveExchange(now, batch)))
+// sendBatch sends a batch to the pool's scheduler and handles its answer. A scheduler on
+// this router needs no call.
+func (c *Coordinator) sendBatch(now time.Time, pc *poolClient, batch *messenger.ExchangeRequest) {
+	if pc.owner.Name == c.self.Name {
+		c.deliver(pc.enlister.Answered(now, batch.GetNumber(), c.receiveExchange(now, batch)))
 		return
 	}
-	method := c.peers.get(l.owner.Address).scheduling.Exchange
+	method := c.peers.get(pc.owner.Address).scheduling.Exchange
 	call(c, kindExchange, method, batch, func(answer *messenger.ExchangeResponse, err error) {
 		if err != nil {
-			l.enlister.Failed(c.clock.Now(), batch.GetNumber())
+			pc.enlister.Failed(c.clock.Now(), batch.GetNumber())
 			return
 		}
-		c.deliver(l.enlister.Answered(c.clock.Now(), batch.GetNumber(), answer))
+		c.deliver(pc.enlister.Answered(c.clock.Now(), batch.GetNumber(), answer))
 	})
 }
 
@@ -142,9 +142,9 @@
 
 // receiveGrant handles the grants that a scheduler sends.
 func (c *Coordinator) receiveGrant(request *messenger.GrantRequest) *messenger.GrantResponse {
-	for _, l := range c.poolClients {
-		if l.enlister.Scheduler() == request.GetScheduler() {
-			response, outcomes := l.enlister.Grant(request)
+	for _, pc := range c.poolClients {
+		if pc.enlister.Scheduler() == request.GetScheduler() {
+			response, outcomes := pc.enlister.Grant(request)
 			c.metrics.declined.Add(float64(len(response.GetDeclined())))
 			c.deliver(outcomes)
 			return response
--- a/router/internal/coordinator/pools.go
+++ b/router/internal/coordinator/pools.go
@@ -15,17 +15,17 @@
 // hostedPool is a pool whose scheduler runs on this router.
 type hostedPool struct {
 	service    string
-	plain      bool
-	desk       *enlister.Registrar
+	plain      bool // its service is of describer.TypePlain
+	registrar  *enlister.Registrar
 	endpoints  map[string]*messenger.Announcement // last announcements by endpoint ID, for renewals and status
-	expires    map[string]time.Time
-	seen       map[scheduler.RouterID]presence
-	tickedAt   time.Time
-	compareAt  time.Time            // next exchange with the other zones
-	joining    bool                 // no service history has been received yet
-	answeredAt map[string]time.Time // time of the last answer, by zone
-	comparing  map[string]bool      // zones with an exchange in flight
-	commander  *commander.Commander // nil until an endpoint accepts orders
+	expires    map[string]time.Time               // end of the time to live of endpoints, by ID
+	seen       map[scheduler.RouterID]presence    // enrolled routers
+	tickedAt   time.Time                          // time of the last Tick
+	compareAt  time.Time                          // next exchange with the other zones
+	joining    bool                               // no service history has been received yet
+	answeredAt map[string]time.Time               // time of the last answer, by zone
+	comparing  map[string]bool                    // zones with an exchange in flight
+	commander  *commander.Commander               // nil until an endpoint accepts orders
 }
 
 // presence is the evidence that an enrolled router is live. since is the time of its
@@ -54,7 +54,7 @@
 		answeredAt: make(map[string]time.Time),
 		comparing:  make(map[string]bool),
 	}
-	h.desk = &enlister.Registrar{Incarnation: origin, Pool: scheduler.New(scheduler.Options{
+	h.registrar = &enlister.Registrar{Incarnation: origin, Pool: scheduler.New(scheduler.Options{
 		Zone: c.options.Zone, Service: service, Origin: origin, Plain: h.plain,
 		CompareBudget: c.options.CompareBytesPerSecond,
 	})}
@@ -62,7 +62,7 @@
 	c.metrics.takeovers.Inc()
 	c.metrics.pools.Set(float64(len(c.pools)))
 	if c.rules != nil {
-		h.desk.Apply(now, scheduler.Configured{Rules: c.rules})
+		h.registrar.Apply(now, scheduler.Configured{Rules: c.rules})
 	}
 	c.reannounceTo(now, service)
 	return h
@@ -81,8 +81,8 @@
 func (c *Coordinator) receiveExchange(now time.Time, request *messenger.ExchangeRequest) *messenger.ExchangeResponse {
 	if !request.GetFull() {
 		for _, h := range c.pools {
-			if h.desk.Incarnation == request.GetScheduler() {
-				return h.desk.Exchange(now, request)
+			if h.registrar.Incarnation == request.GetScheduler() {
+				return h.registrar.Exchange(now, request)
 			}
 		}
 		return &messenger.ExchangeResponse{NeedFull: true}
@@ -99,29 +99,29 @@
 		_, live := c.addressOf(router)
 		h.seen[router] = presence{since: now, live: live}
 	}
-	return h.desk.Exchange(now, request)
+	return h.registrar.Exchange(now, request)
 }
 
 // stepPools advances the pools to now and sends their grants. It returns the time of
 // the next step.
 func (c *Coordinator) stepPools(now time.Time) (next time.Time) {
 	for _, h := range c.pools {
-		wakeAt := h.desk.Pool.NextDeadline(now)
+		wakeAt := h.registrar.Pool.NextDeadline(now)
 		if !wakeAt.IsZero() && !wakeAt.After(now) {
 			if now.Sub(h.tickedAt) >= minTickInterval {
 				h.tickedAt = now
-				h.desk.Apply(now, scheduler.Tick{})
-				wakeAt = h.desk.Pool.NextDeadline(now)
+				h.registrar.Apply(now, scheduler.Tick{})
+				wakeAt = h.registrar.Pool.NextDeadline(now)
 			}
 			if !wakeAt.IsZero() && !wakeAt.After(now) {
 				wakeAt = h.tickedAt.Add(minTickInterval)
 			}
 		}
 		next = earliest(next, wakeAt)
-		for _, batch := range h.desk.Calls(now) {
+		for _, batch := range h.registrar.Calls(now) {
 			c.sendGrants(now, h, batch)
 		}
-		next = earliest(next, h.desk.NextWake())
+		next = earliest(next, h.registrar.NextWake())
 		next = earliest(next, c.stepCommander(now, h))
 	}
 	return next
@@ -130,21 +130,21 @@
 // sendGrants sends a batch of grants. Grants to this router itself need no call.
 func (c *Coordinator) sendGrants(now time.Time, h *hostedPool, batch enlister.Call) {
 	if batch.Router == c.self {
-		h.desk.Answered(now, batch, c.receiveGrant(batch.Request))
+		h.registrar.Answered(now, batch, c.receiveGrant(batch.Request))
 		return
 	}
 	address, live := c.addressOf(batch.Router)
 	if !live {
-		h.desk.Failed(now, batch)
+		h.registrar.Failed(now, batch)
 		return
 	}
 	method := c.peers.get(address).granting.Grant
 	call(c, kindGrant, method, batch.Request, func(answer *messenger.GrantResponse, err error) {
 		if err != nil {
-			h.desk.Failed(c.clock.Now(), batch)
+			h.registrar.Failed(c.clock.Now(), batch)
 			return
 		}
-		h.desk.Answered(c.clock.Now(), batch, answer)
+		h.registrar.Answered(c.clock.Now(), batch, answer)
 	})
 }
 
@@ -153,15 +153,15 @@
 // list of live routers.
 func (c *Coordinator) checkRouters(now time.Time) {
 	for _, h := range c.pools {
-		h.desk.Expire(now)
-		for _, router := range h.desk.Routers() {
+		h.registrar.Expire(now)
+		for _, router := range h.registrar.Routers() {
 			known := h.seen[router]
 			_, live := c.addressOf(router)
 			switch {
 			case live:
 				h.seen[router] = presence{since: now, live: true}
 			case known.live || now.Sub(known.since) > c.options.SuspectAfter:
-				h.desk.RouterGone(now, router)
+				h.registrar.RouterGone(now, router)
 				delete(h.seen, router)
 			}
 		}
@@ -177,8 +177,8 @@
 }
 
 // handoverAttempts is how often a handover is attempted. The new scheduler may learn
-// of its role only with its next heartbeat; without the counters it starts from
-// those that the other zones have.
+// of its role only with its next heartbeat. If all attempts fail, it starts from the
+// counters that the other zones have.
 const handoverAttempts = 4
 
 // handOver sends a pool's service counters to its new scheduler and drops the pool.
@@ -188,10 +188,10 @@
 	c.metrics.pools.Set(float64(len(c.pools)))
 	request := &messenger.HandoverRequest{
 		Pool:   &messenger.Pool{Zone: c.options.Zone, Service: h.service},
-		Origin: h.desk.Incarnation,
+		Origin: h.registrar.Incarnation,
 	}
 	var table interner.Writer
-	request.History = encodeTotals(&table, h.desk.Pool.History())
+	request.History = encodeTotals(&table, h.registrar.Pool.History())
 	request.Names = table.Take()
 	c.sendHandover(handover{request: request, owner: owner, attempts: handoverAttempts, retryAt: now})
 }
@@ -233,7 +233,7 @@
 	if h == nil {
 		return &messenger.HandoverResponse{NotHere: true}
 	}
-	h.desk.Apply(now, scheduler.History{Totals: decodeTotals(request.GetNames(), request.GetHistory())})
+	h.registrar.Apply(now, scheduler.History{Totals: decodeTotals(request.GetNames(), request.GetHistory())})
 	h.joining = false
 	return &messenger.HandoverResponse{}
 }
--- a/router/internal/coordinator/report.go
+++ b/router/internal/coordinator/report.go
@@ -120,7 +120,7 @@
 	status.Routers = []reporter.Router{self}
 	for _, service := range slices.Sorted(maps.Keys(c.pools)) {
 		h := c.pools[service]
-		stats := h.desk.Pool.Stats(now)
+		stats := h.registrar.Pool.Stats(now)
 		pool := reporter.Pool{
 			Zone: c.options.Zone, Service: service, Scheduler: c.self.Name,
 			Waiting: stats.Waiting, Running: stats.Running, Gap: stats.Gap, Utilisation: stats.Utilisation,
--- a/router/internal/enroller/enroller.go
+++ b/router/internal/enroller/enroller.go
@@ -1,4 +1,6 @@
-// Package enroller obtains slots for the relayer from the schedulers of the pools.
+// Package enroller obtains slots for the relayer from the schedulers of the pools. It
+// adapts the coordinator, whose enlisters speak the protocol with the schedulers, to
+// the relayer's interfaces Enroller and Slot.
 //
 // Invariants: a request that is withdrawn while its grant arrives returns the slot;
 // a slot is returned once; progress reaches the control goroutine at most once per
--- a/router/internal/relayer/admission.go
+++ b/router/internal/relayer/admission.go
@@ -123,16 +123,16 @@
 }
 
 // serve runs a well-formed, admitted request to its final action.
-func (r *Relayer) serve(ctx context.Context, q *request, nature tracker.Traits) tracker.Action {
-	if !nature.Repeatable {
+func (r *Relayer) serve(ctx context.Context, q *request, traits tracker.Traits) tracker.Action {
+	if !traits.Repeatable {
 		if problem := q.resolveKey(); problem != nil {
 			return q.problemAction(problem)
 		}
 		q.recorder.limit = r.limits.RecordBytes
 	}
 	q.rules = nil // a waiting request must not keep a superseded revision in memory
-	nature.Attempts = r.limits.Attempts
-	q.tracker = tracker.New(nature, retryBudget{queue: &r.queue, workspace: q.workspace.Name})
+	traits.Attempts = r.limits.Attempts
+	q.tracker = tracker.New(traits, retryBudget{queue: &r.queue, workspace: q.workspace.Name})
 	r.explainer.begin(q)
 	return r.run(ctx, q)
 }
--- a/router/internal/relayer/backoff_test.go
+++ b/router/internal/relayer/backoff_test.go
@@ -38,15 +38,15 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			arrivals.Store(0)
-			f := newFakeClockFleet(t, relayer.Limits{}, test.endpoints...)
-			require.Equal(t, test.status, f.call(http.MethodGet, "/v1/services/safe/x", "").status)
+			tb := newFakeClockTestbed(t, relayer.Limits{}, test.endpoints...)
+			require.Equal(t, test.status, tb.call(http.MethodGet, "/v1/services/safe/x", "").status)
 			for passed := step; passed < backoff; passed += step {
-				f.clock.Advance(step)
-				require.Equal(t, test.status, f.call(http.MethodGet, "/v1/services/safe/x", "").status)
+				tb.clock.Advance(step)
+				require.Equal(t, test.status, tb.call(http.MethodGet, "/v1/services/safe/x", "").status)
 				require.EqualValues(t, 1, arrivals.Load(), "after %s", passed)
 			}
-			f.clock.Advance(2 * step)
-			require.Equal(t, http.StatusOK, f.call(http.MethodGet, "/v1/services/safe/x", "").status)
+			tb.clock.Advance(2 * step)
+			require.Equal(t, http.StatusOK, tb.call(http.MethodGet, "/v1/services/safe/x", "").status)
 			require.EqualValues(t, 2, arrivals.Load(), "the backoff is over")
 		})
 	}
@@ -55,7 +55,7 @@
 // Guards against new requests to an endpoint whose answers announce that it is leaving.
 func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
 	var arrivals atomic.Int64
-	f := newFakeClockFleet(t, relayer.Limits{},
+	tb := newFakeClockTestbed(t, relayer.Limits{},
 		func(w http.ResponseWriter, r *http.Request, _ int) {
 			arrivals.Add(1)
 			w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
@@ -65,8 +65,8 @@
 			w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 		})
 	for range 10 {
-		require.Equal(t, http.StatusOK, f.call(http.MethodGet, "/v1/services/safe/x", "").status)
-		f.clock.Advance(250 * time.Millisecond)
+		require.Equal(t, http.StatusOK, tb.call(http.MethodGet, "/v1/services/safe/x", "").status)
+		tb.clock.Advance(250 * time.Millisecond)
 	}
 	require.EqualValues(t, 1, arrivals.Load())
 }
--- a/router/internal/relayer/body.go
+++ b/router/internal/relayer/body.go
@@ -69,7 +69,7 @@
 	r.bytes = int64(n)
 }
 
-// release returns the whole reservation.
+// release returns all reserved bytes to the body memory.
 func (r *bodyReservation) release() {
 	r.shrinkTo(0)
 }
--- a/router/internal/relayer/caller.go
+++ b/router/internal/relayer/caller.go
@@ -27,7 +27,7 @@
 )
 
 // errCaller is the kind of every error of writing to a caller.
-var errCaller = merry.Sentinel("caller takes no more of its answer")
+var errCaller = merry.Sentinel("writing the answer to the caller failed")
 
 // caller writes one answer to a caller. Every write has a deadline, because a caller that reads
 // nothing would otherwise hold an endpoint's slot, and enough such callers would hold all slots.
--- a/router/internal/relayer/client_test.go
+++ b/router/internal/relayer/client_test.go
@@ -77,7 +77,7 @@
 		t.Run(name, func(t *testing.T) {
 			d := &desk{}
 			var calls atomic.Int32
-			f := newFleet(t, relayer.Limits{Attempts: 1}, func(w http.ResponseWriter, r *http.Request, n int) {
+			tb := newTestbed(t, relayer.Limits{Attempts: 1}, func(w http.ResponseWriter, r *http.Request, n int) {
 				if calls.Add(1) == 1 && test.first != nil {
 					test.first(w, r, n)
 					return
@@ -85,7 +85,7 @@
 				d.serve(w, r, n)
 			})
 			var waited time.Duration
-			got, err := send(http.DefaultClient, f.url+bids, "house-token", "lot-7", "12", 4, func(d time.Duration) { waited += d })
+			got, err := send(http.DefaultClient, tb.url+bids, "house-token", "lot-7", "12", 4, func(d time.Duration) { waited += d })
 			if test.fails != "" {
 				require.ErrorContains(t, err, test.fails)
 			} else {
@@ -96,8 +96,8 @@
 			require.Equal(t, test.first != nil, waited > 0)
 		})
 	}
-	f := newFleet(t, relayer.Limits{}, healthy)
-	_, err := send(http.DefaultClient, f.url+bids, "wrong", "lot-7", "12", 4, func(time.Duration) { t.Fail() })
+	tb := newTestbed(t, relayer.Limits{}, healthy)
+	_, err := send(http.DefaultClient, tb.url+bids, "wrong", "lot-7", "12", 4, func(time.Duration) { t.Fail() })
 	require.ErrorContains(t, err, "refused for good")
 }
 
--- a/router/internal/relayer/crashguard.go
+++ b/router/internal/relayer/crashguard.go
@@ -71,11 +71,11 @@
 func (g *crashGuard) end(now time.Time, q *request, ending isolator.Outcome) []uint64 {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	guilty := g.isolator.End(now, q.run, ending)
+	quarantined := g.isolator.End(now, q.run, ending)
 	if q.trial {
 		g.notifyWaiting(q.fingerprint)
 	}
-	return guilty
+	return quarantined
 }
 
 // notifyWaiting wakes the requests that wait for the end of a fingerprint's trial. The lock must be
--- a/router/internal/relayer/drain_test.go
+++ b/router/internal/relayer/drain_test.go
@@ -30,12 +30,12 @@
 }
 
 // stop starts a planned stop with a stop limit of ten seconds. The channel gets the error of Drain.
-func (f *fleet) stop() <-chan error {
+func (tb *testbed) stop() <-chan error {
 	stopped := make(chan error, 1)
-	ctx, cancel := clockwork.WithTimeout(context.Background(), f.clock, 10*time.Second)
-	f.Cleanup(cancel)
-	go func() { stopped <- f.relayer.Drain(ctx) }()
-	require.Eventually(f, f.relayer.Stopping, waitTimeout, time.Millisecond)
+	ctx, cancel := clockwork.WithTimeout(context.Background(), tb.clock, 10*time.Second)
+	tb.Cleanup(cancel)
+	go func() { stopped <- tb.relayer.Drain(ctx) }()
+	require.Eventually(tb, tb.relayer.Stopping, waitTimeout, time.Millisecond)
 	return stopped
 }
 
@@ -44,14 +44,14 @@
 // which continues to its end while a new request is refused.
 func TestPlannedStopFinishesStreams(t *testing.T) {
 	proceed := make(chan struct{})
-	f := newFakeClockFleet(t, relayer.Limits{}, paced(proceed))
-	from := f.openStream(t.Context(), chatBody(true))
+	tb := newFakeClockTestbed(t, relayer.Limits{}, paced(proceed))
+	from := tb.openStream(t.Context(), chatBody(true))
 	_, err := from.ReadString('\n')
 	require.NoError(t, err)
-	stopped := f.stop()
-	again := f.stop()
+	stopped := tb.stop()
+	again := tb.stop()
 
-	got := f.chat(true)
+	got := tb.chat(true)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.Equal(t, "stopping", got.failure.Code)
 	require.Equal(t, "not-run", got.headers.Get("X-Outcome"))
@@ -71,24 +71,24 @@
 // so that truncated answers look complete. A stop begins while one request waits for a slot and
 // another streams; neither ends by itself.
 func TestPlannedStopHasLimit(t *testing.T) {
-	f := newFakeClockFleet(t, relayer.Limits{EndpointStallTimeout: time.Hour}, hangAfter(2, nil))
-	from := f.openStream(t.Context(), chatBody(true))
+	tb := newFakeClockTestbed(t, relayer.Limits{EndpointStallTimeout: time.Hour}, hangAfter(2, nil))
+	from := tb.openStream(t.Context(), chatBody(true))
 	_, err := from.ReadString('\n')
 	require.NoError(t, err)
-	f.enroller.lock.Lock()
-	f.enroller.paused = true
-	f.enroller.lock.Unlock()
+	tb.enroller.lock.Lock()
+	tb.enroller.paused = true
+	tb.enroller.lock.Unlock()
 	waiting := make(chan answer, 1)
-	go func() { waiting <- f.chat(true) }()
-	f.enroller.await(t, "waiting", func() bool { return len(f.enroller.waiting) == 2 })
-	stopped := f.stop()
+	go func() { waiting <- tb.chat(true) }()
+	tb.enroller.await(t, "waiting", func() bool { return len(tb.enroller.waiting) == 2 })
+	stopped := tb.stop()
 
-	require.NoError(t, f.clock.BlockUntilContext(t.Context(), 5)) // timers: half of the stop limit, the stop limit, two request timeouts, one stall timeout
-	f.clock.Advance(5 * time.Second)
+	require.NoError(t, tb.clock.BlockUntilContext(t.Context(), 5)) // timers: half of the stop limit, the stop limit, two request timeouts, one stall timeout
+	tb.clock.Advance(5 * time.Second)
 	got := receive(t, waiting)
 	require.Equal(t, "stopping", got.failure.Code, "a request granted a slot now would be aborted")
 	require.Equal(t, "not-run", got.headers.Get("X-Outcome"))
-	f.clock.Advance(5 * time.Second)
+	tb.clock.Advance(5 * time.Second)
 	rest, err := io.ReadAll(from)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	require.NotContains(t, string(rest), "[DONE]")
--- a/router/internal/relayer/explain_test.go
+++ b/router/internal/relayer/explain_test.go
@@ -13,12 +13,12 @@
 // Guards against incomplete histories of retried requests, and against histories that are kept without
 // a limit.
 func TestExplain(t *testing.T) {
-	f := newFleet(t, relayer.Limits{ExplainableRequests: 2}, crashAfter(2), healthy)
+	tb := newTestbed(t, relayer.Limits{ExplainableRequests: 2}, crashAfter(2), healthy)
 	const traceparent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-	got := f.chat(true, "Traceparent", traceparent)
+	got := tb.chat(true, "Traceparent", traceparent)
 	require.Contains(t, got.headers.Get("Traceparent"), "0af7651916cd43dd8448eb211c80319c")
 	id := got.headers.Get("X-Request-Id")
-	explanation, found := f.relayer.Explain(id)
+	explanation, found := tb.relayer.Explain(id)
 	require.True(t, found)
 	require.Equal(t, "answered", explanation.Outcome)
 	require.Equal(t, "house", explanation.Workspace)
@@ -30,20 +30,20 @@
 	}
 	require.Equal(t, []string{"queued", "granted", "attempt failed", "given back", "retry", "suspect", "granted", "given back"}, steps)
 	for range 2 {
-		f.call(http.MethodGet, "/v1/services/app/", "")
+		tb.call(http.MethodGet, "/v1/services/app/", "")
 	}
-	_, found = f.relayer.Explain(id)
+	_, found = tb.relayer.Explain(id)
 	require.False(t, found, "the oldest ended request is removed")
 }
 
 // Guards against waiting requests without an explanation, when the limit of ended requests is reached.
 func TestExplainOfWaitingRequest(t *testing.T) {
-	f := newFleet(t, relayer.Limits{ExplainableRequests: 1}, healthy)
-	f.call(http.MethodGet, "/v1/services/app/", "")
-	f.enroller.paused = true
-	go f.chat(true)
-	f.enroller.await(t, "waiting", func() bool { return len(f.enroller.waiting) == 2 })
-	explanation, found := f.relayer.Explain(f.enroller.waiting[1].ID)
+	tb := newTestbed(t, relayer.Limits{ExplainableRequests: 1}, healthy)
+	tb.call(http.MethodGet, "/v1/services/app/", "")
+	tb.enroller.paused = true
+	go tb.chat(true)
+	tb.enroller.await(t, "waiting", func() bool { return len(tb.enroller.waiting) == 2 })
+	explanation, found := tb.relayer.Explain(tb.enroller.waiting[1].ID)
 	require.True(t, found)
 	require.Empty(t, explanation.Outcome)
 	require.Contains(t, explanation.Why, "waits for a slot")
@@ -53,12 +53,12 @@
 // another workspace, by headers that are forwarded although they are private or set by routers.
 func TestHeadersSentToServices(t *testing.T) {
 	seen := make(chan http.Header, 1)
-	f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, _ int) {
+	tb := newTestbed(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, _ int) {
 		seen <- r.Header
 		w.Header().Set("X-Outcome", "unknown")
 		w.Header().Set("X-Custom", "kept")
 	})
-	got := f.call(http.MethodGet, "/v1/services/app/", "", "X-Workspace", "another", "X-Request-Id", "mine", "X-Custom", "kept")
+	got := tb.call(http.MethodGet, "/v1/services/app/", "", "X-Workspace", "another", "X-Request-Id", "mine", "X-Custom", "kept")
 	headers := receive(t, seen)
 	require.Empty(t, headers.Get("Authorization"))
 	require.Equal(t, "house", headers.Get("X-Workspace"))
@@ -71,15 +71,15 @@
 // Guards against labels with names that callers or operators choose, such as those of workspaces,
 // models and endpoints: the number of series would grow with the deployment.
 func TestMetricsHaveBoundedLabels(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, healthy)
-	f.chat(true)
-	f.chat(false)
-	f.call(http.MethodGet, "/v1/services/none/", "")
-	require.EqualValues(t, 2, f.metric("shallotkeel_requests_total{code=,kind=chat,outcome=answered}"))
-	require.EqualValues(t, 1, f.metric("shallotkeel_requests_total{code=unknown_service,kind=plain,outcome=not-run}"))
-	require.EqualValues(t, 2*answerTokens, f.metric("shallotkeel_tokens_total{}"))
-	require.EqualValues(t, 2, f.metric("shallotkeel_first_token_seconds{}"))
-	families, err := f.registry.Gather()
+	tb := newTestbed(t, relayer.Limits{}, healthy)
+	tb.chat(true)
+	tb.chat(false)
+	tb.call(http.MethodGet, "/v1/services/none/", "")
+	require.EqualValues(t, 2, tb.metric("shallotkeel_requests_total{code=,kind=chat,outcome=answered}"))
+	require.EqualValues(t, 1, tb.metric("shallotkeel_requests_total{code=unknown_service,kind=plain,outcome=not-run}"))
+	require.EqualValues(t, 2*answerTokens, tb.metric("shallotkeel_tokens_total{}"))
+	require.EqualValues(t, 2, tb.metric("shallotkeel_first_token_seconds{}"))
+	families, err := tb.registry.Gather()
 	require.NoError(t, err)
 	for _, family := range families {
 		for _, metric := range family.GetMetric() {
--- a/router/internal/relayer/harness_test.go
+++ b/router/internal/relayer/harness_test.go
@@ -36,15 +36,15 @@
 // long.
 const waitTimeout = 10 * time.Second
 
-// fleet is a Relayer between a test's caller and scripted endpoints, with stubs of its dependencies. It
+// testbed is a Relayer between a test's caller and scripted endpoints, with stubs of its dependencies. It
 // is also the stub of the quarantine.
-type fleet struct {
+type testbed struct {
 	*testing.T
 	relayer  *relayer.Relayer
 	url      string
 	enroller *enroller
 	claimer  *claimer
-	clock    *clockwork.FakeClock // nil if the fleet uses the real clock
+	clock    *clockwork.FakeClock // nil if the testbed uses the real clock
 	registry *prometheus.Registry
 
 	lock       sync.Mutex
@@ -54,44 +54,44 @@
 // endpoint is the script of an endpoint: it serves the n-th request to the endpoint.
 type endpoint func(w http.ResponseWriter, r *http.Request, n int)
 
-// newFleet starts a fleet with the real clock. The enroller prefers the endpoints in their order.
-func newFleet(t *testing.T, limits relayer.Limits, endpoints ...endpoint) *fleet {
-	return startFleet(t, clockwork.NewRealClock(), limits, endpoints...)
+// newTestbed starts a testbed with the real clock. The enroller prefers the endpoints in their order.
+func newTestbed(t *testing.T, limits relayer.Limits, endpoints ...endpoint) *testbed {
+	return startTestbed(t, clockwork.NewRealClock(), limits, endpoints...)
 }
 
-// newFakeClockFleet starts a fleet whose clock the test advances.
-func newFakeClockFleet(t *testing.T, limits relayer.Limits, endpoints ...endpoint) *fleet {
+// newFakeClockTestbed starts a testbed whose clock the test advances.
+func newFakeClockTestbed(t *testing.T, limits relayer.Limits, endpoints ...endpoint) *testbed {
 	clock := clockwork.NewFakeClock()
-	f := startFleet(t, clock, limits, endpoints...)
-	f.clock = clock
-	return f
+	tb := startTestbed(t, clock, limits, endpoints...)
+	tb.clock = clock
+	return tb
 }
 
-// startFleet starts a fleet with a clock.
-func startFleet(t *testing.T, clock clockwork.Clock, limits relayer.Limits, endpoints ...endpoint) *fleet {
-	f := &fleet{
+// startTestbed starts a testbed with a clock.
+func startTestbed(t *testing.T, clock clockwork.Clock, limits relayer.Limits, endpoints ...endpoint) *testbed {
+	tb := &testbed{
 		T: t, quarantine: make(map[uint64]bool), registry: prometheus.NewRegistry(),
 		enroller: &enroller{suspects: make(map[string]bool), changed: make(chan struct{})}, claimer: &claimer{claims: make(map[string]*claim)},
 	}
 	for _, script := range endpoints {
-		f.enroller.addresses = append(f.enroller.addresses, f.serve(script))
+		tb.enroller.addresses = append(tb.enroller.addresses, tb.serve(script))
 	}
-	f.relayer = relayer.New(relayer.Options{
-		Enroller: f.enroller, Ruler: rules{}, Claimer: f.claimer, Quarantine: f, Clock: clock,
-		Log: zerolog.Nop(), Registry: f.registry, Zone: "trento-a", Name: "router-a1", Limits: limits,
+	tb.relayer = relayer.New(relayer.Options{
+		Enroller: tb.enroller, Ruler: rules{}, Claimer: tb.claimer, Quarantine: tb, Clock: clock,
+		Log: zerolog.Nop(), Registry: tb.registry, Zone: "trento-a", Name: "router-a1", Limits: limits,
 	})
 	mux := http.NewServeMux()
-	f.relayer.Register(mux)
+	tb.relayer.Register(mux)
 	server := httptest.NewUnstartedServer(mux)
 	server.Config.ConnContext = framer.WithConn
 	server.Start()
 	t.Cleanup(server.Close)
-	f.url = server.URL
-	return f
+	tb.url = server.URL
+	return tb
 }
 
 // serve starts the server of an endpoint and returns its address.
-func (f *fleet) serve(script endpoint) netip.AddrPort {
+func (tb *testbed) serve(script endpoint) netip.AddrPort {
 	var lock sync.Mutex
 	calls := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -101,22 +101,22 @@
 		lock.Unlock()
 		script(w, r, n)
 	}))
-	f.Cleanup(server.Close)
+	tb.Cleanup(server.Close)
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
 // Quarantined implements relayer.Quarantine.
-func (f *fleet) Quarantined(digest uint64) (time.Duration, bool) {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	return time.Minute, f.quarantine[digest]
+func (tb *testbed) Quarantined(digest uint64) (time.Duration, bool) {
+	tb.lock.Lock()
+	defer tb.lock.Unlock()
+	return time.Minute, tb.quarantine[digest]
 }
 
 // Publish implements relayer.Quarantine.
-func (f *fleet) Publish(digest uint64) {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	f.quarantine[digest] = true
+func (tb *testbed) Publish(digest uint64) {
+	tb.lock.Lock()
+	defer tb.lock.Unlock()
+	tb.quarantine[digest] = true
 }
 
 // rules is a stub of relayer.Ruler. The workspace club may have two requests waiting; only the
@@ -217,11 +217,11 @@
 }
 
 // endings waits for n attempts to finish and returns the endings of all finished attempts.
-func (f *fleet) endings(n int) []string {
-	f.enroller.await(f.T, "endings", func() bool { return len(f.enroller.finished) >= n })
-	f.enroller.lock.Lock()
-	defer f.enroller.lock.Unlock()
-	return slices.Clone(f.enroller.finished)
+func (tb *testbed) endings(n int) []string {
+	tb.enroller.await(tb.T, "endings", func() bool { return len(tb.enroller.finished) >= n })
+	tb.enroller.lock.Lock()
+	defer tb.enroller.lock.Unlock()
+	return slices.Clone(tb.enroller.finished)
 }
 
 // slot is a stub of relayer.Slot.
@@ -313,16 +313,16 @@
 }
 
 // call sends a request as the workspace house.
-func (f *fleet) call(method, path, body string, headers ...string) answer {
-	return f.callAs(f.Context(), "house-token", method, path, body, headers...)
+func (tb *testbed) call(method, path, body string, headers ...string) answer {
+	return tb.callAs(tb.Context(), "house-token", method, path, body, headers...)
 }
 
 // callAs sends a request with a token and with headers as pairs of name and value.
-func (f *fleet) callAs(ctx context.Context, token, method, path, body string, headers ...string) answer {
+func (tb *testbed) callAs(ctx context.Context, token, method, path, body string, headers ...string) answer {
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, f.url+path, strings.NewReader(body))
-	require.NoError(f, err)
+	request, err := http.NewRequestWithContext(ctx, method, tb.url+path, strings.NewReader(body))
+	require.NoError(tb, err)
 	request.Header.Set("Authorization", "Bearer "+token)
 	for i := 0; i < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
@@ -350,8 +350,8 @@
 }
 
 // chat sends a chat completion as the workspace house.
-func (f *fleet) chat(stream bool, headers ...string) answer {
-	return f.call(http.MethodPost, chatPath, chatBody(stream), headers...)
+func (tb *testbed) chat(stream bool, headers ...string) answer {
+	return tb.call(http.MethodPost, chatPath, chatBody(stream), headers...)
 }
 
 // text returns the text of a complete chat answer, streamed or not, and requires that it is complete.
@@ -454,23 +454,23 @@
 
 // makeUnreachable replaces the address of the n-th endpoint with one at which no process listens. The
 // socket stays bound, so that no other test can listen at the address.
-func (f *fleet) makeUnreachable(n int) {
+func (tb *testbed) makeUnreachable(n int) {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	require.NoError(f, err)
-	f.Cleanup(func() { syscall.Close(socket) }) //nolint:errcheck // nothing was written
-	require.NoError(f, syscall.Bind(socket, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	require.NoError(tb, err)
+	tb.Cleanup(func() { syscall.Close(socket) }) //nolint:errcheck // nothing was written
+	require.NoError(tb, syscall.Bind(socket, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	bound, err := syscall.Getsockname(socket)
-	require.NoError(f, err)
+	require.NoError(tb, err)
 	address, ok := bound.(*syscall.SockaddrInet4)
-	require.True(f, ok)
-	f.enroller.addresses[n-1] = netip.AddrPortFrom(netip.AddrFrom4(address.Addr), uint16(address.Port))
+	require.True(tb, ok)
+	tb.enroller.addresses[n-1] = netip.AddrPortFrom(netip.AddrFrom4(address.Addr), uint16(address.Port))
 }
 
 // metric returns the value of a counter or gauge, or the count of a histogram. A series is written as
 // NAME{LABEL=VALUE,...}. It returns 0 for an unknown series.
-func (f *fleet) metric(series string) float64 {
-	families, err := f.registry.Gather()
-	require.NoError(f, err)
+func (tb *testbed) metric(series string) float64 {
+	families, err := tb.registry.Gather()
+	require.NoError(tb, err)
 	for _, family := range families {
 		for _, metric := range family.GetMetric() {
 			var labels []string
@@ -507,12 +507,12 @@
 }
 
 // openStream sends a chat completion as the workspace house and returns its answer unread.
-func (f *fleet) openStream(ctx context.Context, body string) streamReader {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.url+chatPath, strings.NewReader(body))
-	require.NoError(f, err)
+func (tb *testbed) openStream(ctx context.Context, body string) streamReader {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, tb.url+chatPath, strings.NewReader(body))
+	require.NoError(tb, err)
 	request.Header.Set("Authorization", "Bearer house-token")
 	response, err := http.DefaultTransport.RoundTrip(request)
-	require.NoError(f, err)
-	f.Cleanup(func() { response.Body.Close() })
+	require.NoError(tb, err)
+	tb.Cleanup(func() { response.Body.Close() })
 	return streamReader{bufio.NewReader(response.Body), response}
 }
--- a/router/internal/relayer/interfaces.go
+++ b/router/internal/relayer/interfaces.go
@@ -63,7 +63,7 @@
 
 // Error returns the code and the time after which to retry.
 func (r *Refused) Error() string {
-	return "refused: " + r.Code + "; come back in " + r.Retry.String()
+	return "refused: " + r.Code + "; retry after " + r.Retry.String()
 }
 
 // Ruler provides the rules of the configuration in force.
--- a/router/internal/relayer/isolation_test.go
+++ b/router/internal/relayer/isolation_test.go
@@ -54,29 +54,29 @@
 // like any other, and against failures of the innocent requests that run at the same endpoints.
 func TestPoisonIsQuarantinedAndNeighboursAreAnswered(t *testing.T) {
 	p := &poisoned{broken: make(chan struct{})}
-	f := newFleet(t, relayer.Limits{}, p.serve, p.serve, p.serve, p.serve)
+	tb := newTestbed(t, relayer.Limits{}, p.serve, p.serve, p.serve, p.serve)
 	innocent := make(chan answer, 1)
-	go func() { innocent <- f.call(http.MethodPost, chatPath, chatWith("innocent")) }()
-	f.enroller.await(t, "the innocent request", func() bool { return len(f.enroller.waiting) == 1 })
+	go func() { innocent <- tb.call(http.MethodPost, chatPath, chatWith("innocent")) }()
+	tb.enroller.await(t, "the innocent request", func() bool { return len(tb.enroller.waiting) == 1 })
 
-	got := f.call(http.MethodPost, chatPath, chatWith("poison"))
+	got := tb.call(http.MethodPost, chatPath, chatWith("poison"))
 	require.Equal(t, "endpoint_failed", got.failure.Code)
 	require.Equal(t, "unknown", got.headers.Get("X-Outcome"))
 	require.Equal(t, fullAnswer, receive(t, innocent).text(t))
 	require.EqualValues(t, 2, p.crashed.Load())
 	for range 5 {
-		got = f.call(http.MethodPost, chatPath, chatWith("poison"))
+		got = tb.call(http.MethodPost, chatPath, chatWith("poison"))
 		require.Equal(t, http.StatusUnprocessableEntity, got.status)
 		require.Equal(t, "quarantined", got.failure.Code)
 		require.Equal(t, "not-run", got.headers.Get("X-Outcome"))
 		require.NotEmpty(t, got.headers.Get("Retry-After"))
 	}
 	require.EqualValues(t, 2, p.crashed.Load())
-	require.Len(t, f.quarantine, 1, "the quarantine must be published to the fleet")
-	require.Equal(t, fullAnswer, f.call(http.MethodPost, chatPath, chatWith("innocent")).text(t))
+	require.Len(t, tb.quarantine, 1, "the quarantine must be published to the fleet")
+	require.Equal(t, fullAnswer, tb.call(http.MethodPost, chatPath, chatWith("innocent")).text(t))
 
-	other := newFleet(t, relayer.Limits{}, p.serve)
-	other.quarantine = f.quarantine
+	other := newTestbed(t, relayer.Limits{}, p.serve)
+	other.quarantine = tb.quarantine
 	got = other.call(http.MethodPost, chatPath, chatWith("poison"))
 	require.Equal(t, "quarantined", got.failure.Code, "another router must get the quarantine from the fleet")
 	require.EqualValues(t, 2, p.crashed.Load())
@@ -90,13 +90,13 @@
 	for n := range endpoints {
 		endpoints[n] = p.serve
 	}
-	f := newFleet(t, relayer.Limits{}, endpoints...)
+	tb := newTestbed(t, relayer.Limits{}, endpoints...)
 	var group sync.WaitGroup
 	const copies = 20
 	for range copies {
 		group.Go(func() {
 			require.Contains(t, []string{"endpoint_failed", "quarantined"},
-				f.call(http.MethodPost, chatPath, chatWith("poison")).failure.Code)
+				tb.call(http.MethodPost, chatPath, chatWith("poison")).failure.Code)
 		})
 	}
 	group.Wait()
@@ -108,19 +108,19 @@
 // suspect.
 func TestCopiesOfSuspectWaitForItsTrial(t *testing.T) {
 	var crashed atomic.Bool
-	f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
+	tb := newTestbed(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
 		if crashed.CompareAndSwap(false, true) {
 			panic(http.ErrAbortHandler)
 		}
 		healthy(w, r, n)
 	}, healthy)
-	require.Equal(t, fullAnswer, f.chat(true).text(t), "the trial run must be answered")
+	require.Equal(t, fullAnswer, tb.chat(true).text(t), "the trial run must be answered")
 	crashed.Store(false)
 	var group sync.WaitGroup
 	for range 20 {
-		group.Go(func() { require.Equal(t, fullAnswer, f.chat(true).text(t)) })
+		group.Go(func() { require.Equal(t, fullAnswer, tb.chat(true).text(t)) })
 	}
 	group.Wait()
-	require.Zero(t, f.metric("shallotkeel_suspects{}"))
-	require.Empty(t, f.quarantine)
+	require.Zero(t, tb.metric("shallotkeel_suspects{}"))
+	require.Empty(t, tb.quarantine)
 }
--- a/router/internal/relayer/outcome_test.go
+++ b/router/internal/relayer/outcome_test.go
@@ -20,19 +20,19 @@
 // refusals without a Retry-After. The workspace has as many requests waiting as it may, and sends one
 // more.
 func TestFullQueueRefusesAtOnce(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, healthy)
-	f.enroller.paused = true
+	tb := newTestbed(t, relayer.Limits{}, healthy)
+	tb.enroller.paused = true
 	ctx, cancel := context.WithCancel(t.Context())
 	for range 2 {
-		go f.callAs(ctx, "club-token", http.MethodGet, "/v1/services/app/", "")
+		go tb.callAs(ctx, "club-token", http.MethodGet, "/v1/services/app/", "")
 	}
-	f.enroller.await(t, "two waiting", func() bool { return len(f.enroller.waiting) == 2 })
-	got := f.callAs(t.Context(), "club-token", http.MethodGet, "/v1/services/app/", "")
+	tb.enroller.await(t, "two waiting", func() bool { return len(tb.enroller.waiting) == 2 })
+	got := tb.callAs(t.Context(), "club-token", http.MethodGet, "/v1/services/app/", "")
 	require.Equal(t, http.StatusTooManyRequests, got.status)
 	require.Equal(t, "not-run", got.headers.Get("X-Outcome"))
 	require.Equal(t, "queue_full", got.failure.Code)
 	require.NotEmpty(t, got.headers.Get("Retry-After"))
-	require.EqualValues(t, 2, f.metric("shallotkeel_waiting_requests{}"))
+	require.EqualValues(t, 2, tb.metric("shallotkeel_waiting_requests{}"))
 	cancel()
 }
 
@@ -41,34 +41,34 @@
 // streams.
 func TestCallerDisconnectEndsTheRequest(t *testing.T) {
 	t.Run("in the queue", func(t *testing.T) {
-		f := newFleet(t, relayer.Limits{}, healthy)
-		f.enroller.paused = true
+		tb := newTestbed(t, relayer.Limits{}, healthy)
+		tb.enroller.paused = true
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan answer, 1)
-		go func() { done <- f.callAs(ctx, "house-token", http.MethodPost, chatPath, chatBody(true)) }()
-		f.enroller.await(t, "waiting", func() bool { return len(f.enroller.waiting) == 1 })
+		go func() { done <- tb.callAs(ctx, "house-token", http.MethodPost, chatPath, chatBody(true)) }()
+		tb.enroller.await(t, "waiting", func() bool { return len(tb.enroller.waiting) == 1 })
 		cancel()
 		receive(t, done)
-		require.Eventually(t, func() bool { return f.metric("shallotkeel_waiting_requests{}") == 0 }, waitTimeout, time.Millisecond)
-		require.Empty(t, f.endings(0))
+		require.Eventually(t, func() bool { return tb.metric("shallotkeel_waiting_requests{}") == 0 }, waitTimeout, time.Millisecond)
+		require.Empty(t, tb.endings(0))
 	})
 	for name, after := range map[string]int{"before the first token": 0, "in the stream": 3} {
 		t.Run(name, func(t *testing.T) {
 			cancelled := make(chan struct{}, 1)
 			started := make(chan struct{})
 			hang := hangAfter(after, cancelled)
-			f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
+			tb := newTestbed(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
 				close(started)
 				hang(w, r, n)
 			})
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan answer, 1)
-			go func() { done <- f.callAs(ctx, "house-token", http.MethodPost, chatPath, chatBody(true)) }()
+			go func() { done <- tb.callAs(ctx, "house-token", http.MethodPost, chatPath, chatBody(true)) }()
 			receive(t, started)
 			cancel()
 			receive(t, done)
 			receive(t, cancelled)
-			require.Contains(t, f.endings(1)[0], "1 cancelled")
+			require.Contains(t, tb.endings(1)[0], "1 cancelled")
 		})
 	}
 }
@@ -88,20 +88,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			started := make(chan struct{}, 1)
-			f := newFakeClockFleet(t, relayer.Limits{EndpointStallTimeout: time.Hour}, func(w http.ResponseWriter, r *http.Request, _ int) {
+			tb := newFakeClockTestbed(t, relayer.Limits{EndpointStallTimeout: time.Hour}, func(w http.ResponseWriter, r *http.Request, _ int) {
 				stream(w, r, test.tokens)
 				started <- struct{}{}
 				<-r.Context().Done()
 			})
-			f.enroller.paused = test.closed
+			tb.enroller.paused = test.closed
 			done := make(chan answer, 1)
-			go func() { done <- f.chat(test.stream) }()
+			go func() { done <- tb.chat(test.stream) }()
 			if test.closed {
-				f.enroller.await(t, "waiting", func() bool { return len(f.enroller.waiting) == 1 })
+				tb.enroller.await(t, "waiting", func() bool { return len(tb.enroller.waiting) == 1 })
 			} else {
 				receive(t, started)
 			}
-			f.clock.Advance(2 * time.Minute)
+			tb.clock.Advance(2 * time.Minute)
 			got := receive(t, done)
 			require.Equal(t, test.outcome, got.headers.Get("X-Outcome"))
 			require.Equal(t, "timed_out", got.failure.Code)
@@ -109,11 +109,11 @@
 		})
 	}
 	t.Run("in the stream", func(t *testing.T) {
-		f := newFakeClockFleet(t, relayer.Limits{EndpointStallTimeout: time.Hour}, hangAfter(3, nil))
-		from := f.openStream(t.Context(), chatBody(true))
+		tb := newFakeClockTestbed(t, relayer.Limits{EndpointStallTimeout: time.Hour}, hangAfter(3, nil))
+		from := tb.openStream(t.Context(), chatBody(true))
 		_, err := from.ReadString('\n')
 		require.NoError(t, err)
-		f.clock.Advance(2 * time.Minute)
+		tb.clock.Advance(2 * time.Minute)
 		rest, err := io.ReadAll(from)
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF, "the stream must not end cleanly")
 		require.NotContains(t, string(rest), "[DONE]")
@@ -125,7 +125,7 @@
 // not read, so that the connection's buffers fill.
 func TestStalledCallerLosesItsSlot(t *testing.T) {
 	sent := make(chan int, 1)
-	f := newFleet(t, relayer.Limits{StallTimeout: 300 * time.Millisecond}, func(w http.ResponseWriter, r *http.Request, _ int) {
+	tb := newTestbed(t, relayer.Limits{StallTimeout: 300 * time.Millisecond}, func(w http.ResponseWriter, r *http.Request, _ int) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		filler := strings.Repeat("x", 64<<10)
 		i := 0
@@ -137,14 +137,14 @@
 		}
 		sent <- i
 	})
-	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(tb.url, "http://"))
 	require.NoError(t, err)
 	defer conn.Close()
 	body := chatBody(true)
 	_, err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer house-token\r\nContent-Length: %d\r\n\r\n%s",
 		chatPath, len(body), body)
 	require.NoError(t, err)
-	require.Contains(t, f.endings(1)[0], "1 cancelled")
+	require.Contains(t, tb.endings(1)[0], "1 cancelled")
 	require.Less(t, receive(t, sent), 1000, "the endpoint must be slowed down")
 }
 
@@ -153,8 +153,8 @@
 func TestStalledBodyIsRefused(t *testing.T) {
 	for name, path := range map[string]string{"chat": chatPath, "plain": "/v1/services/desk/bids"} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, relayer.Limits{StallTimeout: 200 * time.Millisecond}, healthy)
-			conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
+			tb := newTestbed(t, relayer.Limits{StallTimeout: 200 * time.Millisecond}, healthy)
+			conn, err := net.Dial("tcp", strings.TrimPrefix(tb.url, "http://"))
 			require.NoError(t, err)
 			defer conn.Close()
 			_, err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer house-token\r\nContent-Length: 100\r\n\r\n{", path)
@@ -165,8 +165,8 @@
 			defer response.Body.Close()
 			require.Equal(t, http.StatusBadRequest, response.StatusCode)
 			require.Equal(t, "not-run", response.Header.Get("X-Outcome"))
-			require.Empty(t, f.enroller.waiting)
-			require.Eventually(t, func() bool { return f.metric("shallotkeel_held_bytes{}") == 0 }, waitTimeout, time.Millisecond)
+			require.Empty(t, tb.enroller.waiting)
+			require.Eventually(t, func() bool { return tb.metric("shallotkeel_held_bytes{}") == 0 }, waitTimeout, time.Millisecond)
 		})
 	}
 }
@@ -174,14 +174,14 @@
 // Guards against bodies that are limited individually but not in total: thousands of waiting requests
 // with large bodies would exhaust the memory. Waiting bodies fill the limit, and one more arrives.
 func TestBodiesAreBoundedTogether(t *testing.T) {
-	f := newFleet(t, relayer.Limits{TotalBodyBytes: 100 << 10}, healthy)
-	f.enroller.paused = true
+	tb := newTestbed(t, relayer.Limits{TotalBodyBytes: 100 << 10}, healthy)
+	tb.enroller.paused = true
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	large := strings.Repeat("x", 60<<10)
-	go f.callAs(ctx, "house-token", http.MethodPut, "/v1/services/app/", large)
-	f.enroller.await(t, "waiting", func() bool { return len(f.enroller.waiting) == 1 })
-	got := f.call(http.MethodPut, "/v1/services/app/", large)
+	go tb.callAs(ctx, "house-token", http.MethodPut, "/v1/services/app/", large)
+	tb.enroller.await(t, "waiting", func() bool { return len(tb.enroller.waiting) == 1 })
+	got := tb.call(http.MethodPut, "/v1/services/app/", large)
 	require.Equal(t, "queue_full", got.failure.Code)
 	require.Equal(t, "not-run", got.headers.Get("X-Outcome"))
 }
--- a/router/internal/relayer/relayer_test.go
+++ b/router/internal/relayer/relayer_test.go
@@ -11,7 +11,7 @@
 
 // Guards against answers, paths, queries or bodies that are changed or truncated on the way.
 func TestCompleteAnswers(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, healthy)
+	tb := newTestbed(t, relayer.Limits{}, healthy)
 	for name, test := range map[string]struct {
 		method, path, body string
 		status             int
@@ -25,20 +25,20 @@
 		"post":   {"POST", "/v1/services/desk/bids", "12", 201, "POST /bids 12"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := f.call(test.method, test.path, test.body)
+			got := tb.call(test.method, test.path, test.body)
 			require.Equal(t, test.status, got.status)
 			require.Equal(t, test.want, got.body)
 			require.Equal(t, "answered", got.headers.Get("X-Outcome"))
 		})
 	}
-	require.Equal(t, fullAnswer, f.chat(true).text(t))
-	require.Equal(t, fullAnswer, f.chat(false).text(t))
+	require.Equal(t, fullAnswer, tb.chat(true).text(t))
+	require.Equal(t, fullAnswer, tb.chat(false).text(t))
 }
 
 // Guards against invalid requests that are served or wait, and against refusals without the right code
 // or a remedy.
 func TestRefusals(t *testing.T) {
-	f := newFleet(t, relayer.Limits{BodyBytes: 400}, healthy)
+	tb := newTestbed(t, relayer.Limits{BodyBytes: 400}, healthy)
 	long := strings.Repeat("x", 500)
 	for name, test := range map[string]struct {
 		token, method, path, body string
@@ -58,7 +58,7 @@
 		"not allowed":      {"club-token", "GET", "/v1/services/desk/", "", 403, "not_allowed"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := f.callAs(t.Context(), test.token, test.method, test.path, test.body)
+			got := tb.callAs(t.Context(), test.token, test.method, test.path, test.body)
 			require.Equal(t, test.status, got.status, got.body)
 			require.Equal(t, test.code, got.failure.Code)
 			require.Equal(t, "invalid", got.failure.Type)
@@ -67,5 +67,5 @@
 			require.Equal(t, got.headers.Get("X-Request-Id"), got.failure.RequestID)
 		})
 	}
-	require.Empty(t, f.enroller.waiting, "a refused request must not wait")
+	require.Empty(t, tb.enroller.waiting, "a refused request must not wait")
 }
--- a/router/internal/relayer/repeat_test.go
+++ b/router/internal/relayer/repeat_test.go
@@ -37,8 +37,8 @@
 }
 
 // bid sends a bid with an idempotency key.
-func (f *fleet) bid(key, body string) answer {
-	return f.call(http.MethodPost, bids, body, "Idempotency-Key", key)
+func (tb *testbed) bid(key, body string) answer {
+	return tb.call(http.MethodPost, bids, body, "Idempotency-Key", key)
 }
 
 // Guards against resends that run twice, because the key is not claimed before the first byte is sent,
@@ -74,9 +74,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := &desk{}
-			f := newFleet(t, relayer.Limits{Attempts: 2}, test.endpoint(d))
+			tb := newTestbed(t, relayer.Limits{Attempts: 2}, test.endpoint(d))
 			for _, want := range []string{test.first, test.second} {
-				got := f.bid("lot-7", "12")
+				got := tb.bid("lot-7", "12")
 				require.Equal(t, want, got.headers.Get("X-Outcome")+" "+got.failure.Code)
 				require.Equal(t, "lot-7", got.headers.Get("Idempotency-Key"))
 				if want == "answered " {
@@ -92,9 +92,9 @@
 // Guards against a key that is accepted for a second, different request.
 func TestKeyBelongsToOneRequest(t *testing.T) {
 	d := &desk{}
-	f := newFleet(t, relayer.Limits{}, d.serve)
-	require.Equal(t, http.StatusCreated, f.bid("lot-7", "12").status)
-	got := f.bid("lot-7", "13")
+	tb := newTestbed(t, relayer.Limits{}, d.serve)
+	require.Equal(t, http.StatusCreated, tb.bid("lot-7", "12").status)
+	got := tb.bid("lot-7", "13")
 	require.Equal(t, http.StatusUnprocessableEntity, got.status)
 	require.Equal(t, "key_reused", got.failure.Code)
 	require.Equal(t, "not-run", got.headers.Get("X-Outcome"))
@@ -106,17 +106,17 @@
 // a read and a chat arrive.
 func TestNoQuorum(t *testing.T) {
 	d := &desk{}
-	f := newFleet(t, relayer.Limits{}, d.serve)
-	f.claimer.noQuorum = true
-	got := f.bid("lot-7", "12")
+	tb := newTestbed(t, relayer.Limits{}, d.serve)
+	tb.claimer.noQuorum = true
+	got := tb.bid("lot-7", "12")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.Equal(t, "no_quorum", got.failure.Code)
 	require.Equal(t, "not-run", got.headers.Get("X-Outcome"))
 	require.NotEmpty(t, got.headers.Get("Retry-After"))
 	require.Zero(t, d.started.Load())
-	require.Equal(t, []string{"1 declined 0"}, f.endings(1))
-	require.Equal(t, "GET /bids ", f.call(http.MethodGet, bids, "").body)
-	require.Equal(t, fullAnswer, f.chat(true).text(t))
+	require.Equal(t, []string{"1 declined 0"}, tb.endings(1))
+	require.Equal(t, "GET /bids ", tb.call(http.MethodGet, bids, "").body)
+	require.Equal(t, fullAnswer, tb.chat(true).text(t))
 }
 
 // Guards against a claim that is spent although nothing has run, so that the bid fails with a single
@@ -125,13 +125,13 @@
 	for name, unreachable := range map[string]bool{"unreachable": true, "not started": false} {
 		t.Run(name, func(t *testing.T) {
 			d := &desk{}
-			f := newFleet(t, relayer.Limits{}, refuseUnstarted, d.serve)
+			tb := newTestbed(t, relayer.Limits{}, refuseUnstarted, d.serve)
 			if unreachable {
-				f.makeUnreachable(1)
+				tb.makeUnreachable(1)
 			}
-			require.Equal(t, http.StatusCreated, f.bid("lot-7", "12").status)
+			require.Equal(t, http.StatusCreated, tb.bid("lot-7", "12").status)
 			require.EqualValues(t, 1, d.started.Load())
-			require.Equal(t, 1, f.claimer.claimCount, "the key must be claimed once")
+			require.Equal(t, 1, tb.claimer.claimCount, "the key must be claimed once")
 		})
 	}
 }
@@ -143,15 +143,15 @@
 	for name, body := range map[string]string{"no body": "", "short body": "12"} {
 		t.Run(name, func(t *testing.T) {
 			d := &desk{}
-			f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
+			tb := newTestbed(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
 				if n <= 1 {
 					d.serve(w, r, n)
 					return
 				}
 				d.crash(w, r, n)
 			})
-			require.Equal(t, http.StatusCreated, f.bid("lot-1", body).status) // opens a connection that could be reused
-			require.Equal(t, "endpoint_failed", f.bid("lot-2", body).failure.Code)
+			require.Equal(t, http.StatusCreated, tb.bid("lot-1", body).status) // opens a connection that could be reused
+			require.Equal(t, "endpoint_failed", tb.bid("lot-2", body).failure.Code)
 			require.EqualValues(t, 2, d.started.Load())
 		})
 	}
@@ -163,7 +163,7 @@
 func TestAnswerIsRecordedWithoutCaller(t *testing.T) {
 	d := &desk{}
 	started, proceed := make(chan struct{}), make(chan struct{})
-	f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
+	tb := newTestbed(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
 		close(started)
 		<-proceed
 		d.serve(w, r, n)
@@ -171,15 +171,15 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan answer, 1)
 	go func() {
-		done <- f.callAs(ctx, "house-token", http.MethodPost, bids, "12", "Idempotency-Key", "lot-7")
+		done <- tb.callAs(ctx, "house-token", http.MethodPost, bids, "12", "Idempotency-Key", "lot-7")
 	}()
 	receive(t, started)
-	require.Equal(t, "key_spent", f.bid("lot-7", "12").failure.Code, "a resend while the bid runs must not run")
+	require.Equal(t, "key_spent", tb.bid("lot-7", "12").failure.Code, "a resend while the bid runs must not run")
 	cancel()
 	receive(t, done)
 	close(proceed)
-	f.endings(2)
-	got := f.bid("lot-7", "12")
+	tb.endings(2)
+	got := tb.bid("lot-7", "12")
 	require.Equal(t, "POST /bids 12", got.body)
 	require.Equal(t, "true", got.headers.Get("Idempotency-Replayed"))
 	require.EqualValues(t, 1, d.started.Load())
@@ -189,23 +189,23 @@
 // more than one would run.
 func TestConcurrentResendsRunOnce(t *testing.T) {
 	d := &desk{}
-	f := newFleet(t, relayer.Limits{}, d.serve)
+	tb := newTestbed(t, relayer.Limits{}, d.serve)
 	var group sync.WaitGroup
 	for range 20 {
-		group.Go(func() { f.bid("lot-7", "12") })
+		group.Go(func() { tb.bid("lot-7", "12") })
 	}
 	group.Wait()
 	require.EqualValues(t, 1, d.started.Load())
-	require.Equal(t, "POST /bids 12", f.bid("lot-7", "12").body)
+	require.Equal(t, "POST /bids 12", tb.bid("lot-7", "12").body)
 }
 
 // Guards against records without a size limit, and against a second run of a request whose answer was
 // too large to record.
 func TestLargeAnswerIsRecordedWithoutBody(t *testing.T) {
 	d := &desk{}
-	f := newFleet(t, relayer.Limits{RecordBytes: 10}, d.serve)
-	require.Equal(t, "POST /bids 12", f.bid("lot-7", "12").body)
-	got := f.bid("lot-7", "12")
+	tb := newTestbed(t, relayer.Limits{RecordBytes: 10}, d.serve)
+	require.Equal(t, "POST /bids 12", tb.bid("lot-7", "12").body)
+	got := tb.bid("lot-7", "12")
 	require.Equal(t, http.StatusConflict, got.status)
 	require.Equal(t, "key_spent", got.failure.Code)
 	require.Equal(t, "unknown", got.headers.Get("X-Outcome"))
@@ -220,19 +220,19 @@
 	once := []string{"X-Not-Repeatable", "yes", "Idempotency-Key", "draft-1"}
 	t.Run("replayed", func(t *testing.T) {
 		var started atomic.Int32
-		f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
+		tb := newTestbed(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
 			started.Add(1)
 			healthy(w, r, n)
 		})
 		for _, streamed := range []bool{true, false, true} {
-			require.Equal(t, fullAnswer, f.chat(streamed, once...).text(t))
+			require.Equal(t, fullAnswer, tb.chat(streamed, once...).text(t))
 		}
 		require.EqualValues(t, 1, started.Load())
 	})
 	t.Run("broken", func(t *testing.T) {
-		f := newFleet(t, relayer.Limits{}, crashAfter(2), healthy)
-		require.True(t, f.chat(true, once...).truncated)
-		require.Equal(t, "key_spent", f.chat(true, once...).failure.Code)
+		tb := newTestbed(t, relayer.Limits{}, crashAfter(2), healthy)
+		require.True(t, tb.chat(true, once...).truncated)
+		require.Equal(t, "key_spent", tb.chat(true, once...).failure.Code)
 	})
 }
 
@@ -253,10 +253,10 @@
 		"get of a strict service": {method: "GET", path: "/v1/services/strict/", claims: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, relayer.Limits{}, healthy)
-			got := f.call(test.method, test.path, "", test.headers...)
+			tb := newTestbed(t, relayer.Limits{}, healthy)
+			got := tb.call(test.method, test.path, "", test.headers...)
 			require.Equal(t, http.StatusCreated, got.status)
-			require.Equal(t, test.claims, f.claimer.claimCount)
+			require.Equal(t, test.claims, tb.claimer.claimCount)
 			require.Equal(t, test.claims == 1, got.headers.Get("Idempotency-Key") != "", "a generated key must be sent to the caller")
 		})
 	}
@@ -264,11 +264,11 @@
 
 // Guards against keys that are too long or unprintable.
 func TestMalformedKeyIsRefused(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, healthy)
+	tb := newTestbed(t, relayer.Limits{}, healthy)
 	for name, key := range map[string]string{"long": strings.Repeat("k", 256), "not ASCII": "lösung"} {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, "bad_body", f.bid(key, "12").failure.Code, fmt.Sprint(key))
+			require.Equal(t, "bad_body", tb.bid(key, "12").failure.Code, fmt.Sprint(key))
 		})
 	}
-	require.Zero(t, f.claimer.claimCount)
+	require.Zero(t, tb.claimer.claimCount)
 }
--- a/router/internal/relayer/request.go
+++ b/router/internal/relayer/request.go
@@ -60,7 +60,7 @@
 	attempt attempt  // the attempt in progress or the last one
 
 	cancel         context.CancelCauseFunc
-	outlivesCaller atomic.Bool // any goroutine; the request continues when its caller disconnects
+	outlivesCaller atomic.Bool // the request continues when its caller disconnects; any goroutine may access it
 }
 
 // attempt is the state of one attempt to serve a request at an endpoint.
--- a/router/internal/relayer/retry_test.go
+++ b/router/internal/relayer/retry_test.go
@@ -50,15 +50,15 @@
 	} {
 		for _, streamed := range []bool{true, false} {
 			t.Run(fmt.Sprint(name, ", stream ", streamed), func(t *testing.T) {
-				f := newFleet(t, relayer.Limits{}, test.first, healthy)
+				tb := newTestbed(t, relayer.Limits{}, test.first, healthy)
 				if test.unreachable {
-					f.makeUnreachable(1)
+					tb.makeUnreachable(1)
 				}
-				require.Equal(t, fullAnswer, f.chat(streamed).text(t))
-				require.Equal(t, test.endings, f.endings(2))
-				require.Equal(t, test.resumes, f.metric("shallotkeel_resumes_total{}"))
-				require.Zero(t, f.metric("shallotkeel_events_dropped_total{reason=repeated}"), "the answer must be resumed, not restarted")
-				require.Equal(t, []string{"1"}, f.enroller.waiting[1].Avoid)
+				require.Equal(t, fullAnswer, tb.chat(streamed).text(t))
+				require.Equal(t, test.endings, tb.endings(2))
+				require.Equal(t, test.resumes, tb.metric("shallotkeel_resumes_total{}"))
+				require.Zero(t, tb.metric("shallotkeel_events_dropped_total{reason=repeated}"), "the answer must be resumed, not restarted")
+				require.Equal(t, []string{"1"}, tb.enroller.waiting[1].Avoid)
 			})
 		}
 	}
@@ -69,10 +69,10 @@
 func TestStalledEndpointIsReplaced(t *testing.T) {
 	for name, after := range map[string]int{"before the first token": 0, "in the stream": 3} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, relayer.Limits{EndpointStallTimeout: 200 * time.Millisecond}, hangAfter(after, nil), healthy)
-			require.Equal(t, fullAnswer, f.chat(true).text(t))
-			require.Equal(t, fmt.Sprintf("1 failed %d", after), f.endings(2)[0])
-			require.Zero(t, f.metric("shallotkeel_suspects{}"), "a stall must not count as a crash")
+			tb := newTestbed(t, relayer.Limits{EndpointStallTimeout: 200 * time.Millisecond}, hangAfter(after, nil), healthy)
+			require.Equal(t, fullAnswer, tb.chat(true).text(t))
+			require.Equal(t, fmt.Sprintf("1 failed %d", after), tb.endings(2)[0])
+			require.Zero(t, tb.metric("shallotkeel_suspects{}"), "a stall must not count as a crash")
 		})
 	}
 }
@@ -81,7 +81,7 @@
 // accepted by their order alone. An answer contains events of another request, repeated events, events
 // without a request ID, and malformed ones.
 func TestForeignAndRepeatedEventsAreDropped(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, _ int) {
+	tb := newTestbed(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, _ int) {
 		id := r.Header.Get("X-Request-Id")
 		stream(w, r, 2)
 		event(w, "another", 2)
@@ -92,20 +92,20 @@
 		}
 		finish(w, id)
 	})
-	require.Equal(t, fullAnswer, f.chat(true).text(t))
+	require.Equal(t, fullAnswer, tb.chat(true).text(t))
 	for _, reason := range []string{"foreign", "repeated", "nameless", "malformed"} {
-		require.EqualValues(t, 1, f.metric("shallotkeel_events_dropped_total{reason="+reason+"}"), reason)
+		require.EqualValues(t, 1, tb.metric("shallotkeel_events_dropped_total{reason="+reason+"}"), reason)
 	}
 }
 
 // Guards against the relay of an answer whose headers name another request.
 func TestAnswerOfAnotherRequestIsDropped(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
+	tb := newTestbed(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
 		w.Header().Set("X-Request-Id", "another")
 		healthy(w, r, n)
 	}, healthy)
-	require.Equal(t, "GET / ", f.call(http.MethodGet, "/v1/services/app/", "").body)
-	require.Equal(t, []string{"1 failed", "2 done"}, []string{f.endings(2)[0][:8], f.endings(2)[1][:6]})
+	require.Equal(t, "GET / ", tb.call(http.MethodGet, "/v1/services/app/", "").body)
+	require.Equal(t, []string{"1 failed", "2 done"}, []string{tb.endings(2)[0][:8], tb.endings(2)[1][:6]})
 }
 
 // Guards against connections that are closed as if a truncated answer were complete. The answer breaks,
@@ -117,8 +117,8 @@
 		panic(http.ErrAbortHandler)
 	}
 	t.Run("stream", func(t *testing.T) {
-		f := newFleet(t, relayer.Limits{Attempts: 2}, crashAfter(2), crashAfter(4), healthy)
-		got := f.chat(true)
+		tb := newTestbed(t, relayer.Limits{Attempts: 2}, crashAfter(2), crashAfter(4), healthy)
+		got := tb.chat(true)
 		require.True(t, got.truncated)
 		require.NotContains(t, got.body, "[DONE]")
 		if got.headers != nil {
@@ -126,21 +126,21 @@
 		}
 	})
 	t.Run("without streaming", func(t *testing.T) {
-		f := newFleet(t, relayer.Limits{Attempts: 2}, crashAfter(2), crashAfter(4), healthy)
-		got := f.chat(false)
+		tb := newTestbed(t, relayer.Limits{Attempts: 2}, crashAfter(2), crashAfter(4), healthy)
+		got := tb.chat(false)
 		require.False(t, got.truncated)
 		require.Equal(t, http.StatusBadGateway, got.status)
 		require.Equal(t, "unknown", got.headers.Get("X-Outcome"))
 		require.Equal(t, "endpoint_failed", got.failure.Code)
 	})
 	t.Run("plain", func(t *testing.T) {
-		f := newFleet(t, relayer.Limits{}, partial, healthy)
-		require.True(t, f.call(http.MethodGet, "/v1/services/app/", "").truncated)
-		require.Len(t, f.endings(1), 1, "an answer of which the caller has a part must not be restarted")
+		tb := newTestbed(t, relayer.Limits{}, partial, healthy)
+		require.True(t, tb.call(http.MethodGet, "/v1/services/app/", "").truncated)
+		require.Len(t, tb.endings(1), 1, "an answer of which the caller has a part must not be restarted")
 	})
 	t.Run("not started anywhere", func(t *testing.T) {
-		f := newFleet(t, relayer.Limits{}, refuseUnstarted, refuseUnstarted)
-		got := f.chat(true)
+		tb := newTestbed(t, relayer.Limits{}, refuseUnstarted, refuseUnstarted)
+		got := tb.chat(true)
 		require.Equal(t, "no_endpoint", got.failure.Code)
 		require.Equal(t, "not-run", got.headers.Get("X-Outcome"))
 		require.NotEmpty(t, got.headers.Get("Retry-After"))
@@ -151,28 +151,28 @@
 // many requests are retried.
 func TestRetryBudgetOfWorkspace(t *testing.T) {
 	const requests = 30
-	f := newFleet(t, relayer.Limits{}, healthy)
-	f.makeUnreachable(1)
+	tb := newTestbed(t, relayer.Limits{}, healthy)
+	tb.makeUnreachable(1)
 	var group sync.WaitGroup
 	for range requests {
 		group.Go(func() {
-			require.Equal(t, "no_endpoint", f.call(http.MethodGet, "/v1/services/app/", "").failure.Code)
+			require.Equal(t, "no_endpoint", tb.call(http.MethodGet, "/v1/services/app/", "").failure.Code)
 		})
 	}
 	group.Wait()
 	// Without a budget there would be four attempts per request.
-	require.LessOrEqual(t, len(f.endings(requests)), 2*requests+retrier.DefaultBurst/2)
+	require.LessOrEqual(t, len(tb.endings(requests)), 2*requests+retrier.DefaultBurst/2)
 }
 
 // Guards against a pool with a single endpoint that refuses requests because the failed endpoint is
 // avoided although there is no other. The endpoint refuses a request and is healthy a moment later.
 func TestOnlyEndpointIsRetried(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
+	tb := newTestbed(t, relayer.Limits{}, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
 			refuseUnstarted(w, r, n)
 			return
 		}
 		healthy(w, r, n)
 	})
-	require.Equal(t, fullAnswer, f.chat(true).text(t))
+	require.Equal(t, fullAnswer, tb.chat(true).text(t))
 }
--- a/router/internal/relayer/send.go
+++ b/router/internal/relayer/send.go
@@ -167,8 +167,8 @@
 	q.caller.discard = true
 }
 
-// deliver writes a part of the answer to the caller. If begins is set, it first tells the tracker
-// that the answer has begun. A request that outlives its caller is detached when the write fails.
+// deliver writes a part of the answer to the caller. If begins is set, it first applies
+// AnswerStarted to the tracker. A request that outlives its caller is detached when the write fails.
 func (r *Relayer) deliver(q *request, begins bool, write func() error) error {
 	if begins && q.tracker.State() == tracker.Sent && !q.caller.discard {
 		// The event precedes the write: a write that fails midway may have sent a part of the answer.
--- a/router/internal/relayer/truncation_test.go
+++ b/router/internal/relayer/truncation_test.go
@@ -17,11 +17,11 @@
 
 // replaceEndpoint replaces the n-th endpoint with one that writes the given raw bytes as its answer and
 // closes the connection.
-func (f *fleet) replaceEndpoint(n int, answer func() string) {
+func (tb *testbed) replaceEndpoint(n int, answer func() string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(f, err)
-	f.Cleanup(func() { listener.Close() })
-	f.enroller.addresses[n-1] = netip.MustParseAddrPort(listener.Addr().String())
+	require.NoError(tb, err)
+	tb.Cleanup(func() { listener.Close() })
+	tb.enroller.addresses[n-1] = netip.MustParseAddrPort(listener.Addr().String())
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -59,9 +59,9 @@
 			t.Parallel()
 			all := test.head + test.body
 			for offset := range len(all) + 1 {
-				f := newFleet(t, relayer.Limits{Attempts: 1}, healthy)
-				f.replaceEndpoint(1, func() string { return all[:offset] })
-				got := f.call(http.MethodGet, "/v1/services/app/", "")
+				tb := newTestbed(t, relayer.Limits{Attempts: 1}, healthy)
+				tb.replaceEndpoint(1, func() string { return all[:offset] })
+				got := tb.call(http.MethodGet, "/v1/services/app/", "")
 				where := fmt.Sprintf("truncated after byte %d of %d", offset, len(all))
 				switch {
 				case got.status != http.StatusOK || got.truncated:
@@ -81,11 +81,11 @@
 // Guards against the replay of a truncated answer as a complete one. The answer of a non-repeatable
 // request ends with its connection, so that its completeness is unknown.
 func TestUnframedAnswerIsNotReplayed(t *testing.T) {
-	f := newFleet(t, relayer.Limits{}, healthy)
-	f.replaceEndpoint(1, func() string { return "HTTP/1.1 201 Created\r\n\r\nlot 7 to" })
-	first := f.bid("lot-7", "12")
+	tb := newTestbed(t, relayer.Limits{}, healthy)
+	tb.replaceEndpoint(1, func() string { return "HTTP/1.1 201 Created\r\n\r\nlot 7 to" })
+	first := tb.bid("lot-7", "12")
 	require.False(t, first.framed, "the end of the answer must not look certain")
-	second := f.bid("lot-7", "12")
+	second := tb.bid("lot-7", "12")
 	require.Equal(t, "unknown key_spent", second.headers.Get("X-Outcome")+" "+second.failure.Code)
 	require.False(t, strings.Contains(second.body, "lot 7 to"))
 }
