--- a/keeper/internal/driver/driver.go
+++ b/keeper/internal/driver/driver.go
@@ -437,7 +437,8 @@
 	return d.restore(snapshot)
 }
 
-// unknownError is the answer for an entry whose fate this keeper cannot tell.
+// unknownError is the answer for an entry that may be committed or lost: this keeper
+// cannot determine which.
 func unknownError() error {
 	return merry.Errorf("%w: the leader changed meanwhile; send it again with the same id", ErrUnknown)
 }
--- a/keeper/internal/sender/sender.go
+++ b/keeper/internal/sender/sender.go
@@ -2,9 +2,9 @@
 //
 // Invariants: sending never blocks the control loop; messages to one keeper
 // arrive in order, except snapshots, which are sent in parallel so that
-// heartbeats do not wait for them; a keeper that does not answer costs a
-// bounded queue and nothing else. The replication protocol tolerates lost
-// messages and sends again what matters.
+// heartbeats do not wait for them; a keeper that does not answer takes up no
+// more than a bounded queue. The replication protocol tolerates lost
+// messages and resends what is still needed.
 package sender
 
 import (
@@ -25,7 +25,7 @@
 	maxBatchBytes = 4 << 20
 	// snapshotTimeout bounds the transfer of a whole snapshot over a slow link.
 	snapshotTimeout = 30 * time.Second
-	// maxAddresses bounds the known addresses, because callers can add to them.
+	// maxAddresses bounds the known addresses, because every caller can add one.
 	maxAddresses = 256
 )
 
@@ -188,8 +188,8 @@
 	}()
 }
 
-// deliver makes one call. Errors are only counted: the replication protocol sends again what
-// matters.
+// deliver makes one call. Errors are only counted: the replication protocol resends what is
+// still needed.
 func (s *Sender) deliver(to *peer, batch []replicator.Message, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(s.ctx, timeout)
 	defer cancel()
--- a/keeper/internal/server/archiving.go
+++ b/keeper/internal/server/archiving.go
@@ -59,7 +59,7 @@
 	defer d.lock.Unlock()
 	for _, listing := range listings {
 		listing.WasSilent = listing.Silent
-		d.list.Beat(now, listing)
+		d.list.ApplyHeartbeat(now, listing)
 	}
 }
 
--- a/keeper/internal/server/archiving_test.go
+++ b/keeper/internal/server/archiving_test.go
@@ -21,7 +21,7 @@
 	address := freeAddress()
 	p := newSeededKeeper(t, "keeper-1", address, []netip.AddrPort{address})
 	p.start(t)
-	p.served.Beat(endpointAt("a", 4, lister.Ready))
+	p.served.ReceiveHeartbeat(endpointAt("a", 4, lister.Ready))
 	require.Eventually(t, func() bool {
 		_, err := os.Stat(filepath.Join(p.settings.Data, "endpoints"))
 		return err == nil
@@ -56,11 +56,11 @@
 			var d directory
 			d.list.Interval = time.Second
 			d.restore(testStart, []lister.Listing{test.copied})
-			d.beat(testStart.Add(time.Second), test.received)
+			d.receiveHeartbeat(testStart.Add(time.Second), test.received)
 			listing, found := d.list.Find("a")
 			require.True(t, found)
 			require.Equal(t, test.want, listing.State)
-			d.expire(testStart.Add((lister.SilentBeats + 2) * time.Second))
+			d.expire(testStart.Add((lister.SilentHeartbeats + 2) * time.Second))
 			if listing, found = d.list.Find("a"); found && listing.State == lister.Ready {
 				require.True(t, listing.Silent, "a restored endpoint without heartbeats becomes silent as soon as any other")
 			}
@@ -82,9 +82,9 @@
 	first := d.updatesFor(testStart, request, epoch)
 	require.Len(t, first.GetListings(), 1)
 	require.True(t, first.GetListings()[0].GetSilent())
-	d.beat(testStart.Add(time.Second), endpointAt("a", 5, lister.Ready))
+	d.receiveHeartbeat(testStart.Add(time.Second), endpointAt("a", 5, lister.Ready))
 	request.Epoch, request.After = epoch, first.GetNext()
-	require.True(t, d.hasUpdates(request, epoch))
+	require.True(t, d.hasFollowUpdate(request, epoch))
 	again := d.updatesFor(testStart, request, epoch)
 	require.Len(t, again.GetListings(), 1)
 	require.False(t, again.GetListings()[0].GetSilent())
--- a/keeper/internal/server/directory.go
+++ b/keeper/internal/server/directory.go
@@ -39,7 +39,7 @@
 	followers          map[string]*follower
 	directSums         sums               // over the routers that report to this keeper
 	totalSums          sums               // directSums plus the sums that the other keepers report
-	counter            routerSummaryCache // caches the counts of routers
+	summaryCache       routerSummaryCache // summary of the routers' reports
 	lessor             rationer.Lessor    // leases this keeper's parts of cold endpoints to routers
 	parts              []part
 	partsAt            time.Time // when parts was last computed
@@ -77,25 +77,25 @@
 	quarantined  bool
 }
 
-// beat records a heartbeat that an instance sent to this keeper. It reports whether the list
-// changed, and whether the change is urgent.
-func (d *directory) beat(now time.Time, beat lister.Listing) (changed, urgent bool) {
+// receiveHeartbeat records a heartbeat that an instance sent to this keeper. It reports whether the
+// list changed, and whether the change is urgent.
+func (d *directory) receiveHeartbeat(now time.Time, heartbeat lister.Listing) (changed, urgent bool) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	urgent = d.urgent(beat)
-	changed = d.list.Beat(now, beat)
-	d.sources.recordDirect(beat.ID)
+	urgent = d.urgent(heartbeat)
+	changed = d.list.ApplyHeartbeat(now, heartbeat)
+	d.sources.recordDirect(heartbeat.ID)
 	if d.heartbeats == nil {
 		d.heartbeats = make(map[string]latestHeartbeat)
 	}
-	if !beat.Started.Before(d.heartbeats[beat.ID].started) {
-		d.heartbeats[beat.ID] = latestHeartbeat{started: beat.Started, sequence: beat.Sequence, at: now}
+	if !heartbeat.Started.Before(d.heartbeats[heartbeat.ID].started) {
+		d.heartbeats[heartbeat.ID] = latestHeartbeat{started: heartbeat.Started, sequence: heartbeat.Sequence, at: now}
 	}
 	return changed, urgent
 }
 
-// urgent reports whether a listing invalidates an endpoint that may be in use: the endpoint is
-// leaving or gone, or it has restarted.
+// urgent reports whether a listing invalidates an endpoint to which routers may be sending: the
+// endpoint is leaving or gone, or it has restarted.
 func (d *directory) urgent(l lister.Listing) bool {
 	known, found := d.list.Find(l.ID)
 	return l.State > lister.Ready || found && !known.Started.Equal(l.Started)
@@ -138,7 +138,7 @@
 			delete(d.crashes, digest)
 		}
 	}
-	d.counter = routerSummaryCache{}
+	d.summaryCache = routerSummaryCache{}
 	d.lessor.DropExpired(now)
 	widened := d.subset.updateSizes(d.list.Services())
 	for _, service := range widened {
@@ -150,7 +150,7 @@
 // mergeResult is the effect of another keeper's update on the list.
 type mergeResult struct {
 	changed bool
-	urgent  bool  // the update invalidates an endpoint that may be in use
+	urgent  bool  // the update invalidates an endpoint to which routers may be sending
 	invalid error // why the last malformed listing was skipped, nil if none was
 }
 
@@ -167,7 +167,7 @@
 		// Each keeper judges silence by itself: this one may still receive the heartbeats.
 		listing.Silent = false
 		urgent := d.urgent(listing)
-		if d.list.Beat(now, listing) {
+		if d.list.ApplyHeartbeat(now, listing) {
 			d.sources.recordKeeper(listing.ID, keeper)
 			m.changed, m.urgent = true, m.urgent || urgent
 		}
@@ -290,9 +290,10 @@
 // again.
 const maxSkippedChanges = 128
 
-// hasUpdates reports whether a follower lacks any current state. It is called at each wake-up
-// of each poll; the answer itself is built once, when it is sent.
-func (d *directory) hasUpdates(request *messenger.FollowRequest, epoch uint64) bool {
+// hasFollowUpdate reports whether a follower lacks listings or quarantined fingerprints, or has
+// followed an earlier epoch of this keeper. It is called at each wake-up of each poll; the answer
+// itself is built once, when it is sent.
+func (d *directory) hasFollowUpdate(request *messenger.FollowRequest, epoch uint64) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	known, found := d.followers[request.GetNode()]
@@ -316,15 +317,15 @@
 		response.Listings = append(response.Listings, lister.ToWire(listing, now))
 	}
 	if !request.GetKeeper() {
-		counts := d.counter.get(now, d.followers)
-		response.Routers, response.Expected, response.Reporting = counts.routers, counts.routers, counts.reporting
+		summary := d.summaryCache.get(now, d.followers)
+		response.Routers, response.Expected, response.Reporting = summary.routers, summary.routers, summary.reporting
 		if request.GetPartial() {
-			response.Routers, response.Expected = d.fleet.observe(now, counts.total())
+			response.Routers, response.Expected = d.fleet.observe(now, summary.total())
 		}
 		if !request.GetBrief() {
 			response.Uses = d.totalSums.uses.toWire()
 			response.Loads = d.totalSums.loads.excluding(request.GetLoads())
-			response.BacklogMs = counts.backlog
+			response.BacklogMs = summary.backlog
 			response.Homes = d.subset.homeSamples()
 		}
 	}
@@ -364,8 +365,8 @@
 func (d *directory) summarize(now time.Time, report *messenger.FollowRequest) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	counts := d.counter.get(now, d.followers)
-	report.Reporting, report.BacklogMs = counts.direct, counts.directBacklog
+	summary := d.summaryCache.get(now, d.followers)
+	report.Reporting, report.BacklogMs = summary.direct, summary.directBacklog
 	report.Uses, report.Loads = d.directSums.uses.toWire(), d.directSums.loads.excluding(nil)
 	for digest, c := range d.crashes {
 		for node := range c.reportedHere {
@@ -385,11 +386,11 @@
 func (d *directory) routerCount(now time.Time) int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return int(d.counter.get(now, d.followers).total())
+	return int(d.summaryCache.get(now, d.followers).total())
 }
 
 // recentHeartbeats returns the heartbeats that this keeper received from instances since a time,
-// at most those of the last two heartbeat intervals.
+// limited to the last two heartbeat intervals.
 func (d *directory) recentHeartbeats(now, since time.Time) []*messenger.Heard {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/keeper/internal/server/directory_test.go
+++ b/keeper/internal/server/directory_test.go
@@ -33,9 +33,9 @@
 	require.Equal(t, 1, quarantined())
 	d.follow(testStart, &messenger.FollowRequest{Node: "late"})
 	request := &messenger.FollowRequest{Node: "late", Epoch: epoch, After: d.list.Revision()}
-	require.True(t, d.hasUpdates(request, epoch), "the quarantine is sent to followers that join later, too")
+	require.True(t, d.hasFollowUpdate(request, epoch), "the quarantine is sent to followers that join later, too")
 	d.updatesFor(testStart, request, epoch)
-	require.False(t, d.hasUpdates(request, epoch))
+	require.False(t, d.hasFollowUpdate(request, epoch))
 	d.expire(testStart.Add(crashMemory + time.Second))
 	require.Zero(t, quarantined(), "a quarantine expires")
 }
@@ -91,9 +91,9 @@
 func TestRestartedKeeperSendsFullList(t *testing.T) {
 	var d directory
 	d.list.Interval = time.Second
-	d.beat(testStart, endpointAt("a", 1, lister.Ready))
+	d.receiveHeartbeat(testStart, endpointAt("a", 1, lister.Ready))
 	request := &messenger.FollowRequest{Node: "r", Epoch: epoch - 1, After: 500}
-	require.True(t, d.hasUpdates(request, epoch))
+	require.True(t, d.hasFollowUpdate(request, epoch))
 	response := d.updatesFor(testStart, request, epoch)
 	require.Len(t, response.GetListings(), 1)
 }
@@ -102,7 +102,7 @@
 func TestRecentHeartbeatsAreSentRepeatedly(t *testing.T) {
 	var d directory
 	d.list.Interval = time.Second
-	d.beat(testStart, endpointAt("a", 4, lister.Ready))
+	d.receiveHeartbeat(testStart, endpointAt("a", 4, lister.Ready))
 	for range 2 {
 		recent := d.recentHeartbeats(testStart.Add(time.Second), time.Time{})
 		require.Len(t, recent, 1)
--- a/keeper/internal/server/evacuating.go
+++ b/keeper/internal/server/evacuating.go
@@ -17,7 +17,7 @@
 var ErrOvertaken = merry.Sentinel("another order for the zone came first; look how it is and order again")
 
 // SetEvacuated accepts an order to evacuate a zone, or to end its evacuation. The order is based
-// on the zone's state that this keeper knows when the order arrives, however long replication
+// on the zone's state that is known to this keeper when the order arrives, however long replication
 // takes: it has no effect if another order for the zone is committed before it.
 func (p planning) SetEvacuated(ctx context.Context, zone string, evacuated bool) error {
 	base := p.view.Load().evacuations.Changed(zone)
--- a/keeper/internal/server/fleet_size.go
+++ b/keeper/internal/server/fleet_size.go
@@ -21,9 +21,9 @@
 
 // observe records a count. It returns the largest count of the last fleetSizeWindow, and that
 // of the last followerMemory, which is the number of reports to expect.
-func (f *fleetSize) observe(now time.Time, count uint32) (most, expected uint32) {
+func (f *fleetSize) observe(now time.Time, count uint32) (largest, expected uint32) {
 	step := now.UnixNano() / int64(fleetSizeStep)
-	for gone := min(step-f.lastStep, int64(len(f.maxima))); gone > 0; gone-- {
+	for elapsed := min(step-f.lastStep, int64(len(f.maxima))); elapsed > 0; elapsed-- {
 		copy(f.maxima[:], f.maxima[1:])
 		f.maxima[len(f.maxima)-1] = 0
 	}
@@ -31,10 +31,10 @@
 	last := len(f.maxima) - 1
 	f.maxima[last] = max(f.maxima[last], count)
 	for i, count := range f.maxima {
-		most = max(most, count)
+		largest = max(largest, count)
 		if last-i < int(followerMemory/fleetSizeStep) {
 			expected = max(expected, count)
 		}
 	}
-	return most, expected
+	return largest, expected
 }
--- a/keeper/internal/server/handlers.go
+++ b/keeper/internal/server/handlers.go
@@ -53,11 +53,11 @@
 		return
 	default:
 	}
-	now := s.view.Load()
+	current := s.view.Load()
 	switch {
-	case now.diskFull:
+	case current.diskFull:
 		http.Error(w, "the disk is full; free space on it", http.StatusServiceUnavailable)
-	case !now.status.Quorum:
+	case !current.status.Quorum:
 		http.Error(w, "no contact with a quorum of keepers; check the network and the other keepers", http.StatusServiceUnavailable)
 	default:
 		fmt.Fprintln(w, "ok")
--- a/keeper/internal/server/keeping.go
+++ b/keeper/internal/server/keeping.go
@@ -224,7 +224,7 @@
 	defer timer.Stop()
 	for {
 		changed := k.configurationChanged.next()
-		if k.hasUpdate(request) {
+		if k.hasWatchUpdate(request) {
 			return k.watchResponse(ctx, request)
 		}
 		select {
@@ -239,11 +239,11 @@
 	}
 }
 
-// hasUpdate reports whether there is a newer configuration or quarantine list than the
-// router has.
-func (s *Server) hasUpdate(request *messenger.WatchRequest) bool {
-	now := s.view.Load()
-	return now.revision > request.GetAfter() || !s.routers.hasQuarantine(request.GetRouter(), now.quarantineRevision)
+// hasWatchUpdate reports whether this keeper has a newer configuration or list of quarantined
+// fingerprints than the router that sent a Watch request.
+func (s *Server) hasWatchUpdate(request *messenger.WatchRequest) bool {
+	current := s.view.Load()
+	return current.revision > request.GetAfter() || !s.routers.hasQuarantine(request.GetRouter(), current.quarantineRevision)
 }
 
 // watchResponse returns the configuration changes since the revision of a request and the
@@ -267,26 +267,26 @@
 	return response, nil
 }
 
-// Status returns the state of this keeper and, unless the request is for local state only,
-// the routers that poll the other keepers.
+// Status returns the state of this keeper with the routers that poll it and, unless the request
+// is for local state only, the routers that poll the other keepers.
 func (k keeping) Status(ctx context.Context, request *messenger.KeeperStatusRequest) (*messenger.KeeperStatusResponse, error) {
 	disk, err := callLoop(ctx, k.Server, func(_ time.Time, d *driver.Driver) replicator.ID { return d.Identity() })
 	if err != nil {
 		return nil, unavailable(err)
 	}
-	now := k.view.Load()
+	current := k.view.Load()
 	response := &messenger.KeeperStatusResponse{
 		Name: k.settings.Name, Zone: k.settings.Zone, Disk: uint64(disk),
-		Leader: nameOf(now.status.Group, now.status.Leader), Term: now.status.Term,
-		Commit: now.status.Commit, Applied: now.appliedIndex, Revision: now.revision,
-		Quorum: now.status.Quorum, Full: now.diskFull, Claims: uint64(now.claims),
-		DiskBytes: uint64(now.diskBytes), Routers: k.routers.list(k.clock.Now()),
+		Leader: nameOf(current.status.Group, current.status.Leader), Term: current.status.Term,
+		Commit: current.status.Commit, Applied: current.appliedIndex, Revision: current.revision,
+		Quorum: current.status.Quorum, Full: current.diskFull, Claims: uint64(current.claims),
+		DiskBytes: uint64(current.diskBytes), Routers: k.routers.list(k.clock.Now()),
 	}
-	for _, replica := range now.status.KnownMembers() {
+	for _, replica := range current.status.KnownMembers() {
 		response.Keepers = append(response.Keepers, keeperToWire(replica))
 	}
 	if !request.GetLocal() {
-		response.Routers = mergeRouters(append(k.gatherRouters(ctx, now.status), response.GetRouters()...))
+		response.Routers = mergeRouters(append(k.gatherRouters(ctx, current.status), response.GetRouters()...))
 	}
 	return response, nil
 }
--- a/keeper/internal/server/loads.go
+++ b/keeper/internal/server/loads.go
@@ -9,7 +9,7 @@
 // reportTTL is how long a router's report counts if no newer one arrives. It is twice the
 // longest pause between two reports: after that time the router's requests have ended or are
 // about to end. If the demand of a silent router counted for longer, it would reduce the share
-// of the routers that its clients reach meanwhile.
+// of the routers to which its clients have moved.
 const reportTTL = time.Second
 
 // sums holds the sums of the reports of some routers. Its zero value is empty.
@@ -24,9 +24,10 @@
 	s.uses.add(report.GetUses(), sign)
 }
 
-// loads holds, for each engine, the number of unread input tokens over all routers. Each report
-// replaces the previous report of its router in the sums, so that the cost of an answer depends
-// on the number of endpoints and not on the number of routers. Its zero value is empty.
+// loads holds, for each engine, the number of input tokens that are not prefilled yet, over all
+// routers. Each report replaces the previous report of its router in the sums, so that the cost of
+// an answer depends on the number of endpoints and not on the number of routers. Its zero value is
+// empty.
 type loads map[uint64]int64
 
 // add adds a report if sign is 1, and subtracts it if sign is -1.
@@ -61,9 +62,10 @@
 // second. It is summed like loads. Its zero value is empty.
 type uses map[string]use
 
-// use is the sum of one workspace, with the fields of messenger.Use.
+// use holds the sums of one workspace's Asked (demand), Got (served) and Unheard (shed) of
+// messenger.Use.
 type use struct {
-	asked, got, unheard int64
+	demand, served, shed int64
 }
 
 // add adds a report if sign is 1, and subtracts it if sign is -1.
@@ -73,9 +75,9 @@
 	}
 	for _, reported := range report {
 		sum := (*u)[reported.GetWorkspace()]
-		sum.asked += sign * int64(reported.GetAsked())
-		sum.got += sign * int64(reported.GetGot())
-		sum.unheard += sign * int64(reported.GetUnheard())
+		sum.demand += sign * int64(reported.GetAsked())
+		sum.served += sign * int64(reported.GetGot())
+		sum.shed += sign * int64(reported.GetUnheard())
 		if sum == (use{}) {
 			delete(*u, reported.GetWorkspace())
 			continue
@@ -89,7 +91,7 @@
 	wire := make([]*messenger.Use, 0, len(u))
 	for workspace, sum := range u {
 		wire = append(wire, &messenger.Use{
-			Workspace: workspace, Asked: uint64(max(sum.asked, 0)), Got: uint64(max(sum.got, 0)), Unheard: uint64(max(sum.unheard, 0)),
+			Workspace: workspace, Asked: uint64(max(sum.demand, 0)), Got: uint64(max(sum.served, 0)), Unheard: uint64(max(sum.shed, 0)),
 		})
 	}
 	return wire
--- a/keeper/internal/server/maintaining.go
+++ b/keeper/internal/server/maintaining.go
@@ -228,8 +228,8 @@
 // may have an older membership.
 //
 // Where keepers find one another by seeds, no operator manages the members: the group
-// removes a member that is silent for a while, and a removed member that comes back asks
-// to join again. It may rejoin because its ballot and its log are intact.
+// removes a member that is silent for Timing.RetireAfter, and a removed member that comes back
+// asks to join again. It may rejoin because its ballot and its log are intact.
 func (s *Server) checkRemoved(ctx context.Context, status replicator.Status, answers []peerStatus) error {
 	for _, other := range answers {
 		leads := other.GetQuorum() && other.GetLeader() == other.GetName()
--- a/keeper/internal/server/membership.go
+++ b/keeper/internal/server/membership.go
@@ -16,7 +16,7 @@
 const membershipCacheTTL = 100 * time.Millisecond
 
 // isolatedAfter is the time without contact with a quorum after which a keeper reports itself
-// as isolated. An election takes less.
+// as isolated. It is longer than an election, so that an election does not isolate the group.
 const isolatedAfter = 2 * time.Second
 
 // membershipCache caches the members of the group, as sent to followers. Its zero value is an
@@ -79,6 +79,6 @@
 
 // isolated reports whether this keeper has been without a quorum for longer than isolatedAfter.
 func (s *Server) isolated(now time.Time) bool {
-	shown := s.view.Load()
-	return !shown.status.Quorum && now.Sub(shown.lastQuorum) > isolatedAfter
+	current := s.view.Load()
+	return !current.status.Quorum && now.Sub(current.lastQuorum) > isolatedAfter
 }
--- a/keeper/internal/server/peers.go
+++ b/keeper/internal/server/peers.go
@@ -22,7 +22,7 @@
 const directoryInterval = 300 * time.Millisecond
 
 // peerSubscription implements subscriber.Host for following the other keepers: an endpoint's
-// heartbeat and a router's report each reach one keeper only, and all keepers need them.
+// heartbeat and a router's report are each sent to one keeper only, and all keepers need them.
 type peerSubscription struct {
 	*Server
 	deliveries *deliveryTimes
@@ -65,7 +65,7 @@
 	report := &messenger.FollowRequest{
 		Node: c.settings.Name, Zone: c.settings.Zone, Keeper: true, Address: c.settings.Address().String(),
 		Plan: c.view.Load().plan.GetVersion(), Heard: c.directory.recentHeartbeats(now, since),
-		Unheard: c.subscriber.Unanswering(), Begun: c.directory.streamOrigins.since(now, since),
+		Unheard: c.subscriber.UnansweringKeepers(), Begun: c.directory.streamOrigins.since(now, since),
 	}
 	c.directory.summarize(now, report)
 	return report
--- a/keeper/internal/server/planning.go
+++ b/keeper/internal/server/planning.go
@@ -11,23 +11,22 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// MaxPlanBytes bounds the size of a configuration. It leaves space for the other fields of
-// a log command.
+// MaxPlanBytes bounds the size of a plan, the text of a configuration. It leaves space for the
+// other fields of a log command.
 const MaxPlanBytes = driver.MaxCommand - 64<<10
 
 // Planner is the interface of a keeper for the platform's operators and endpoints.
 // Its errors are twirp errors; Unavailable means that the call may be retried at any keeper.
 type Planner interface {
-	// Submit replicates a valid configuration. It returns once the version in force is
+	// Submit replicates a plan, a valid configuration. It returns once the version in force is
 	// durable and not lower than the submitted one.
 	Submit(ctx context.Context, plan *messenger.Plan) (*messenger.SubmitResponse, error)
-	// Current returns the newest accepted configuration, or an error if this keeper cannot
-	// confirm with a quorum that it is the newest. A plan of version 0 means that no
-	// configuration exists.
+	// Current returns the newest accepted plan, or an error if this keeper cannot confirm with a
+	// quorum that it is the newest. A plan of version 0 means that none exists.
 	Current(ctx context.Context, request *messenger.CurrentRequest) (*messenger.Plan, error)
-	// Beat processes a heartbeat of an endpoint. The followers are notified of a change of the
-	// list, at once or after the coalescing pause.
-	Beat(beat lister.Listing)
+	// ReceiveHeartbeat processes a heartbeat of an endpoint. The followers are notified of a change
+	// of the list, at once or after the pause for coalescing notifications.
+	ReceiveHeartbeat(heartbeat lister.Listing)
 	// Leave records that an instance gets no new work. Started is the start time of the
 	// instance's process that leaves, zero if the instance did not send it.
 	Leave(id string, started time.Time)
@@ -116,13 +115,13 @@
 		if !acquired {
 			return nil, twirp.NewError(twirp.Canceled, "the caller went away")
 		}
-		if last || p.hasNewer(request) || !coalesce && p.directory.hasUpdates(request, p.epoch) {
+		if last || p.hasNewerPlan(request) || !coalesce && p.directory.hasFollowUpdate(request, p.epoch) {
 			releaseOnWrite(ctx, slot)
 			now := p.clock.Now()
-			shown := p.view.Load() // loaded before the list, so that the list is at least as new
+			current := p.view.Load() // loaded before the list, so that the list is at least as new
 			response := p.directory.updatesFor(now, request, p.epoch)
-			response.Plan, response.Zone = shown.plan.GetVersion(), p.settings.Zone
-			response.Evacuations, response.Evacuated = shown.evacuations.Revision, shown.evacuations.Zones
+			response.Plan, response.Zone = current.plan.GetVersion(), p.settings.Zone
+			response.Evacuations, response.Evacuated = current.evacuations.Revision, current.evacuations.Zones
 			response.Rations = p.rations(arrived, request)
 			p.addMembers(now, request, response)
 			response.Isolated = p.isolated(now)
@@ -141,28 +140,29 @@
 	}
 }
 
-// hasNewer reports whether this keeper has applied a plan or an evacuation that is newer than
-// the router's. It is false for keepers, which replicate both through the log.
-func (p planning) hasNewer(request *messenger.FollowRequest) bool {
-	shown := p.view.Load()
+// hasNewerPlan reports whether this keeper has applied a newer plan or a newer revision of the
+// evacuated zones than the router that sent a poll. It is false for keepers, which replicate both
+// through the log.
+func (p planning) hasNewerPlan(request *messenger.FollowRequest) bool {
+	current := p.view.Load()
 	return !request.GetKeeper() &&
-		(shown.plan.GetVersion() > request.GetPlan() || shown.evacuations.Revision > request.GetEvacuations())
+		(current.plan.GetVersion() > request.GetPlan() || current.evacuations.Revision > request.GetEvacuations())
 }
 
-// Beat processes a heartbeat. It ignores a heartbeat of a service that the configuration does not
-// contain, unless the instance is listed already: a listed instance may always announce that it
-// leaves.
-func (p planning) Beat(beat lister.Listing) {
+// ReceiveHeartbeat processes a heartbeat. It ignores a heartbeat of a service that the plan
+// does not contain, unless the instance is listed already: a listed instance may always announce
+// that it leaves.
+func (p planning) ReceiveHeartbeat(heartbeat lister.Listing) {
 	services := p.services()
-	service, named := services[beat.Service]
-	if services != nil && !named && !p.directory.hasListing(beat.ID, beat.Service) {
-		p.Unusable(beat.ID, lister.Unusable{Reason: lister.UnknownService, Field: "service"})
+	service, named := services[heartbeat.Service]
+	if services != nil && !named && !p.directory.hasListing(heartbeat.ID, heartbeat.Service) {
+		p.Unusable(heartbeat.ID, lister.Unusable{Reason: lister.UnknownService, Field: "service"})
 		return
 	}
-	beat.ColdUntil = boundColdUntil(p.clock.Now(), beat.ColdUntil, service)
-	if changed, urgent := p.directory.beat(p.clock.Now(), beat); changed {
-		p.log.Info().Str("endpoint", beat.ID).Str("service", beat.Service).Stringer("address", beat.Address).
-			Uint8("state", uint8(beat.State)).Uint64("sequence", beat.Sequence).Time("started", beat.Started).Str("version", beat.Version).
+	heartbeat.ColdUntil = boundColdUntil(p.clock.Now(), heartbeat.ColdUntil, service)
+	if changed, urgent := p.directory.receiveHeartbeat(p.clock.Now(), heartbeat); changed {
+		p.log.Info().Str("endpoint", heartbeat.ID).Str("service", heartbeat.Service).Stringer("address", heartbeat.Address).
+			Uint8("state", uint8(heartbeat.State)).Uint64("sequence", heartbeat.Sequence).Time("started", heartbeat.Started).Str("version", heartbeat.Version).
 			Msg("endpoint changed")
 		p.updates.notify(urgent)
 	}
--- a/keeper/internal/server/planning_test.go
+++ b/keeper/internal/server/planning_test.go
@@ -214,7 +214,7 @@
 // endpoint announces that it leaves to one keeper, and routers follow that keeper and others.
 func TestLeavingReachesEveryFollower(t *testing.T) {
 	group := startSeededGroup(t, 3)
-	group[0].served.Beat(endpointAt("a", 1, lister.Ready))
+	group[0].served.ReceiveHeartbeat(endpointAt("a", 1, lister.Ready))
 	follow := func(p *seededKeeper, request *messenger.FollowRequest) *messenger.FollowResponse {
 		var response *messenger.FollowResponse
 		require.Eventually(t, func() bool {
@@ -237,7 +237,7 @@
 			waiting <- follow(p, &messenger.FollowRequest{Node: "router", Epoch: last.GetEpoch(), After: last.GetNext(), WaitMs: 10_000})
 		}()
 		if p == group[0] {
-			p.served.Beat(endpointAt("a", 2, lister.Leaving))
+			p.served.ReceiveHeartbeat(endpointAt("a", 2, lister.Leaving))
 		}
 		if p != group[0] {
 			require.EqualValues(t, lister.Leaving, last.GetListings()[0].GetState())
--- a/keeper/internal/server/poll_bench_test.go
+++ b/keeper/internal/server/poll_bench_test.go
@@ -41,7 +41,7 @@
 			var answer *messenger.FollowResponse
 			for b.Loop() {
 				d.follow(testStart, request)
-				d.hasUpdates(request, epoch)
+				d.hasFollowUpdate(request, epoch)
 				answer = d.updatesFor(testStart, request, epoch)
 			}
 			reportSizes(b, request, answer)
@@ -60,13 +60,13 @@
 			for i := range endpoints {
 				listing := endpointAt(fmt.Sprint("endpoint-", i), 1, lister.Ready)
 				listing.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
-				d.beat(testStart, listing)
+				d.receiveHeartbeat(testStart, listing)
 			}
 			request := &messenger.FollowRequest{Node: "router", Zone: "zone", Epoch: epoch, Brief: true, After: d.list.Revision()}
 			var answer *messenger.FollowResponse
 			for b.Loop() {
 				d.follow(testStart, request)
-				d.hasUpdates(request, epoch)
+				d.hasFollowUpdate(request, epoch)
 				answer = d.updatesFor(testStart, request, epoch)
 			}
 			reportSizes(b, request, answer)
--- a/keeper/internal/server/rationing_bench_test.go
+++ b/keeper/internal/server/rationing_bench_test.go
@@ -27,7 +27,7 @@
 		listing := endpointAt(fmt.Sprint("i-", i), 1, lister.Ready)
 		listing.Address = freeAddress()
 		listing.ColdUntil = testStart.Add(time.Hour)
-		d.beat(testStart, listing)
+		d.receiveHeartbeat(testStart, listing)
 	}
 	d.lessor.Start(testStart.Add(-time.Hour))
 	for i := range 50 {
--- a/keeper/internal/server/recalling.go
+++ b/keeper/internal/server/recalling.go
@@ -78,8 +78,8 @@
 	return versioner.ToWire(records)
 }
 
-// maxLocated bounds the endpoints that are returned to a router that knows none of a version. They
-// have enough capacity for the streams of one router; other routers get other endpoints.
+// maxLocated bounds the endpoints that are returned to a router that knows none of a version. So
+// many have enough capacity for the streams of one router; other routers get other endpoints.
 const maxLocated = 8
 
 // Locate returns endpoints of one software version.
--- a/keeper/internal/server/recalling_test.go
+++ b/keeper/internal/server/recalling_test.go
@@ -69,7 +69,7 @@
 	d := &directory{}
 	d.list.Interval = time.Second
 	beat := func(id, version string, state lister.State) {
-		d.beat(now, lister.Listing{
+		d.receiveHeartbeat(now, lister.Listing{
 			ID: id, Service: "desk", Zone: "hall", Slots: 4, State: state, Version: version, Sequence: 1, Started: now,
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(len(d.heartbeats) + 1)}), 80),
 		})
--- a/keeper/internal/server/retired.go
+++ b/keeper/internal/server/retired.go
@@ -9,8 +9,8 @@
 // maxRetired bounds the names that are kept; the oldest are dropped.
 const maxRetired = 64
 
-// retired holds the names of keepers that left the group since this process started. It
-// belongs to the control loop; its zero value is empty.
+// retired holds the names of keepers that left the group since this process started. Only the
+// control loop uses it; its zero value is empty.
 //
 // It makes the removal of a keeper idempotent: an operator whose answer is lost repeats
 // the removal, and must not get an error that the member is unknown.
--- a/keeper/internal/server/router_summary.go
+++ b/keeper/internal/server/router_summary.go
@@ -18,7 +18,7 @@
 	// report to this keeper or to a peer whose reports arrive here.
 	direct, reporting uint32
 	// directBacklog and backlog are the medians, over the direct and over all reporting routers,
-	// of the estimated time that engines need to read the input already sent to them, in
+	// of the estimated time that engines need to prefill the input already sent to them, in
 	// milliseconds.
 	directBacklog, backlog uint32
 }
@@ -75,7 +75,7 @@
 }
 
 // median returns the weighted median of the estimates, 0 if there are none. A wrong estimate of
-// a router that is late or partitioned does not shift it. Of an even number of estimates it
+// a router that is lagging or partitioned does not shift it. Of an even number of estimates it
 // returns the lower of the two in the middle. A keeper reports the median of its routers as the
 // estimate of all of them.
 func median(estimates []estimate) uint32 {
--- a/keeper/internal/server/router_summary_test.go
+++ b/keeper/internal/server/router_summary_test.go
@@ -28,11 +28,11 @@
 	report := func(d, other *directory, node string, asked uint64, backlog uint32) {
 		d.follow(testStart, &messenger.FollowRequest{Node: node, Uses: use(asked), BacklogMs: backlog})
 		other.follow(testStart, &messenger.FollowRequest{Node: node, Brief: true})
-		a.counter, b.counter = routerSummaryCache{}, routerSummaryCache{}
+		a.summaryCache, b.summaryCache = routerSummaryCache{}, routerSummaryCache{}
 	}
 	check := func(message string) {
 		exchange()
-		a.counter, b.counter = routerSummaryCache{}, routerSummaryCache{}
+		a.summaryCache, b.summaryCache = routerSummaryCache{}, routerSummaryCache{}
 		for _, d := range []*directory{&a, &b} {
 			response := d.updatesFor(testStart, &messenger.FollowRequest{Node: "r-1", Epoch: epoch}, epoch)
 			require.EqualValues(t, 60, response.GetUses()[0].GetAsked(), message)
@@ -64,10 +64,10 @@
 		l.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, host}), 80)
 		return l
 	}
-	d.beat(testStart, at("silent", 1, lister.Ready))
-	d.beat(testStart, at("leaving", 2, lister.Leaving))
-	d.list.Expire(testStart.Add(lister.SilentBeats + 1))
-	d.beat(testStart.Add(lister.SilentBeats+1), at("well", 3, lister.Ready))
+	d.receiveHeartbeat(testStart, at("silent", 1, lister.Ready))
+	d.receiveHeartbeat(testStart, at("leaving", 2, lister.Leaving))
+	d.list.Expire(testStart.Add(lister.SilentHeartbeats + 1))
+	d.receiveHeartbeat(testStart.Add(lister.SilentHeartbeats+1), at("well", 3, lister.Ready))
 	listed := func(request *messenger.FollowRequest) []string {
 		var ids []string
 		for _, listing := range d.updatesFor(testStart, request, epoch).GetListings() {
@@ -82,20 +82,20 @@
 	require.ElementsMatch(t, []string{"silent", "leaving", "well"}, listed(&messenger.FollowRequest{Node: "r"}))
 	before := d.list.Revision() - 1
 	require.Empty(t, listed(brief(before)), "new endpoints are announced by the primary")
-	require.False(t, d.hasUpdates(brief(before), epoch), "and brief polls are not woken for them")
-	require.True(t, d.hasUpdates(&messenger.FollowRequest{Node: "r", Epoch: epoch, After: before}, epoch))
+	require.False(t, d.hasFollowUpdate(brief(before), epoch), "and brief polls are not woken for them")
+	require.True(t, d.hasFollowUpdate(&messenger.FollowRequest{Node: "r", Epoch: epoch, After: before}, epoch))
 	before = d.list.Revision()
 	again := at("silent", 1, lister.Ready)
 	again.Sequence++
-	d.beat(testStart.Add(lister.SilentBeats+2), again)
-	require.True(t, d.hasUpdates(brief(before), epoch))
+	d.receiveHeartbeat(testStart.Add(lister.SilentHeartbeats+2), again)
+	require.True(t, d.hasFollowUpdate(brief(before), epoch))
 	require.Equal(t, []string{"silent"}, listed(brief(before)), "it is no longer silent")
-	d.leave(testStart.Add(lister.SilentBeats+2), "well", time.Time{})
+	d.leave(testStart.Add(lister.SilentHeartbeats+2), "well", time.Time{})
 	require.Equal(t, []string{"silent", "well"}, listed(brief(before)), "it leaves")
 	before = d.list.Revision()
 	for host := range byte(maxSkippedChanges + 1) {
-		d.beat(testStart.Add(lister.SilentBeats+2), at(fmt.Sprint("new-", host), 100+host, lister.Ready))
+		d.receiveHeartbeat(testStart.Add(lister.SilentHeartbeats+2), at(fmt.Sprint("new-", host), 100+host, lister.Ready))
 	}
-	require.True(t, d.hasUpdates(brief(before), epoch), "a new revision is sent, so that the next poll need not scan the list again")
+	require.True(t, d.hasFollowUpdate(brief(before), epoch), "a new revision is sent, so that the next poll need not scan the list again")
 	require.Empty(t, listed(brief(before)))
 }
--- a/keeper/internal/server/server.go
+++ b/keeper/internal/server/server.go
@@ -94,9 +94,9 @@
 	seeds atomic.Pointer[[]netip.AddrPort]
 	// configurationChanged is notified of each new revision of the configuration or of the list
 	// of quarantined fingerprints.
-	configurationChanged watch
+	configurationChanged broadcast
 	// leadershipChanged is notified whenever the known leader changes.
-	leadershipChanged watch
+	leadershipChanged broadcast
 	view              atomic.Pointer[view]
 	metrics           *metrics
 }
@@ -376,10 +376,10 @@
 	if next.status.Quorum {
 		next.lastQuorum = now
 	}
-	// This happens before the view is published: a reader that learns of the end of a zone's
-	// evacuation must not find the zone's endpoints marked as warm.
-	if shown := s.view.Load().evacuations; shown.Revision != next.evacuations.Revision {
-		s.markReturnedZonesCold(shown.Zones, next.evacuations)
+	// The endpoints are marked before the view is published: a reader that sees the end of a zone's
+	// evacuation in the view must not find the zone's endpoints marked as warm.
+	if published := s.view.Load().evacuations; published.Revision != next.evacuations.Revision {
+		s.markReturnedZonesCold(published.Zones, next.evacuations)
 	}
 	last := s.view.Swap(next)
 	s.retired.update(last.status.Group, next.status.Group)
--- a/keeper/internal/server/services.go
+++ b/keeper/internal/server/services.go
@@ -9,21 +9,20 @@
 	"shallotkeel.example/lib/resolver"
 )
 
-// serviceCache caches the services of the configuration in force. Its zero value has no
-// configuration.
+// serviceCache caches the services of the plan in force. Its zero value has no plan.
 //
 // The services decide which heartbeats are accepted: any process may announce an instance of
 // a service that is not configured, at the address of a serving endpoint. If accepted, it would
-// take over that address, and routers would consider the serving endpoint gone for the rest of
-// its life. Endpoints without a configured service get no work, so ignoring them loses nothing.
+// take over that address, and routers would consider the serving endpoint gone until it restarts.
+// Endpoints without a configured service get no work, so ignoring them loses nothing.
 type serviceCache struct {
 	mutex   sync.Mutex
 	version uint64
-	byName  map[string]resolver.Service // nil if there is no readable configuration
+	byName  map[string]resolver.Service // nil if there is no valid plan
 }
 
-// services returns the services of a configuration by name, nil if there is no readable
-// configuration. The map is shared and read-only.
+// services returns the services of a plan by name, nil if the plan is missing or invalid. The map
+// is shared and read-only.
 func (n *serviceCache) services(plan *messenger.Plan, platform Platform, log zerolog.Logger) map[string]resolver.Service {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -44,7 +43,7 @@
 	return n.byName
 }
 
-// services returns the services of the configuration in force by name, nil if they are unknown.
+// services returns the services of the plan in force by name, nil if they are unknown.
 func (s *Server) services() map[string]resolver.Service {
 	if s.platform.Services == nil {
 		return nil
--- a/keeper/internal/server/services_test.go
+++ b/keeper/internal/server/services_test.go
@@ -10,8 +10,8 @@
 	"shallotkeel.example/lib/lister"
 )
 
-// Guards against a serving endpoint that gets no work for the rest of its life because another
-// process announces an instance of a service that is not configured, at the endpoint's address.
+// Guards against a serving endpoint that gets no work until it restarts because another process
+// announces an instance of a service that is not configured, at the endpoint's address.
 func TestOnlyConfiguredServicesAreListed(t *testing.T) {
 	group := startSeededGroup(t, 1)
 	p := group[0].served
@@ -24,30 +24,30 @@
 	}
 	other := endpointAt("x", 1, lister.Ready)
 	other.Service = "nobody's"
-	p.Beat(other)
+	p.ReceiveHeartbeat(other)
 	require.Equal(t, lister.Ready, listed("x"), "without a configuration, all services are accepted")
 	p.Leave("x", other.Started)
 
 	submit(t, p, version(1, "desk lounge"))
 	require.Eventually(t, func() bool { return p.(planning).view.Load().plan.GetVersion() == 1 }, waitTimeout, 20*time.Millisecond)
-	p.Beat(endpointAt("a", 1, lister.Ready))
+	p.ReceiveHeartbeat(endpointAt("a", 1, lister.Ready))
 	forged := endpointAt("y", 1, lister.Ready)
 	forged.Service = "nobody's"
-	p.Beat(forged)
+	p.ReceiveHeartbeat(forged)
 	forged.ID = "a"
 	forged.Sequence = 9
 	forged.State = lister.Leaving
-	p.Beat(forged)
+	p.ReceiveHeartbeat(forged)
 	require.Equal(t, lister.Ready, listed("a"))
 	require.Zero(t, listed("y"))
 
 	lounge := endpointAt("b", 1, lister.Ready)
 	lounge.Service = "lounge"
 	lounge.Address = netip.MustParseAddrPort("10.0.0.10:80")
-	p.Beat(lounge)
+	p.ReceiveHeartbeat(lounge)
 	submit(t, p, version(2, "desk"))
 	require.Eventually(t, func() bool { return p.(planning).view.Load().plan.GetVersion() == 2 }, waitTimeout, 20*time.Millisecond)
 	lounge.Sequence, lounge.State = 2, lister.Leaving
-	p.Beat(lounge)
+	p.ReceiveHeartbeat(lounge)
 	require.Equal(t, lister.Leaving, listed("b"), "a listed endpoint may always announce that it leaves")
 }
--- a/keeper/internal/server/shedding_test.go
+++ b/keeper/internal/server/shedding_test.go
@@ -69,7 +69,7 @@
 				return nil
 			}
 			answer := poll()
-			s.directory.beat(clock.Now(), endpointAt("a", 1, lister.Ready))
+			s.directory.receiveHeartbeat(clock.Now(), endpointAt("a", 1, lister.Ready))
 			s.updates.notify(true)
 			require.Len(t, await(answer, test.endpoint).GetListings(), 1)
 			first, err := planning{s}.Follow(t.Context(), &messenger.FollowRequest{Node: "new", WaitMs: uint32(wait.Milliseconds())})
--- a/keeper/internal/server/sources_test.go
+++ b/keeper/internal/server/sources_test.go
@@ -75,7 +75,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := newMesh(test.keepers)
 			for i := range test.endpoints {
-				m.keepers[i%test.keepers].beat(testStart, listingAt(i, lister.Ready, 1))
+				m.keepers[i%test.keepers].receiveHeartbeat(testStart, listingAt(i, lister.Ready, 1))
 			}
 			for range 3 {
 				m.exchange()
@@ -97,21 +97,21 @@
 		return l.State
 	}
 	m := newMesh(4)
-	m.keepers[0].beat(testStart, listingAt(1, lister.Ready, 1))
+	m.keepers[0].receiveHeartbeat(testStart, listingAt(1, lister.Ready, 1))
 	m.exchange()
-	m.keepers[0].beat(testStart, listingAt(2, lister.Ready, 1))
+	m.keepers[0].receiveHeartbeat(testStart, listingAt(2, lister.Ready, 1))
 	m.keepers[0].leave(testStart, "i-1", time.Time{})
 	m.disconnect(0, 1)
 	m.exchange()
 	m.exchange()
 	require.Equal(t, lister.Gone, state(m.keepers[1], 1))
 	require.Equal(t, lister.Ready, state(m.keepers[1], 2))
-	m.keepers[0].beat(testStart, listingAt(2, lister.Leaving, 2))
+	m.keepers[0].receiveHeartbeat(testStart, listingAt(2, lister.Leaving, 2))
 	m.exchange()
 	m.exchange()
 	require.Equal(t, lister.Leaving, state(m.keepers[1], 2))
 	clear(m.cut)
-	m.keepers[1].beat(testStart, listingAt(3, lister.Ready, 1))
+	m.keepers[1].receiveHeartbeat(testStart, listingAt(3, lister.Ready, 1))
 	m.exchange()
 	require.Equal(t, lister.Ready, state(m.keepers[0], 3))
 }
@@ -137,10 +137,10 @@
 			m := newMesh(2)
 			for _, listing := range test.known {
 				for _, d := range m.keepers {
-					d.beat(testStart, listing)
+					d.receiveHeartbeat(testStart, listing)
 				}
 			}
-			_, urgent := m.keepers[0].beat(testStart, test.listing)
+			_, urgent := m.keepers[0].receiveHeartbeat(testStart, test.listing)
 			require.Equal(t, test.urgent, urgent)
 			result := m.keepers[1].merge(testStart, "keeper-0", []*messenger.Listing{lister.ToWire(test.listing, testStart)})
 			require.Equal(t, test.urgent && result.changed, result.urgent)
--- a/keeper/internal/server/subset.go
+++ b/keeper/internal/server/subset.go
@@ -22,12 +22,12 @@
 	growThreshold = 0.75
 )
 
-// subset decides which endpoints a router receives: all of its own zone and, if a service has
-// many endpoints, two stable samples of those in other zones. The first sample differs between
-// routers. With it a router serves if the endpoints of its zone are lost, evacuated or busy,
+// subset decides which endpoints a router receives: all of its own zone and, if a service has many
+// endpoints, two stable samples of those in other zones. The first sample differs between routers.
+// With it a router can serve requests if the endpoints of its zone are lost, evacuated or busy,
 // without asking a keeper first, and all routers together reach all endpoints. The second sample,
-// the homes, is the same for all routers, so that they agree on the engines that read prompts with
-// common parts. Without subsets each router would hold the whole fleet, and the start of each
+// the homes, is the same for all routers, so that they agree on the engines that prefill prompts
+// with common parts. Without subsets each router would hold the whole fleet, and the start of each
 // endpoint would be a message to every router.
 //
 // Endpoints that leave or are gone are sent to all routers regardless of the subset, so that a
@@ -80,8 +80,8 @@
 	return wanted
 }
 
-// homeSamples returns the samples that all routers receive, for a message. Services that are sent
-// whole have none.
+// homeSamples returns the samples that all routers receive, for a message. Services of which
+// routers receive all endpoints have none.
 func (s *subset) homeSamples() []*messenger.Sample {
 	var homes []*messenger.Sample
 	for service, shifts := range s.shifts {
--- a/keeper/internal/server/subset_test.go
+++ b/keeper/internal/server/subset_test.go
@@ -21,7 +21,7 @@
 		listing := endpointAt(fmt.Sprint(service, "-", i), 1, lister.Ready)
 		listing.Service, listing.Zone = service, fmt.Sprint("zone-", i%zones)
 		listing.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(len(service)), byte(i >> 8), byte(i)}), 80)
-		d.beat(testStart, listing)
+		d.receiveHeartbeat(testStart, listing)
 	}
 	d.expire(testStart)
 }
@@ -68,9 +68,9 @@
 	addEndpoints(&d, "models", 2000, 5)
 	after := d.list.Revision()
 	request := &messenger.FollowRequest{Node: "router", Zone: "elsewhere", Epoch: epoch, After: after}
-	require.False(t, d.hasUpdates(request, epoch))
+	require.False(t, d.hasFollowUpdate(request, epoch))
 	d.leave(testStart, "models-7", time.Time{})
-	require.True(t, d.hasUpdates(request, epoch))
+	require.True(t, d.hasFollowUpdate(request, epoch))
 	require.Len(t, d.updatesFor(testStart, request, epoch).GetListings(), 1)
 	brief := &messenger.FollowRequest{Node: "router", Zone: "elsewhere", Epoch: epoch, After: after, Brief: true}
 	require.Len(t, d.updatesFor(testStart, brief, epoch).GetListings(), 1)
@@ -99,14 +99,14 @@
 	require.False(t, d.expire(testStart), "once")
 }
 
-// Guards against routers that each receive the whole fleet after a zone was cut off for a while: for
-// the zone's keepers the endpoints of all other zones become silent, and recover afterwards.
+// Guards against routers that each receive the whole fleet after a zone was cut off for a while:
+// for the zone's keepers the endpoints of all other zones become silent, and recover afterwards.
 func TestSilenceIsSentForSubsetOnly(t *testing.T) {
 	var d directory
 	addEndpoints(&d, "models", 9000, 5)
 	request := &messenger.FollowRequest{Node: "router", Zone: "zone-1", Epoch: epoch, After: d.list.Revision()}
 	brief := &messenger.FollowRequest{Node: "router", Zone: "zone-1", Epoch: epoch, After: d.list.Revision(), Brief: true}
-	later := testStart.Add((lister.SilentBeats + 1) * time.Second)
+	later := testStart.Add((lister.SilentHeartbeats + 1) * time.Second)
 	require.True(t, d.expire(later), "all endpoints become silent")
 	for _, poll := range []*messenger.FollowRequest{request, brief} {
 		received := len(d.updatesFor(later, poll, epoch).GetListings())
--- a/keeper/internal/server/update_notifier.go
+++ b/keeper/internal/server/update_notifier.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// unthrottledFollowers is the number of followers up to which each change is sent on its
-	// own.
+	// unthrottledFollowers is the number of followers up to which each change is notified
+	// without coalescing.
 	unthrottledFollowers = 20
 	// urgentAnswersPerSecond bounds the answers per second caused by urgent changes, and
 	// routineAnswersPerSecond those caused by other changes.
@@ -27,9 +27,9 @@
 // An isolated change is notified at once. Changes that follow shortly after are coalesced:
 // when thousands of endpoints announce themselves, notifying hundreds of followers of each
 // change separately would use all of a keeper's processor time, and calls about the
-// configuration would get no answer meanwhile.
+// configuration would get no answer in the meantime.
 type updateNotifier struct {
-	watch
+	broadcast
 	clock clockwork.Clock
 	// followers returns the current number of followers.
 	followers func() int
@@ -51,7 +51,7 @@
 	}
 	if n.lastNotified.IsZero() || !due.After(now) {
 		n.flushAt, n.lastNotified = time.Time{}, now
-		n.watch.notify()
+		n.broadcast.notify()
 		return
 	}
 	n.flushAt = due
@@ -76,5 +76,5 @@
 		return // an earlier notification has covered the changes
 	}
 	n.flushAt, n.lastNotified = time.Time{}, now
-	n.watch.notify()
+	n.broadcast.notify()
 }
--- a/keeper/internal/server/watching.go
+++ b/keeper/internal/server/watching.go
@@ -7,31 +7,31 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// watch broadcasts changes to waiting goroutines by closing a channel. Its zero value is ready
-// for use.
-type watch struct {
+// broadcast notifies all waiting goroutines of a change by closing a channel. Its zero value is
+// ready for use.
+type broadcast struct {
 	lock    sync.Mutex
 	changed chan struct{}
 }
 
 // next returns a channel that is closed at the next change.
-func (w *watch) next() <-chan struct{} {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	if w.changed == nil {
-		w.changed = make(chan struct{})
+func (b *broadcast) next() <-chan struct{} {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	if b.changed == nil {
+		b.changed = make(chan struct{})
 	}
-	return w.changed
+	return b.changed
 }
 
 // notify closes the channels that next has returned since the last notification.
-func (w *watch) notify() {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	if w.changed != nil {
-		close(w.changed)
+func (b *broadcast) notify() {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	if b.changed != nil {
+		close(b.changed)
 	}
-	w.changed = make(chan struct{})
+	b.changed = make(chan struct{})
 }
 
 const (
--- a/lib/detector/detector.go
+++ b/lib/detector/detector.go
@@ -9,12 +9,12 @@
 // in rotation.
 //
 // Invariants:
-//   - a Detector is a pure state machine: the caller sends its beats and passes in the
+//   - a Detector is a pure state machine: the caller sends its heartbeats and passes in the
 //     responses;
 //   - an older incarnation never replaces a newer one;
 //   - old gossip never revives a dead member, only a higher beat does;
-//   - a detector whose own process was suspended does not mark the others dead for the time
-//     in which it received nothing;
+//   - a detector does not mark other members dead for the time in which its own process was
+//     suspended and received nothing;
 //   - memory is bounded by MaxMembers, MaxZones and MaxDead.
 package detector
 
@@ -59,8 +59,8 @@
 	Fanout int
 }
 
-// Beat is a heartbeat to send.
-type Beat struct {
+// Heartbeat is a heartbeat to send.
+type Heartbeat struct {
 	To      netip.AddrPort
 	Request *messenger.HeartbeatRequest
 }
@@ -129,17 +129,17 @@
 
 // Leave marks this router as leaving because it is about to stop, and returns heartbeats that
 // announce this to every member of the zone immediately.
-func (d *Detector) Leave() []Beat {
+func (d *Detector) Leave() []Heartbeat {
 	d.self.Leaving = true
 	d.self.Beat++
 	d.refresh()
-	var beats []Beat
+	var heartbeats []Heartbeat
 	for _, m := range d.live {
 		if m.Name != d.self.Name {
-			beats = append(beats, d.newBeat(m.Address))
+			heartbeats = append(heartbeats, d.newHeartbeat(m.Address))
 		}
 	}
-	return beats
+	return heartbeats
 }
 
 // Live returns the live members of the own zone, this router included, sorted
@@ -177,15 +177,16 @@
 	return Owner(d.Members(zone), zone, service)
 }
 
-// Tick marks members without recent beats as dead and returns the heartbeats to send now.
-func (d *Detector) Tick(now time.Time) []Beat {
+// Tick marks the members as dead whose beat has not risen for too long, and returns the heartbeats
+// to send now.
+func (d *Detector) Tick(now time.Time) []Heartbeat {
 	d.compensateStall(now)
 	d.ticks++
 	d.self.Beat++
 	d.markDead(now)
-	beats := d.zoneBeats()
-	beats = append(beats, d.otherZoneBeats()...)
-	return append(beats, d.rejoinBeats()...)
+	heartbeats := d.zoneHeartbeats()
+	heartbeats = append(heartbeats, d.otherZoneQueries()...)
+	return append(heartbeats, d.rejoinHeartbeats()...)
 }
 
 // compensateStall extends the members' last rise times by the time for which this process was
@@ -264,38 +265,38 @@
 	}
 }
 
-// zoneBeats returns the heartbeats for the next members of the own zone in rotation. Each
+// zoneHeartbeats returns the heartbeats for the next members of the own zone in rotation. Each
 // router starts after its own position in the list, so that every member receives as many
 // heartbeats as it sends.
-func (d *Detector) zoneBeats() []Beat {
+func (d *Detector) zoneHeartbeats() []Heartbeat {
 	others := len(d.live) - 1
 	own := slices.IndexFunc(d.live, func(m Member) bool { return m.Name == d.self.Name })
 	count := min(d.options.Fanout, others)
-	beats := make([]Beat, 0, count+2)
+	heartbeats := make([]Heartbeat, 0, count+2)
 	for i := range count {
 		step := 1 + (d.ticks*count+i)%others
 		to := d.live[(own+step)%len(d.live)]
-		beats = append(beats, d.newBeat(to.Address))
+		heartbeats = append(heartbeats, d.newHeartbeat(to.Address))
 	}
-	return beats
+	return heartbeats
 }
 
-// newBeat returns a heartbeat for an address. It carries the own member entry in full only if the
-// last known digest of the receiver differs from the own one.
-func (d *Detector) newBeat(address netip.AddrPort) Beat {
+// newHeartbeat returns a heartbeat for an address. It carries the own member entry in full only if
+// the last known digest of the receiver differs from the own one.
+func (d *Detector) newHeartbeat(address netip.AddrPort) Heartbeat {
 	request := &messenger.HeartbeatRequest{Digest: d.digest, Beats: d.beats()}
 	if d.agreedDigests[address] == d.digest {
 		request.From = &messenger.Member{Name: d.self.Name, Incarnation: d.self.Incarnation}
 	} else {
 		request.From = encode(d.self)
 	}
-	return Beat{To: address, Request: request}
+	return Heartbeat{To: address, Request: request}
 }
 
-// otherZoneBeats returns a query for one member of one other zone, the zones in rotation. It
+// otherZoneQueries returns a query for one member of one other zone, the zones in rotation. It
 // keeps querying a member that responds, which avoids idle connections to all members of all
 // zones.
-func (d *Detector) otherZoneBeats() []Beat {
+func (d *Detector) otherZoneQueries() []Heartbeat {
 	names := d.Zones()
 	if len(names) == 0 {
 		return nil
@@ -310,22 +311,22 @@
 	}
 	z.unanswered = true
 	to := z.members[(z.cursor+int(offset))%len(z.members)]
-	return []Beat{d.newZoneQuery(to.Address, z.digest)}
+	return []Heartbeat{d.newZoneQuery(to.Address, z.digest)}
 }
 
 // newZoneQuery returns a heartbeat that asks a member of another zone for its list, unless the list
 // still has the known digest.
-func (d *Detector) newZoneQuery(address netip.AddrPort, known uint64) Beat {
+func (d *Detector) newZoneQuery(address netip.AddrPort, known uint64) Heartbeat {
 	request := &messenger.HeartbeatRequest{Digest: known, From: &messenger.Member{Zone: d.self.Zone}}
 	if known == 0 {
 		request.From = encode(d.self)
 	}
-	return Beat{To: address, Request: request}
+	return Heartbeat{To: address, Request: request}
 }
 
-// rejoinBeats returns a heartbeat for one address of a router that is in no list: a seed, or a
+// rejoinHeartbeats returns a heartbeat for one address of a router that is in no list: a seed, or a
 // dead member. This lets the halves of a partitioned zone discover each other again.
-func (d *Detector) rejoinBeats() []Beat {
+func (d *Detector) rejoinHeartbeats() []Heartbeat {
 	var unlisted []netip.AddrPort
 	for _, seed := range d.options.Seeds {
 		if d.zoneOf[seed] == "" {
@@ -342,7 +343,7 @@
 	}
 	slices.SortFunc(unlisted, netip.AddrPort.Compare)
 	delete(d.agreedDigests, unlisted[d.ticks%len(unlisted)])
-	return []Beat{d.newBeat(unlisted[d.ticks%len(unlisted)])}
+	return []Heartbeat{d.newHeartbeat(unlisted[d.ticks%len(unlisted)])}
 }
 
 // beats returns the members' beats in the order of the live list.
--- a/lib/detector/detector_test.go
+++ b/lib/detector/detector_test.go
@@ -55,15 +55,15 @@
 	})
 }
 
-func (f *fleet) call(from netip.AddrPort, beat Beat) {
-	target := f.members[beat.To]
-	if target == nil || f.frozen[beat.To] || (f.cut != nil && f.cut(from, beat.To)) {
+func (f *fleet) call(from netip.AddrPort, heartbeat Heartbeat) {
+	target := f.members[heartbeat.To]
+	if target == nil || f.frozen[heartbeat.To] || (f.cut != nil && f.cut(from, heartbeat.To)) {
 		return
 	}
-	response := target.Receive(f.now, beat.Request)
+	response := target.Receive(f.now, heartbeat.Request)
 	f.calls++
-	f.bytes += callOverheadBytes + proto.Size(beat.Request) + proto.Size(response)
-	for _, further := range f.members[from].HandleResponse(f.now, beat, response) {
+	f.bytes += callOverheadBytes + proto.Size(heartbeat.Request) + proto.Size(response)
+	for _, further := range f.members[from].HandleResponse(f.now, heartbeat, response) {
 		f.call(from, further)
 	}
 }
@@ -74,8 +74,8 @@
 			if f.members[at] == nil || f.frozen[at] {
 				continue
 			}
-			for _, beat := range f.members[at].Tick(f.now) {
-				f.call(at, beat)
+			for _, heartbeat := range f.members[at].Tick(f.now) {
+				f.call(at, heartbeat)
 			}
 		}
 	}
--- a/lib/detector/exchange.go
+++ b/lib/detector/exchange.go
@@ -73,7 +73,7 @@
 // responder lacks members of the own list. The response to a further heartbeat leads to no
 // other one: the two routers may disagree for a while about a member that only one of them
 // considers dead.
-func (d *Detector) HandleResponse(now time.Time, sent Beat, response *messenger.HeartbeatResponse) []Beat {
+func (d *Detector) HandleResponse(now time.Time, sent Heartbeat, response *messenger.HeartbeatResponse) []Heartbeat {
 	d.contacts++
 	to := sent.To
 	from := response.GetFrom()
@@ -99,9 +99,9 @@
 	if len(response.GetMembers()) == 0 || len(sent.Request.GetMembers()) > 0 {
 		return nil
 	}
-	beat := d.newBeat(to)
-	beat.Request.Members = d.fullList()
-	return []Beat{beat}
+	further := d.newHeartbeat(to)
+	further.Request.Members = d.fullList()
+	return []Heartbeat{further}
 }
 
 // replaceZone replaces the list of another zone by the one in a response.
@@ -145,8 +145,8 @@
 	return z
 }
 
-// addContact adds a member of another zone whose list has not been received yet. Now is the time
-// of a direct contact with the member, zero if another router named it.
+// addContact adds a member of another zone whose list has not been received yet. now is the time
+// of a direct contact with the member, zero if it comes from another router's list.
 func (d *Detector) addContact(now time.Time, member Member) {
 	z := d.addZone(member.Zone)
 	if z == nil {
@@ -197,8 +197,8 @@
 	}
 }
 
-// update applies a received entry of the known incarnation of a member. Only a higher beat revives a
-// dead member.
+// update applies a received entry of the known incarnation of a member. Only a higher beat revives
+// a dead member.
 func (d *Detector) update(now time.Time, r *record, m Member) {
 	if m.Beat > r.Beat {
 		r.Beat = m.Beat
--- a/lib/dialer/dialer.go
+++ b/lib/dialer/dialer.go
@@ -57,25 +57,25 @@
 			PingTimeout:     pingTimeout,
 		},
 	}
-	return &http.Client{Transport: &signer{secret: "Bearer " + secret, next: transport}}
+	return &http.Client{Transport: &authenticator{secret: "Bearer " + secret, next: transport}}
 }
 
-// signer adds the shared secret to every call. It omits headers that cost bytes and have no
+// authenticator adds the shared secret to every call. It omits headers that cost bytes and have no
 // use between shallotkeel's own processes.
-type signer struct {
+type authenticator struct {
 	secret string
 	next   http.RoundTripper
 }
 
-func (s *signer) RoundTrip(r *http.Request) (*http.Response, error) {
-	signed := r.Clone(r.Context())
-	signed.Header.Set("Authorization", s.secret)
-	signed.Header.Set("User-Agent", "")
-	signed.Header.Set("Accept-Encoding", "identity")
+func (s *authenticator) RoundTrip(r *http.Request) (*http.Response, error) {
+	authenticated := r.Clone(r.Context())
+	authenticated.Header.Set("Authorization", s.secret)
+	authenticated.Header.Set("User-Agent", "")
+	authenticated.Header.Set("Accept-Encoding", "identity")
 	// Without GetBody the transport does not retry a call that a stopping peer did not process.
 	// It would start the retry while the first attempt may still be reading the body.
-	signed.GetBody = nil
-	return s.next.RoundTrip(signed)
+	authenticated.GetBody = nil
+	return s.next.RoundTrip(authenticated)
 }
 
 // Server returns a server for control calls. Only calls with the secret reach its handler.
--- a/lib/lister/bench_test.go
+++ b/lib/lister/bench_test.go
@@ -13,7 +13,7 @@
 func BenchmarkSince(b *testing.B) {
 	l := List{Interval: time.Second}
 	for i := range 3000 {
-		l.Beat(time.Unix(1000, 0), Listing{
+		l.ApplyHeartbeat(time.Unix(1000, 0), Listing{
 			ID: fmt.Sprint("i-", i), Service: "engines", State: Ready, Sequence: 1,
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80),
 		})
--- a/lib/lister/cold.go
+++ b/lib/lister/cold.go
@@ -26,8 +26,9 @@
 }
 
 // MarkZoneCold marks the instances of a zone as cold for the time their service needs to warm
-// up, as given by lengths (0: not marked), and reports whether that changed the list. Instances
-// that got no requests for a while may have become cold without having reported it yet.
+// up, as given by lengths (0: not marked), and reports whether that changed the list.
+// Instances that got no requests for a while may have become cold without having reported it
+// yet.
 func (l *List) MarkZoneCold(now time.Time, zone string, lengths func(service string) time.Duration) bool {
 	changed := false
 	for _, e := range l.entries {
--- a/lib/lister/cold_test.go
+++ b/lib/lister/cold_test.go
@@ -12,7 +12,7 @@
 func TestColdEndpointsAreReported(t *testing.T) {
 	until := start.Add
 	tests := map[string]struct {
-		beats     []Listing // of one life, after a first heartbeat that was warm
+		beats     []Listing // of one incarnation, after a first heartbeat that was warm
 		refreshed uint64    // sequence refreshed by another keeper before them
 		cold      time.Time
 		changed   bool // after the first heartbeat
@@ -37,15 +37,15 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := &List{Interval: time.Second}
-			l.Beat(start, beat("a", 1, Ready))
+			l.ApplyHeartbeat(start, heartbeat("a", 1, Ready))
 			before := l.Revision()
 			if test.refreshed > 0 {
 				l.Refresh(start, "a", time.Time{}, test.refreshed)
 			}
 			for _, b := range test.beats {
-				received := beat("a", b.Sequence, Ready)
+				received := heartbeat("a", b.Sequence, Ready)
 				received.ColdUntil = b.ColdUntil
-				l.Beat(start, received)
+				l.ApplyHeartbeat(start, received)
 			}
 			listing, found := l.Find("a")
 			require.True(t, found)
@@ -67,10 +67,10 @@
 func TestZoneIsMarkedCold(t *testing.T) {
 	l := &List{Interval: time.Second}
 	for id, zone := range map[string]string{"a": "hall", "b": "hall", "c": "barn"} {
-		listing := beat(id, 1, Ready)
+		listing := heartbeat(id, 1, Ready)
 		listing.Zone = zone
 		listing.Address = at(id[0])
-		l.Beat(start, listing)
+		l.ApplyHeartbeat(start, listing)
 	}
 	l.Leave(start, "b", time.Time{})
 	length := func(string) time.Duration { return 3 * time.Second }
--- a/lib/lister/life_test.go
+++ b/lib/lister/incarnation_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// lifeStart returns the start time of an instance's nth life.
-func lifeStart(number int) time.Time {
+// incarnationStart returns the start time of an instance's nth incarnation.
+func incarnationStart(number int) time.Time {
 	return time.UnixMilli(1_700_000_000_000 + int64(number)*10_000)
 }
 
-func lifeBeat(id string, number int, sequence uint64, state State) Listing {
-	b := beat(id, sequence, state)
-	b.Started = lifeStart(number)
+func incarnationHeartbeat(id string, number int, sequence uint64, state State) Listing {
+	b := heartbeat(id, sequence, state)
+	b.Started = incarnationStart(number)
 	return b
 }
 
@@ -24,45 +24,45 @@
 // restarts under its id with sequences from 1 while heartbeats from before the crash arrive
 // late, from other keepers or through partitions. A serving endpoint would get no requests,
 // or an ended one would get them.
-func TestLaterLifeReplacesEarlier(t *testing.T) {
+func TestLaterIncarnationReplacesEarlier(t *testing.T) {
 	tests := map[string]struct {
 		beats    []Listing
 		state    State
 		sequence uint64
 	}{
 		"it restarts": {
-			[]Listing{lifeBeat("a", 1, 40, Ready), lifeBeat("a", 2, 1, Ready)}, Ready, 1,
+			[]Listing{incarnationHeartbeat("a", 1, 40, Ready), incarnationHeartbeat("a", 2, 1, Ready)}, Ready, 1,
 		},
 		"it restarts after leaving": {
-			[]Listing{lifeBeat("a", 1, 40, Leaving), lifeBeat("a", 2, 1, Ready)}, Ready, 1,
+			[]Listing{incarnationHeartbeat("a", 1, 40, Leaving), incarnationHeartbeat("a", 2, 1, Ready)}, Ready, 1,
 		},
 		"it restarts after its end": {
-			[]Listing{lifeBeat("a", 1, 40, Gone), lifeBeat("a", 2, 1, Ready)}, Ready, 1,
+			[]Listing{incarnationHeartbeat("a", 1, 40, Gone), incarnationHeartbeat("a", 2, 1, Ready)}, Ready, 1,
 		},
 		"a heartbeat from before is delayed": {
-			[]Listing{lifeBeat("a", 1, 40, Ready), lifeBeat("a", 2, 1, Ready), lifeBeat("a", 1, 41, Ready)}, Ready, 1,
+			[]Listing{incarnationHeartbeat("a", 1, 40, Ready), incarnationHeartbeat("a", 2, 1, Ready), incarnationHeartbeat("a", 1, 41, Ready)}, Ready, 1,
 		},
 		"the former life's leaving is delayed": {
-			[]Listing{lifeBeat("a", 2, 1, Ready), lifeBeat("a", 1, 41, Leaving)}, Ready, 1,
+			[]Listing{incarnationHeartbeat("a", 2, 1, Ready), incarnationHeartbeat("a", 1, 41, Leaving)}, Ready, 1,
 		},
 		"the former life's end is delayed": {
-			[]Listing{lifeBeat("a", 2, 1, Ready), lifeBeat("a", 1, 41, Gone)}, Ready, 1,
+			[]Listing{incarnationHeartbeat("a", 2, 1, Ready), incarnationHeartbeat("a", 1, 41, Gone)}, Ready, 1,
 		},
 		"the new life leaves": {
-			[]Listing{lifeBeat("a", 1, 40, Ready), lifeBeat("a", 2, 3, Leaving), lifeBeat("a", 2, 2, Ready)}, Leaving, 3,
+			[]Listing{incarnationHeartbeat("a", 1, 40, Ready), incarnationHeartbeat("a", 2, 3, Leaving), incarnationHeartbeat("a", 2, 2, Ready)}, Leaving, 3,
 		},
 		"a heartbeat without a start is delayed": {
-			[]Listing{lifeBeat("a", 2, 3, Ready), beat("a", 41, Leaving)}, Ready, 3,
+			[]Listing{incarnationHeartbeat("a", 2, 3, Ready), heartbeat("a", 41, Leaving)}, Ready, 3,
 		},
 		"it reports its start from now on": {
-			[]Listing{beat("a", 41, Leaving), lifeBeat("a", 1, 1, Ready)}, Ready, 1,
+			[]Listing{heartbeat("a", 41, Leaving), incarnationHeartbeat("a", 1, 1, Ready)}, Ready, 1,
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := &List{Interval: interval}
 			for i, b := range test.beats {
-				l.Beat(start.Add(time.Duration(i)*time.Millisecond), b)
+				l.ApplyHeartbeat(start.Add(time.Duration(i)*time.Millisecond), b)
 			}
 			listing, _ := l.Find("a")
 			require.Equal(t, test.state, listing.State)
@@ -71,59 +71,59 @@
 	}
 }
 
-func TestLeaveEndsOneLife(t *testing.T) {
+func TestLeaveEndsOneIncarnation(t *testing.T) {
 	tests := map[string]struct {
 		ended time.Time
 		state State
 	}{
-		"of the life that is listed": {lifeStart(2), Gone},
-		"of the previous life":       {lifeStart(1), Ready},
+		"of the life that is listed": {incarnationStart(2), Gone},
+		"of the previous life":       {incarnationStart(1), Ready},
 		"of an unspecified life":     {time.Time{}, Gone},
-		"of an unknown life":         {lifeStart(3), Gone},
+		"of an unknown life":         {incarnationStart(3), Gone},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := &List{Interval: interval}
-			l.Beat(start, lifeBeat("a", 2, 1, Ready))
+			l.ApplyHeartbeat(start, incarnationHeartbeat("a", 2, 1, Ready))
 			require.Equal(t, test.state == Gone, l.Leave(start, "a", test.ended))
-			l.Beat(start, lifeBeat("a", 2, 2, Ready))
+			l.ApplyHeartbeat(start, incarnationHeartbeat("a", 2, 2, Ready))
 			require.Equal(t, test.state, l.stateOf("a"), "further heartbeats of this life change nothing")
-			l.Beat(start, lifeBeat("a", 4, 1, Ready))
+			l.ApplyHeartbeat(start, incarnationHeartbeat("a", 4, 1, Ready))
 			require.Equal(t, Ready, l.stateOf("a"), "the next life is listed")
 		})
 	}
 }
 
 // Guards against sending requests to an instance that has left permanently: it announces its
-// end, without its start, to a keeper that does not know it yet, and its last heartbeat arrives
-// after that; or other keepers learn of its end from that keeper.
+// end, without its start, to a keeper that does not know it yet, and its last heartbeat
+// arrives after that; or other keepers learn of its end from that keeper.
 func TestEndOfAnInstanceThatIsNotKnown(t *testing.T) {
 	l := &List{Interval: interval}
 	l.Leave(start, "a", time.Time{})
 	listings := l.Since(0)
-	l.Beat(start.Add(interval), lifeBeat("a", 1, 40, Ready))
+	l.ApplyHeartbeat(start.Add(interval), incarnationHeartbeat("a", 1, 40, Ready))
 	require.Equal(t, Gone, l.stateOf("a"))
-	l.Beat(start.Add(interval), lifeBeat("a", 2, 1, Ready))
+	l.ApplyHeartbeat(start.Add(interval), incarnationHeartbeat("a", 2, 1, Ready))
 	require.Equal(t, Ready, l.stateOf("a"), "the end does not apply to the next life")
 
 	other := &List{Interval: interval}
-	other.Beat(start, lifeBeat("a", 1, 40, Ready))
+	other.ApplyHeartbeat(start, incarnationHeartbeat("a", 1, 40, Ready))
 	require.Len(t, listings, 1)
-	require.True(t, other.Beat(start, listings[0]))
+	require.True(t, other.ApplyHeartbeat(start, listings[0]))
 	require.Equal(t, Gone, other.stateOf("a"))
 }
 
-// Guards against routers that keep the backoff and counters of a life that has ended, because
-// a restart that changes only the sequence number is not reported as a change.
+// Guards against routers that keep the backoff and counters of an incarnation that has ended,
+// because a restart that changes only the sequence number is not reported as a change.
 func TestRestartIsAChange(t *testing.T) {
 	l := &List{Interval: interval}
-	l.Beat(start, lifeBeat("a", 1, 40, Ready))
+	l.ApplyHeartbeat(start, incarnationHeartbeat("a", 1, 40, Ready))
 	before := l.Revision()
-	require.True(t, l.Beat(start, lifeBeat("a", 2, 1, Ready)))
-	require.Equal(t, []Listing{lifeBeat("a", 2, 1, Ready)}, l.Since(before))
-	require.False(t, l.Refresh(start, "a", lifeStart(1), 50), "the refresh is of the former life")
-	l.Expire(start.Add((SilentBeats + 1) * interval))
-	require.True(t, l.Refresh(start.Add(6*interval), "a", lifeStart(2), 2))
+	require.True(t, l.ApplyHeartbeat(start, incarnationHeartbeat("a", 2, 1, Ready)))
+	require.Equal(t, []Listing{incarnationHeartbeat("a", 2, 1, Ready)}, l.Since(before))
+	require.False(t, l.Refresh(start, "a", incarnationStart(1), 50), "the refresh is of the former life")
+	l.Expire(start.Add((SilentHeartbeats + 1) * interval))
+	require.True(t, l.Refresh(start.Add(6*interval), "a", incarnationStart(2), 2))
 }
 
 // Guards against sending requests to an ended instance whose address another instance holds:
@@ -131,16 +131,16 @@
 // reported, and not guessed from the sequence numbers.
 func TestAddressBelongsToTheLatestStart(t *testing.T) {
 	tests := map[string][]Listing{
-		"the successor arrives later":                {lifeBeat("old", 1, 40, Ready), lifeBeat("new", 2, 30, Ready)},
-		"the old one's last heartbeat arrives later": {lifeBeat("new", 2, 1, Ready), lifeBeat("old", 1, 41, Ready)},
-		"and another one after it":                   {lifeBeat("new", 2, 1, Ready), lifeBeat("old", 1, 41, Ready), lifeBeat("old", 1, 42, Ready)},
-		"an instance without a start claims it":      {lifeBeat("new", 2, 1, Ready), beat("old", 1, Ready), beat("old", 2, Ready)},
+		"the successor arrives later":                {incarnationHeartbeat("old", 1, 40, Ready), incarnationHeartbeat("new", 2, 30, Ready)},
+		"the old one's last heartbeat arrives later": {incarnationHeartbeat("new", 2, 1, Ready), incarnationHeartbeat("old", 1, 41, Ready)},
+		"and another one after it":                   {incarnationHeartbeat("new", 2, 1, Ready), incarnationHeartbeat("old", 1, 41, Ready), incarnationHeartbeat("old", 1, 42, Ready)},
+		"an instance without a start claims it":      {incarnationHeartbeat("new", 2, 1, Ready), heartbeat("old", 1, Ready), heartbeat("old", 2, Ready)},
 	}
 	for name, beats := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := &List{Interval: interval}
 			for _, b := range beats {
-				l.Beat(start, b)
+				l.ApplyHeartbeat(start, b)
 			}
 			require.Equal(t, Ready, l.stateOf("new"))
 			require.Equal(t, Gone, l.stateOf("old"))
@@ -148,36 +148,37 @@
 	}
 }
 
-// Guards against a delayed heartbeat bringing back a life whose successor at the address has
-// ended as well, including the case that the successor's end arrives before its heartbeat.
+// Guards against a delayed heartbeat bringing back an incarnation whose successor at the
+// address has ended as well, including the case that the successor's end arrives before its
+// heartbeat.
 func TestAddressIsRememberedBehindItsHolder(t *testing.T) {
 	tests := map[string]func(l *List){
 		"its end arrives last": func(l *List) {
-			l.Beat(start, lifeBeat("new", 2, 1, Ready))
-			l.Leave(start, "new", lifeStart(2))
+			l.ApplyHeartbeat(start, incarnationHeartbeat("new", 2, 1, Ready))
+			l.Leave(start, "new", incarnationStart(2))
 		},
 		"its end arrives first": func(l *List) {
-			l.Leave(start, "new", lifeStart(2))
-			l.Beat(start, lifeBeat("new", 2, 1, Ready))
+			l.Leave(start, "new", incarnationStart(2))
+			l.ApplyHeartbeat(start, incarnationHeartbeat("new", 2, 1, Ready))
 		},
 	}
 	for name, apply := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := &List{Interval: interval}
 			apply(l)
-			l.Beat(start, lifeBeat("old", 1, 41, Ready))
+			l.ApplyHeartbeat(start, incarnationHeartbeat("old", 1, 41, Ready))
 			require.Equal(t, Gone, l.stateOf("old"))
-			l.Expire(start.Add((expiryBeats + 1) * interval))
+			l.Expire(start.Add((expiryHeartbeats + 1) * interval))
 			require.Empty(t, l.entries)
-			l.Expire(start.Add((expiryBeats + 2) * interval))
+			l.Expire(start.Add((expiryHeartbeats + 2) * interval))
 			require.Empty(t, l.holders, "holders expire as well")
 		})
 	}
 }
 
 // Guards against keepers that disagree permanently about an instance: two lists receive the
-// same heartbeats and ends of several lives, at shared addresses, in different orders.
-func TestListsAgreeOnLivesInAnyOrder(t *testing.T) {
+// same heartbeats and ends of several incarnations, at shared addresses, in different orders.
+func TestListsAgreeOnIncarnationsInAnyOrder(t *testing.T) {
 	type event struct {
 		beat  Listing
 		leave bool
@@ -187,9 +188,10 @@
 		events := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
 			id := rapid.IntRange(0, len(ids)-1).Draw(t, "id")
 			number := rapid.IntRange(1, 3).Draw(t, "life")
-			b := lifeBeat(ids[id], number*len(ids)+id, rapid.Uint64Range(1, 4).Draw(t, "sequence"),
+			b := incarnationHeartbeat(ids[id], number*len(ids)+id, rapid.Uint64Range(1, 4).Draw(t, "sequence"),
 				rapid.SampledFrom([]State{Ready, Leaving, Gone}).Draw(t, "state"))
-			// A life keeps its address; other lives, of the same id or of another, may share it.
+			// An incarnation keeps its address; other incarnations, of the same id or of
+			// another, may share it.
 			b.Address = at(byte((id + number) % 2))
 			return event{beat: b, leave: rapid.Bool().Draw(t, "leave")}
 		}), 1, 12).Draw(t, "events")
@@ -199,7 +201,7 @@
 				l.Leave(start, e.beat.ID, e.beat.Started)
 				return
 			}
-			l.Beat(start, e.beat)
+			l.ApplyHeartbeat(start, e.beat)
 		}
 		for _, e := range events {
 			apply(one, e)
--- a/lib/lister/lister.go
+++ b/lib/lister/lister.go
@@ -3,18 +3,18 @@
 // A List is a pure state machine: the caller passes in the received heartbeats and the
 // time. Keepers fill a list from heartbeats and from their peers, routers from keepers.
 //
-// An instance may restart under the same id. Each start begins a new life, which has its
-// own sequence numbers and states and is identified by its start time.
+// An instance may restart under the same id. Each start begins a new incarnation of it, with
+// its own sequence numbers and states, identified by its start time.
 //
 // Invariants:
-//   - only the latest life of an instance is listed, regardless of the order in which
-//     heartbeats of several lives arrive;
-//   - within a life only a heartbeat with a higher sequence number takes effect, so that
-//     a delayed heartbeat changes nothing;
-//   - the state of a life only rises: a leaving life never becomes ready again, and a gone
-//     life stays gone, whatever arrives later;
-//   - at most one listed instance holds an address; among the lives whose start is known
-//     it is the one that started last;
+//   - only the latest incarnation of an instance is listed, regardless of the order in which
+//     heartbeats of several incarnations arrive;
+//   - within an incarnation only a heartbeat with a higher sequence number takes effect, so
+//     that a delayed heartbeat changes nothing;
+//   - the state of an incarnation only rises: a leaving incarnation never becomes ready again,
+//     and a gone incarnation stays gone, whatever arrives later;
+//   - at most one listed instance holds an address: the one with the latest start, where start
+//     times are known;
 //   - lists that received the same heartbeats, in any order, agree on every state.
 //
 // Memory: Expire and RemoveGone delete instances that have been gone or silent for long,
@@ -32,7 +32,7 @@
 // takes 6 MB; the largest planned fleet has 12,000 endpoints.
 const MaxListings = 30000
 
-// State is the phase of an instance's life. It only rises.
+// State is the state of one incarnation of an instance. It only rises.
 type State uint8
 
 // The states of an instance.
@@ -45,7 +45,7 @@
 	Gone
 )
 
-// Listing describes one life of an endpoint instance.
+// Listing describes one incarnation of an endpoint instance.
 type Listing struct {
 	ID      string
 	Service string
@@ -54,17 +54,17 @@
 	Slots   int
 	// Version is the version of the instance's software, empty if unknown.
 	Version string
-	// Started is the start time of this life by the instance's own clock. It is zero for
-	// an instance that does not report it; such an instance has a single life.
+	// Started is the start time of this incarnation by the instance's own clock. It is zero
+	// for an instance that does not report it; such an instance has a single incarnation.
 	Started  time.Time
 	Sequence uint64
 	State    State
 	// Silent is set when no heartbeat has arrived for SilentBeats intervals.
 	Silent bool
-	// WasSilent is set when this list has seen the instance silent during this life.
+	// WasSilent is set when this list has seen the instance silent during this incarnation.
 	WasSilent bool
 	// ColdUntil is the time until which the instance can take only few requests, zero if it
-	// has always been warm. The latest time reported for a life applies.
+	// has always been warm. The latest time reported for an incarnation applies.
 	ColdUntil time.Time
 }
 
@@ -73,18 +73,18 @@
 	return now.Before(l.ColdUntil)
 }
 
-// Healthy reports whether the instance is ready and has never been silent in this life.
+// Healthy reports whether the instance is ready and has never been silent in this incarnation.
 func (l *Listing) Healthy() bool {
 	return l.State == Ready && !l.Silent && !l.WasSilent
 }
 
-// SilentBeats is the number of missed heartbeats after which an instance is silent.
+// SilentHeartbeats is the number of missed heartbeats after which an instance is silent.
 // Heartbeats may be delayed by seconds, so one or two missed ones are not significant.
-const SilentBeats = 4
+const SilentHeartbeats = 4
 
-// expiryBeats is the number of missed heartbeats after which an instance is removed. An
+// expiryHeartbeats is the number of missed heartbeats after which an instance is removed. An
 // instance that still serves behind a partition announces itself again.
-const expiryBeats = 50
+const expiryHeartbeats = 50
 
 // maxFreshSequence is the highest sequence number with which an unknown instance that does
 // not report its start takes over another instance's address immediately. A higher number
@@ -111,9 +111,9 @@
 	cold    map[*entry]bool // entries that may be cold; Cold removes those that are warm again
 }
 
-// addressHolder is the latest-started life that has used an address. It is kept, even
-// after the life has ended, for as long as delayed heartbeats may arrive: a delayed heartbeat
-// of an earlier life must not bring that life back.
+// addressHolder is the latest-started incarnation that has used an address. It is kept, even
+// after the incarnation has ended, for as long as delayed heartbeats may arrive: a delayed
+// heartbeat of an earlier incarnation must not bring that incarnation back.
 type addressHolder struct {
 	id           string
 	started      time.Time
@@ -134,76 +134,76 @@
 	return l.revision
 }
 
-// Beat applies a heartbeat and reports whether it changed anything other than the
+// ApplyHeartbeat applies a heartbeat and reports whether it changed anything other than the
 // instance's sequence number.
-func (l *List) Beat(now time.Time, beat Listing) bool {
-	known, found := l.entries[beat.ID]
+func (l *List) ApplyHeartbeat(now time.Time, heartbeat Listing) bool {
+	known, found := l.entries[heartbeat.ID]
 	if !found {
-		return l.add(now, beat)
+		return l.add(now, heartbeat)
 	}
-	switch beat.Started.Compare(known.Started) {
+	switch heartbeat.Started.Compare(known.Started) {
 	case -1:
-		if beat.isBareEnd() {
-			return l.Leave(now, beat.ID, time.Time{})
+		if heartbeat.isTombstone() {
+			return l.Leave(now, heartbeat.ID, time.Time{})
 		}
-		return l.applyStale(now, beat)
+		return l.applyStale(now, heartbeat)
 	case 1:
-		if known.isBareEnd() && beat.Sequence > maxFreshSequence && now.Sub(known.lastReceived) < 2*l.Interval {
-			beat.State = Gone // the end of this life arrived before any of its heartbeats
+		if known.isTombstone() && heartbeat.Sequence > maxFreshSequence && now.Sub(known.lastReceived) < 2*l.Interval {
+			heartbeat.State = Gone // the end of this incarnation arrived before any of its heartbeats
 		}
-		return l.restart(now, known, beat)
+		return l.restart(now, known, heartbeat)
 	default:
-		return l.renew(now, known, beat)
+		return l.renew(now, known, heartbeat)
 	}
 }
 
-// isBareEnd reports whether this listing, received from another list, marks the end of a
-// life of which nothing but the id is known.
-func (l *Listing) isBareEnd() bool {
+// isTombstone reports whether this listing, received from another list, is a tombstone: it
+// marks the end of an incarnation of which only the id is known.
+func (l *Listing) isTombstone() bool {
 	return l.State == Gone && l.Started.IsZero() && !l.Address.IsValid()
 }
 
-// applyStale applies a heartbeat of a life earlier than the known one. It only contributes
-// that this life used the address.
-func (l *List) applyStale(now time.Time, beat Listing) bool {
-	if beat.Started.IsZero() {
+// applyStale applies a heartbeat of an incarnation earlier than the known one. It only
+// contributes that this incarnation used the address.
+func (l *List) applyStale(now time.Time, heartbeat Listing) bool {
+	if heartbeat.Started.IsZero() {
 		return false
 	}
 	before := l.revision
-	l.claimAddress(now, beat)
+	l.claimAddress(now, heartbeat)
 	return l.revision != before
 }
 
-// renew applies a further heartbeat of the known life.
-func (l *List) renew(now time.Time, known *entry, beat Listing) bool {
+// renew applies a further heartbeat of the known incarnation.
+func (l *List) renew(now time.Time, known *entry, heartbeat Listing) bool {
 	// Refresh may have advanced the sequence before the heartbeat's contents arrive.
-	chilled := beat.Sequence >= known.Sequence && l.extendCold(known, beat.ColdUntil)
-	if beat.Sequence <= known.Sequence && beat.State <= known.State {
-		if chilled {
+	coldExtended := heartbeat.Sequence >= known.Sequence && l.extendCold(known, heartbeat.ColdUntil)
+	if heartbeat.Sequence <= known.Sequence && heartbeat.State <= known.State {
+		if coldExtended {
 			l.markChanged(known)
 		}
-		return chilled
+		return coldExtended
 	}
 	known.lastReceived = now
-	changed := known.Silent || known.pending || chilled
+	changed := known.Silent || known.pending || coldExtended
 	if !known.Address.IsValid() {
-		// The end of this life arrived before its first heartbeat.
-		known.Address = beat.Address
+		// The end of this incarnation arrived before its first heartbeat.
+		known.Address = heartbeat.Address
 		l.claimAddress(now, known.Listing)
 	}
 	if known.pending {
 		known.pending = false
 		l.assignAddress(now, known)
 	}
-	known.Sequence = max(known.Sequence, beat.Sequence)
+	known.Sequence = max(known.Sequence, heartbeat.Sequence)
 	known.Silent = false
-	if beat.State > known.State {
-		known.State = beat.State
+	if heartbeat.State > known.State {
+		known.State = heartbeat.State
 		changed = true
 	}
 	if known.State == Gone {
 		l.releaseAddress(known)
-	} else if known.update(beat) {
+	} else if known.update(heartbeat) {
 		changed = true
 	}
 	if changed {
@@ -212,30 +212,32 @@
 	return changed
 }
 
-// restart replaces an instance's entry with its next life. The state of the previous life,
-// including leaving or gone, does not apply to the new one.
-func (l *List) restart(now time.Time, known *entry, beat Listing) bool {
+// restart replaces an instance's entry with its next incarnation. The state of the previous
+// incarnation, including leaving or gone, does not apply to the new one.
+func (l *List) restart(now time.Time, known *entry, heartbeat Listing) bool {
 	l.releaseAddress(known)
-	known.Listing, known.lastReceived, known.pending, known.versionConflict = beat, now, false, false
+	known.Listing, known.lastReceived, known.pending, known.versionConflict = heartbeat, now, false, false
 	l.indexCold(known)
 	l.assignAddress(now, known)
 	l.markChanged(known)
 	return true
 }
 
-// update applies the fields that may change during a life and reports whether any differed.
-func (e *entry) update(beat Listing) bool {
-	changed := e.updateVersion(beat.Version)
-	if beat.Service == "" || beat.Service == e.Service && beat.Slots == e.Slots {
+// update applies the fields that may change during an incarnation and reports whether any
+// differed.
+func (e *entry) update(heartbeat Listing) bool {
+	changed := e.updateVersion(heartbeat.Version)
+	if heartbeat.Service == "" || heartbeat.Service == e.Service && heartbeat.Slots == e.Slots {
 		return changed
 	}
-	e.Service, e.Slots = beat.Service, beat.Slots
+	e.Service, e.Slots = heartbeat.Service, heartbeat.Slots
 	return true
 }
 
-// updateVersion applies the reported version of the instance's software and reports whether
-// it changed the entry. Some processes omit the version when they pass a listing on. A life
-// has a single version; after two different ones were reported it is unknown which one runs.
+// updateVersion applies the reported version of the instance's software and reports whether it
+// changed the entry. Some processes omit the version when they pass a listing on. An
+// incarnation has a single version; after two different ones were reported it is unknown which
+// one runs.
 func (e *entry) updateVersion(version string) bool {
 	switch {
 	case version == "" || version == e.Version || e.versionConflict:
@@ -248,8 +250,9 @@
 	return true
 }
 
-// Refresh records that another list has received a heartbeat of a life, and reports whether
-// this ended the instance's silence. The first heartbeat of a life arrives as a listing.
+// Refresh records that another list has received a heartbeat of an incarnation, and reports
+// whether this ended the instance's silence. The first heartbeat of an incarnation arrives as
+// a listing.
 func (l *List) Refresh(now time.Time, id string, started time.Time, sequence uint64) bool {
 	known, found := l.entries[id]
 	if !found || !started.Equal(known.Started) || sequence <= known.Sequence {
@@ -264,10 +267,10 @@
 	return true
 }
 
-// Leave marks an instance as gone because it announced its permanent departure, and
-// reports whether this changed the list. The instance still finishes its requests in flight
-// and only gets no new ones. Started is zero if the instance did not report which life ends;
-// the known life is meant then.
+// Leave marks an instance as gone because it announced its permanent departure, and reports
+// whether this changed the list. The instance still finishes its requests in flight and only
+// gets no new ones. Started is zero if the instance did not report which incarnation ends; the
+// known incarnation is meant then.
 func (l *List) Leave(now time.Time, id string, started time.Time) bool {
 	known, found := l.entries[id]
 	switch {
@@ -285,7 +288,7 @@
 	return true
 }
 
-func (l *List) add(now time.Time, beat Listing) bool {
+func (l *List) add(now time.Time, heartbeat Listing) bool {
 	if l.entries == nil {
 		l.entries = make(map[string]*entry)
 		l.holders = make(map[netip.AddrPort]addressHolder)
@@ -293,10 +296,10 @@
 	if len(l.entries) >= MaxListings {
 		return false
 	}
-	added := &entry{Listing: beat, lastReceived: now}
-	l.entries[beat.ID] = added
+	added := &entry{Listing: heartbeat, lastReceived: now}
+	l.entries[heartbeat.ID] = added
 	l.indexCold(added)
-	if l.addressDisputed(now, beat) {
+	if l.addressDisputed(now, heartbeat) {
 		// The address goes to the instance whose next heartbeat arrives first.
 		added.pending = true
 		return false
@@ -308,45 +311,45 @@
 
 // addressDisputed reports whether another instance has recently used the heartbeat's address
 // and neither start time is known, so that the order of the two cannot be determined.
-func (l *List) addressDisputed(now time.Time, beat Listing) bool {
-	before, taken := l.holders[beat.Address]
-	if !taken || !before.started.IsZero() || !beat.Started.IsZero() || beat.Sequence <= maxFreshSequence {
+func (l *List) addressDisputed(now time.Time, heartbeat Listing) bool {
+	before, taken := l.holders[heartbeat.Address]
+	if !taken || !before.started.IsZero() || !heartbeat.Started.IsZero() || heartbeat.Sequence <= maxFreshSequence {
 		return false
 	}
 	e, listed := l.entries[before.id]
 	return listed && now.Sub(e.lastReceived) < 2*l.Interval
 }
 
-// assignAddress assigns an entry its address; if a later-started life has used the address,
-// the entry is gone.
+// assignAddress assigns an entry its address; if a later-started incarnation has used the
+// address, the entry is gone.
 func (l *List) assignAddress(now time.Time, e *entry) {
 	if !l.claimAddress(now, e.Listing) {
 		e.State = Gone
 	}
 }
 
-// claimAddress records that a life uses an address, and returns false if a later-started
-// life has used it. The previous holder is marked gone: the platform reassigns an address
-// only after its holder has ended.
-func (l *List) claimAddress(now time.Time, beat Listing) bool {
-	if !beat.Address.IsValid() || beat.State == Gone && beat.Started.IsZero() {
+// claimAddress records that an incarnation uses an address, and returns false if a
+// later-started incarnation has used it. The previous holder is marked gone: the platform
+// reassigns an address only after its holder has ended.
+func (l *List) claimAddress(now time.Time, heartbeat Listing) bool {
+	if !heartbeat.Address.IsValid() || heartbeat.State == Gone && heartbeat.Started.IsZero() {
 		return true
 	}
-	before, taken := l.holders[beat.Address]
-	if taken && beat.Started.Before(before.started) {
+	before, taken := l.holders[heartbeat.Address]
+	if taken && heartbeat.Started.Before(before.started) {
 		return false
 	}
-	if taken && before.id != beat.ID {
+	if taken && before.id != heartbeat.ID {
 		l.endHolder(before)
 	}
 	if !taken && len(l.holders) >= 2*MaxListings {
 		return true
 	}
-	l.holders[beat.Address] = addressHolder{id: beat.ID, started: beat.Started, lastReceived: now}
+	l.holders[heartbeat.Address] = addressHolder{id: heartbeat.ID, started: heartbeat.Started, lastReceived: now}
 	return true
 }
 
-// endHolder marks a life as gone because another life has its address.
+// endHolder marks an incarnation as gone because another incarnation has its address.
 func (l *List) endHolder(before addressHolder) {
 	e, found := l.entries[before.id]
 	if found && e.Started.Equal(before.started) && e.State != Gone {
@@ -355,8 +358,8 @@
 	}
 }
 
-// releaseAddress frees the address of a life without a start time: the next heartbeat from
-// that address belongs to another life. Where start times are known, they decide.
+// releaseAddress frees the address of an incarnation without a start time: the next heartbeat
+// from that address belongs to another incarnation. Where start times are known, they decide.
 func (l *List) releaseAddress(e *entry) {
 	if e.Started.IsZero() && l.holders[e.Address].id == e.ID {
 		delete(l.holders, e.Address)
@@ -387,17 +390,17 @@
 func (l *List) Expire(now time.Time) bool {
 	before := l.revision
 	for _, e := range l.entries {
-		quiet := now.Sub(e.lastReceived)
+		silence := now.Sub(e.lastReceived)
 		switch {
-		case quiet > expiryBeats*l.Interval:
+		case silence > expiryHeartbeats*l.Interval:
 			l.remove(e)
-		case quiet > SilentBeats*l.Interval && !e.Silent && e.State != Gone:
+		case silence > SilentHeartbeats*l.Interval && !e.Silent && e.State != Gone:
 			e.Silent, e.WasSilent = true, true
 			l.markChanged(e)
 		}
 	}
 	for address, h := range l.holders {
-		if _, listed := l.entries[h.id]; !listed && now.Sub(h.lastReceived) > expiryBeats*l.Interval {
+		if _, listed := l.entries[h.id]; !listed && now.Sub(h.lastReceived) > expiryHeartbeats*l.Interval {
 			delete(l.holders, address)
 		}
 	}
@@ -433,7 +436,8 @@
 	return services
 }
 
-// Resend marks a service's ready instances as changed, so that Since and Select return them again.
+// Resend marks a service's ready instances as changed, so that Since and Select return them
+// again.
 func (l *List) Resend(service string) {
 	for _, e := range l.entries {
 		if e.Service == service && e.State == Ready {
--- a/lib/lister/lister_test.go
+++ b/lib/lister/lister_test.go
@@ -17,7 +17,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, host}), 80)
 }
 
-func beat(id string, sequence uint64, state State) Listing {
+func heartbeat(id string, sequence uint64, state State) Listing {
 	return Listing{ID: id, Service: "desk", Zone: "hall", Address: at(1), Slots: 6, Sequence: sequence, State: state}
 }
 
@@ -30,16 +30,16 @@
 // arrives late over another path and must not be treated as the last one sent.
 func TestLateHeartbeatChangesNothing(t *testing.T) {
 	tests := map[string][]Listing{
-		"from before it left":   {beat("a", 1, Ready), beat("a", 3, Leaving), beat("a", 2, Ready)},
-		"sent twice":            {beat("a", 1, Ready), beat("a", 2, Leaving), beat("a", 2, Leaving)},
-		"a later one, ready":    {beat("a", 1, Ready), beat("a", 2, Leaving), beat("a", 9, Ready)},
-		"received out of order": {beat("a", 2, Leaving), beat("a", 1, Ready)},
+		"from before it left":   {heartbeat("a", 1, Ready), heartbeat("a", 3, Leaving), heartbeat("a", 2, Ready)},
+		"sent twice":            {heartbeat("a", 1, Ready), heartbeat("a", 2, Leaving), heartbeat("a", 2, Leaving)},
+		"a later one, ready":    {heartbeat("a", 1, Ready), heartbeat("a", 2, Leaving), heartbeat("a", 9, Ready)},
+		"received out of order": {heartbeat("a", 2, Leaving), heartbeat("a", 1, Ready)},
 	}
 	for name, beats := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := &List{Interval: interval}
 			for i, b := range beats {
-				l.Beat(start.Add(time.Duration(i)*time.Millisecond), b)
+				l.ApplyHeartbeat(start.Add(time.Duration(i)*time.Millisecond), b)
 			}
 			require.Equal(t, Leaving, l.stateOf("a"))
 		})
@@ -55,23 +55,23 @@
 		holder string
 	}{
 		"a successor takes over at once": {
-			beats: []Listing{beat("old", 40, Ready), beat("new", 1, Ready)}, holder: "new",
+			beats: []Listing{heartbeat("old", 40, Ready), heartbeat("new", 1, Ready)}, holder: "new",
 		},
 		"the old one's last heartbeat arrives after it": {
-			beats: []Listing{beat("old", 40, Ready), beat("new", 1, Ready), beat("old", 41, Ready)}, holder: "new",
+			beats: []Listing{heartbeat("old", 40, Ready), heartbeat("new", 1, Ready), heartbeat("old", 41, Ready)}, holder: "new",
 		},
 		"the old one is unknown": {
-			beats: []Listing{beat("new", 1, Ready), beat("old", 41, Ready)}, holder: "new",
+			beats: []Listing{heartbeat("new", 1, Ready), heartbeat("old", 41, Ready)}, holder: "new",
 		},
 		"a second heartbeat confirms the holder": {
-			beats: []Listing{beat("first", 9, Ready), beat("second", 30, Ready), beat("second", 31, Ready)}, holder: "second",
+			beats: []Listing{heartbeat("first", 9, Ready), heartbeat("second", 30, Ready), heartbeat("second", 31, Ready)}, holder: "second",
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := &List{Interval: interval}
 			for i, b := range test.beats {
-				l.Beat(start.Add(time.Duration(i)*10*time.Millisecond), b)
+				l.ApplyHeartbeat(start.Add(time.Duration(i)*10*time.Millisecond), b)
 			}
 			for _, id := range []string{"old", "new", "first", "second"} {
 				listing, found := l.Find(id)
@@ -89,10 +89,10 @@
 // listing it then must count as a change.
 func TestConfirmedInstanceIsAChange(t *testing.T) {
 	l := &List{Interval: interval}
-	l.Beat(start, beat("first", 9, Ready))
-	require.False(t, l.Beat(start, beat("second", 30, Ready)))
+	l.ApplyHeartbeat(start, heartbeat("first", 9, Ready))
+	require.False(t, l.ApplyHeartbeat(start, heartbeat("second", 30, Ready)))
 	before := l.Revision()
-	require.True(t, l.Beat(start, beat("second", 31, Ready)))
+	require.True(t, l.ApplyHeartbeat(start, heartbeat("second", 31, Ready)))
 	states := make(map[string]State)
 	for _, listing := range l.Since(before) {
 		states[listing.ID] = listing.State
@@ -103,9 +103,9 @@
 func TestLeaveIsFinal(t *testing.T) {
 	l := &List{Interval: interval}
 	l.Leave(start, "a", time.Time{})
-	l.Beat(start, beat("a", 7, Ready))
+	l.ApplyHeartbeat(start, heartbeat("a", 7, Ready))
 	require.Equal(t, Gone, l.stateOf("a"), "its heartbeat arrived after its end")
-	l.Beat(start, beat("b", 1, Ready))
+	l.ApplyHeartbeat(start, heartbeat("b", 1, Ready))
 	require.True(t, l.Leave(start, "b", time.Time{}))
 	require.False(t, l.Leave(start, "b", time.Time{}))
 	require.Equal(t, Gone, l.stateOf("b"))
@@ -113,9 +113,9 @@
 
 func TestSilence(t *testing.T) {
 	l := &List{Interval: interval}
-	l.Beat(start, beat("a", 1, Ready))
-	require.False(t, l.Expire(start.Add(SilentBeats*interval)))
-	require.True(t, l.Expire(start.Add(SilentBeats*interval+1)))
+	l.ApplyHeartbeat(start, heartbeat("a", 1, Ready))
+	require.False(t, l.Expire(start.Add(SilentHeartbeats*interval)))
+	require.True(t, l.Expire(start.Add(SilentHeartbeats*interval+1)))
 	listing, _ := l.Find("a")
 	require.True(t, listing.Silent)
 	require.Equal(t, Ready, listing.State, "it may still serve")
@@ -123,19 +123,19 @@
 	require.True(t, l.Refresh(start.Add(5*interval), "a", time.Time{}, 2), "another list has received a heartbeat")
 	listing, _ = l.Find("a")
 	require.False(t, listing.Silent)
-	l.Expire(start.Add((expiryBeats + 6) * interval))
+	l.Expire(start.Add((expiryHeartbeats + 6) * interval))
 	_, found := l.Find("a")
 	require.False(t, found, "it is removed after expiryBeats intervals")
 }
 
 func TestSinceReturnsEachChangeOnce(t *testing.T) {
 	l := &List{Interval: interval}
-	l.Beat(start, beat("a", 1, Ready))
+	l.ApplyHeartbeat(start, heartbeat("a", 1, Ready))
 	first := l.Revision()
 	require.Len(t, l.Since(0), 1)
-	l.Beat(start, beat("a", 2, Ready))
+	l.ApplyHeartbeat(start, heartbeat("a", 2, Ready))
 	require.Empty(t, l.Since(first), "a heartbeat without changes is not returned")
-	l.Beat(start, beat("a", 3, Leaving))
+	l.ApplyHeartbeat(start, heartbeat("a", 3, Leaving))
 	require.Len(t, l.Since(first), 1)
 }
 
@@ -144,7 +144,7 @@
 func TestListsAgreeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		beats := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Listing {
-			b := beat(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"),
+			b := heartbeat(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"),
 				rapid.Uint64Range(1, 6).Draw(t, "sequence"),
 				rapid.SampledFrom([]State{Ready, Leaving, Gone}).Draw(t, "state"))
 			b.Address = at(b.ID[0]) // a separate address for each id
@@ -152,10 +152,10 @@
 		}), 1, 12).Draw(t, "beats")
 		one, other := &List{Interval: interval}, &List{Interval: interval}
 		for _, b := range beats {
-			one.Beat(start, b)
+			one.ApplyHeartbeat(start, b)
 		}
 		for _, i := range rapid.Permutation(indexes(len(beats))).Draw(t, "order") {
-			other.Beat(start, beats[i])
+			other.ApplyHeartbeat(start, beats[i])
 		}
 		for _, id := range []string{"a", "b", "c"} {
 			require.Equal(t, one.stateOf(id), other.stateOf(id))
@@ -173,8 +173,8 @@
 
 func TestWire(t *testing.T) {
 	for name, listing := range map[string]Listing{
-		"ready":              beat("a", 4, Ready),
-		"restarted instance": lifeBeat("a", 2, 4, Ready),
+		"ready":              heartbeat("a", 4, Ready),
+		"restarted instance": incarnationHeartbeat("a", 2, 4, Ready),
 		"gone, never listed": {ID: "a", State: Gone},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -189,7 +189,7 @@
 		"no state":   func(l *Listing) { l.State = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			listing := beat("a", 1, Ready)
+			listing := heartbeat("a", 1, Ready)
 			corrupt(&listing)
 			_, err := FromWire(ToWire(listing, time.Time{}), time.Time{})
 			require.ErrorIs(t, err, ErrWire)
--- a/lib/lister/wire.go
+++ b/lib/lister/wire.go
@@ -28,7 +28,7 @@
 	return wire
 }
 
-// ToMillis encodes the start of a life as Unix milliseconds. An unknown start is 0.
+// ToMillis encodes the start of an incarnation as Unix milliseconds. An unknown start is 0.
 func ToMillis(started time.Time) uint64 {
 	if started.IsZero() {
 		return 0
@@ -36,7 +36,8 @@
 	return uint64(started.UnixMilli())
 }
 
-// FromMillis decodes the start of a life from Unix milliseconds. 0 is an unknown start.
+// FromMillis decodes the start of an incarnation from Unix milliseconds. 0 is an unknown
+// start.
 func FromMillis(milliseconds uint64) time.Time {
 	if milliseconds == 0 {
 		return time.Time{}
--- a/lib/recorder/recorder.go
+++ b/lib/recorder/recorder.go
@@ -14,7 +14,7 @@
 //     next start; damage anywhere else is an error that names the file and the
 //     remedy, because without the damaged part the replica would lose entries and
 //     votes that it has acknowledged;
-//   - a full disk refuses a batch as a whole and leaves the log unchanged.
+//   - on a full disk a batch is refused completely and leaves the log unchanged.
 package recorder
 
 import (
@@ -100,8 +100,8 @@
 }
 
 // Open reads the data folder and returns the state that it holds. For an empty
-// folder it stores a new identity, which it gets from mint.
-func Open(files FileSystem, limits Limits, mint func() replicator.ID) (*Recorder, replicator.Restored, error) {
+// folder it stores a new identity, which it gets from newID.
+func Open(files FileSystem, limits Limits, newID func() replicator.ID) (*Recorder, replicator.Restored, error) {
 	if limits.SegmentBytes == 0 {
 		limits.SegmentBytes = DefaultSegmentBytes
 	}
@@ -109,7 +109,7 @@
 		limits.ReserveBytes = DefaultReserveBytes
 	}
 	r := &Recorder{files: files, limits: limits}
-	if err := r.loadIdentity(mint); err != nil {
+	if err := r.loadIdentity(newID); err != nil {
 		return nil, replicator.Restored{}, err
 	}
 	restored, err := r.restore()
--- a/lib/recorder/recorder_test.go
+++ b/lib/recorder/recorder_test.go
@@ -14,12 +14,12 @@
 	"shallotkeel.example/lib/replicator"
 )
 
-// mint returns the identity of a new disk.
-func mint() replicator.ID { return 42 }
+// newDiskID returns the identity of a new disk.
+func newDiskID() replicator.ID { return 42 }
 
 // open opens a recorder with small segments.
 func open(files recorder.FileSystem) (*recorder.Recorder, replicator.Restored, error) {
-	return recorder.Open(files, recorder.Limits{SegmentBytes: 400, ReserveBytes: 1}, mint)
+	return recorder.Open(files, recorder.Limits{SegmentBytes: 400, ReserveBytes: 1}, newDiskID)
 }
 
 func mustOpen(t *testing.T, files recorder.FileSystem) (*recorder.Recorder, replicator.Restored) {
--- a/lib/recorder/restore.go
+++ b/lib/recorder/restore.go
@@ -17,7 +17,7 @@
 // folder. A folder without identity that still has a log or snapshot is damaged:
 // under a new identity the replica would no longer be bound by the votes and
 // acknowledgements that it gave under the old one.
-func (r *Recorder) loadIdentity(mint func() replicator.ID) error {
+func (r *Recorder) loadIdentity(newID func() replicator.ID) error {
 	data, err := r.files.Read(identityName)
 	if err == nil {
 		body, _, err := readFrame(data, 0, 0, 0)
@@ -39,7 +39,7 @@
 			return merry.Errorf("%w: file %s is missing beside %s; %s", ErrDamaged, identityName, name, remedyJoin)
 		}
 	}
-	r.identity = mint()
+	r.identity = newID()
 	return WriteAtomic(r.files, identityName, binary.LittleEndian.AppendUint64(nil, uint64(r.identity)))
 }
 
--- a/lib/subscriber/members.go
+++ b/lib/subscriber/members.go
@@ -38,8 +38,8 @@
 	return count
 }
 
-// Unanswering returns the addresses of the keepers that do not answer or are not followed.
-func (s *Subscriber) Unanswering() []string {
+// UnansweringKeepers returns the addresses of the keepers that do not answer or are not followed.
+func (s *Subscriber) UnansweringKeepers() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var unanswering []string
@@ -58,7 +58,8 @@
 	return s.options.Primary != nil && len(s.members) > maxFullGroup
 }
 
-// noteMember records that a keeper was named, and reports whether the keeper or its zone is new.
+// noteMember records that an answer or the settings named a keeper, and reports whether the keeper
+// or its zone is new.
 func (s *Subscriber) noteMember(now time.Time, address netip.AddrPort, zone string) bool {
 	if !address.IsValid() || address == s.options.Own {
 		return false
@@ -84,8 +85,8 @@
 }
 
 // updateGroup applies the group that an answer names, and reports whether it contains a new
-// keeper or zone. An answer that names no group stands for the one its keeper named before.
-func (s *Subscriber) updateGroup(now time.Time, f *following, answer *messenger.FollowResponse) bool {
+// keeper or zone. An answer without a group refers to the group that its keeper named before.
+func (s *Subscriber) updateGroup(now time.Time, f *subscription, answer *messenger.FollowResponse) bool {
 	if len(answer.GetKeepers()) == 0 {
 		for _, address := range f.groupAddresses {
 			s.noteMember(now, address, "")
@@ -110,9 +111,9 @@
 	return changed
 }
 
-// updateDemotion demotes a keeper that is lost or isolated behind the others, and ends the demotion
-// of a keeper that answers and is not isolated.
-func (s *Subscriber) updateDemotion(now time.Time, address netip.AddrPort, f *following) {
+// updateDemotion ranks a keeper that is lost or isolated behind the others for demotionTime, and
+// ends the demotion of a keeper that answers and is not isolated.
+func (s *Subscriber) updateDemotion(now time.Time, address netip.AddrPort, f *subscription) {
 	known, found := s.members[address]
 	switch {
 	case !found:
@@ -172,10 +173,10 @@
 	return s.options.Primary.selected(now, known)
 }
 
-// startFollowing starts to follow a keeper as soon as a former following of it has ended.
+// startFollowing starts to follow a keeper as soon as a former subscription to it has ended.
 func (s *Subscriber) startFollowing(address netip.AddrPort) {
 	ctx, end := context.WithCancel(s.ctx)
-	f := &following{cancel: end, ended: make(chan struct{})}
+	f := &subscription{cancel: end, ended: make(chan struct{})}
 	former, delay := s.ending[address], s.delay(address)
 	delete(s.ending, address)
 	s.followed[address] = f
--- a/lib/subscriber/primary_test.go
+++ b/lib/subscriber/primary_test.go
@@ -108,7 +108,7 @@
 	}
 	s := New(Options{Clock: clock, Log: zerolog.Nop(), Primary: &primary})
 	answers := func(c candidate) netip.AddrPort {
-		s.followed[c.address] = &following{answering: true, zone: c.zone}
+		s.followed[c.address] = &subscription{answering: true, zone: c.zone}
 		s.choosePrimary()
 		return s.primary
 	}
--- a/lib/subscriber/selection.go
+++ b/lib/subscriber/selection.go
@@ -62,32 +62,32 @@
 }
 
 // selectHealthy returns up to want keepers that have not failed, and their number in healthy.
-// Taken also contains the failed keepers to retry, which would rank before the selected ones if
+// selected also contains the failed keepers to retry, which would rank before the selected ones if
 // they answered. If no keeper is healthy, several are tried, the one that failed longest ago first.
-func selectHealthy(now time.Time, of []rankedKeeper, want int) (taken []rankedKeeper, healthy int) {
+func selectHealthy(now time.Time, of []rankedKeeper, want int) (selected []rankedKeeper, healthy int) {
 	slices.SortFunc(of, func(a, b rankedKeeper) int {
 		return cmp.Or(
 			compareBools(a.failed, b.failed), a.demotedUntil.Compare(b.demotedUntil),
 			cmp.Compare(b.rank, a.rank), a.address.Compare(b.address),
 		)
 	})
-	tried, last := 0, uint64(0) // last is the rank of the last healthy one
+	tried, last := 0, uint64(0) // last is the rank of the last healthy keeper selected
 	for _, s := range of {
 		switch {
 		case !s.failed && healthy < want:
 			healthy, last = healthy+1, s.rank
 		case !s.failed:
 			continue
-		case healthy > 0 && (tried == maxRetried || now.Before(s.demotedUntil)), len(taken) >= want+maxRetried:
-			return taken, healthy
+		case healthy > 0 && (tried == maxRetried || now.Before(s.demotedUntil)), len(selected) >= want+maxRetried:
+			return selected, healthy
 		case healthy == want && s.rank < last:
 			continue
 		default:
 			tried++
 		}
-		taken = append(taken, s)
+		selected = append(selected, s)
 	}
-	return taken, healthy
+	return selected, healthy
 }
 
 func addresses(of []rankedKeeper) []netip.AddrPort {
--- a/lib/subscriber/subscriber.go
+++ b/lib/subscriber/subscriber.go
@@ -55,7 +55,8 @@
 	// detection that it is up.
 	initialSlack       = 120 * time.Millisecond
 	slackDoublingTries = 5
-	// unnamedTimeout is how long a keeper is still polled after it was last named in a group.
+	// unnamedTimeout is how long a keeper is still polled after it was last named by an answer or
+	// the settings.
 	unnamedTimeout = 30 * time.Second
 	// settleTime is the period after the first complete list in which a primary that answers is
 	// replaced only by a keeper of the own zone, and a primary of the own zone not at all.
@@ -70,7 +71,7 @@
 // ErrReplaced is passed to Host.Lost when a keeper is no longer followed because others are.
 var ErrReplaced = merry.Sentinel("another keeper is followed in its place")
 
-// Host is the process that follows keepers.
+// Host is implemented by the process that follows keepers: a router or a keeper.
 type Host interface {
 	// Report returns the request of the next poll of a keeper. The subscriber fills in epoch,
 	// after, wait, brief, group and partial. A brief report omits the fields that only the
@@ -107,8 +108,8 @@
 	mutex          sync.Mutex
 	ctx            context.Context
 	members        map[netip.AddrPort]*member
-	followed       map[netip.AddrPort]*following
-	ending         map[netip.AddrPort]<-chan struct{} // closed when the goroutine of a former following has ended
+	followed       map[netip.AddrPort]*subscription
+	ending         map[netip.AddrPort]<-chan struct{} // closed when the goroutine of a former subscription has ended
 	primary        netip.AddrPort
 	lastReconciled time.Time     // time of the last reconcile
 	firstListing   time.Time     // time of the first complete list from a keeper
@@ -117,8 +118,8 @@
 	group          sync.WaitGroup
 }
 
-// following is the state of following one keeper.
-type following struct {
+// subscription is the state of the polls of one followed keeper.
+type subscription struct {
 	cancel         context.CancelFunc
 	ended          chan struct{}
 	epoch          uint64
@@ -126,7 +127,7 @@
 	group          uint64           // digest of the group that the keeper named last
 	groupAddresses []netip.AddrPort // addresses of that group
 	answering      bool             // whether the last poll was answered
-	isolated       bool             // whether the keeper reported to have had no contact with a quorum for long
+	isolated       bool             // whether the keeper reported that it has been without contact with a quorum for long
 	zone           string
 	complete       bool // the keeper has sent its complete list and every change since; a brief answer omits some
 	// promote cancels the brief poll in flight because the keeper has become the primary.
@@ -142,7 +143,7 @@
 	}
 	s := &Subscriber{
 		options: options, members: make(map[netip.AddrPort]*member),
-		followed: make(map[netip.AddrPort]*following), ending: make(map[netip.AddrPort]<-chan struct{}),
+		followed: make(map[netip.AddrPort]*subscription), ending: make(map[netip.AddrPort]<-chan struct{}),
 		firstAnswer: make(chan struct{}),
 	}
 	s.Pace(options.Wait, options.Wait)
@@ -165,8 +166,8 @@
 	s.group.Wait()
 }
 
-// Answerers returns the keepers that answered their last poll.
-func (s *Subscriber) Answerers() []netip.AddrPort {
+// AnsweringKeepers returns the keepers that answered their last poll.
+func (s *Subscriber) AnsweringKeepers() []netip.AddrPort {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var keepers []netip.AddrPort
@@ -178,13 +179,13 @@
 	return keepers
 }
 
-// Answering returns the number of keepers that answered their last poll.
-func (s *Subscriber) Answering() int {
-	return len(s.Answerers())
+// AnsweringCount returns the number of keepers that answered their last poll.
+func (s *Subscriber) AnsweringCount() int {
+	return len(s.AnsweringKeepers())
 }
 
 // follow polls one keeper until the context ends.
-func (s *Subscriber) follow(ctx context.Context, address netip.AddrPort, f *following) {
+func (s *Subscriber) follow(ctx context.Context, address netip.AddrPort, f *subscription) {
 	client := s.options.Dial(address)
 	pause, tries := MinPause, 0
 	for ctx.Err() == nil {
@@ -212,12 +213,12 @@
 
 // takePromoted reports and clears whether the last poll was cancelled because its keeper has
 // become the primary.
-func (s *Subscriber) takePromoted(f *following) bool {
+func (s *Subscriber) takePromoted(f *subscription) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	was := f.promoted
+	promoted := f.promoted
 	f.promoted = false
-	return was
+	return promoted
 }
 
 // pause returns how long to wait after a failed poll; usual is the backoff that applies once
@@ -231,7 +232,8 @@
 	return usual
 }
 
-// slackFor returns how late an answer may be after the given number of failed polls.
+// slackFor returns how long after the wait time an answer may arrive, by the number of failed
+// polls.
 func (s *Subscriber) slackFor(tries int) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -241,8 +243,8 @@
 	return min(initialSlack<<(tries/slackDoublingTries), slack)
 }
 
-// poll polls a keeper once. Slack is how long after the wait time the answer may arrive.
-func (s *Subscriber) poll(ctx context.Context, client messenger.Planning, address netip.AddrPort, f *following, slack time.Duration) (*messenger.FollowResponse, error) {
+// poll polls a keeper once. slack is how long after the wait time the answer may arrive.
+func (s *Subscriber) poll(ctx context.Context, client messenger.Planning, address netip.AddrPort, f *subscription, slack time.Duration) (*messenger.FollowResponse, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	brief := s.prepare(address, f, cancel)
@@ -269,7 +271,7 @@
 
 // handleAnswer updates the state of the keeper and the group from an answer, and chooses the
 // primary again.
-func (s *Subscriber) handleAnswer(address netip.AddrPort, f *following, brief bool, answer *messenger.FollowResponse) {
+func (s *Subscriber) handleAnswer(address netip.AddrPort, f *subscription, brief bool, answer *messenger.FollowResponse) {
 	if !f.answering {
 		s.options.Log.Info().Stringer("keeper", address).Uint64("plan", answer.GetPlan()).Msg("keeper answers")
 	}
@@ -292,7 +294,7 @@
 }
 
 // prepare prepares a poll, and reports whether it is a brief one.
-func (s *Subscriber) prepare(address netip.AddrPort, f *following, cancel context.CancelFunc) bool {
+func (s *Subscriber) prepare(address netip.AddrPort, f *subscription, cancel context.CancelFunc) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.options.Primary == nil || s.primary == address {
@@ -310,7 +312,7 @@
 // waitFor returns how long a keeper may hold a poll. A keeper that did not answer the last poll,
 // or has to send its complete list, must not hold it: the answer shows that the path works, or
 // brings the list.
-func (s *Subscriber) waitFor(brief bool, f *following) time.Duration {
+func (s *Subscriber) waitFor(brief bool, f *subscription) time.Duration {
 	switch {
 	case !f.answering, !brief && !f.complete:
 		return 0
@@ -342,7 +344,7 @@
 		return
 	}
 	current, found := s.followed[s.primary]
-	inOwnZone := func(f *following) bool { return f.zone == s.options.Primary.Zone }
+	inOwnZone := func(f *subscription) bool { return f.zone == s.options.Primary.Zone }
 	if found && current.answering && !current.isolated && s.settling() && (inOwnZone(current) || !inOwnZone(s.followed[chosen])) {
 		return
 	}
@@ -365,7 +367,7 @@
 
 // handleLoss updates the state after a failed poll, and notifies the host if the keeper answered
 // before.
-func (s *Subscriber) handleLoss(address netip.AddrPort, f *following, err error) {
+func (s *Subscriber) handleLoss(address netip.AddrPort, f *subscription, err error) {
 	s.mutex.Lock()
 	now := s.options.Clock.Now()
 	answered := f.answering
@@ -380,8 +382,8 @@
 	}
 }
 
-// finish ends the following of a keeper. It makes the last call to the host about this following.
-func (s *Subscriber) finish(address netip.AddrPort, f *following) {
+// finish ends the subscription to a keeper, and makes its last call to the host.
+func (s *Subscriber) finish(address netip.AddrPort, f *subscription) {
 	defer close(f.ended)
 	s.mutex.Lock()
 	answered := f.answering && s.ctx.Err() == nil
--- a/lib/subscriber/subscriber_test.go
+++ b/lib/subscriber/subscriber_test.go
@@ -123,7 +123,7 @@
 	h := newHost()
 	s := run(t, h, keepers, address(3), address(1))
 	require.Eventually(t, func() bool { return h.updatesFrom(address(1)) > 2 && h.updatesFrom(address(2)) > 2 }, waitTimeout, time.Millisecond)
-	require.Equal(t, 2, s.Answering())
+	require.Equal(t, 2, s.AnsweringCount())
 	require.Zero(t, h.updatesFrom(address(3)), "a keeper does not follow itself")
 	first, second := keepers[address(1)].requests()[0], keepers[address(1)].requests()[1]
 	require.Zero(t, first.GetWaitMs(), "the first poll is not held")
@@ -148,7 +148,7 @@
 	s := run(t, h, keepers, netip.AddrPort{}, address(1), address(2))
 	require.Eventually(t, func() bool { return h.updatesFrom(address(2)) > 20 }, waitTimeout, time.Millisecond)
 	require.Eventually(t, func() bool { return len(keepers[address(1)].requests()) > 1 }, waitTimeout, time.Millisecond, "the silent keeper is polled again")
-	require.Equal(t, 1, s.Answering())
+	require.Equal(t, 1, s.AnsweringCount())
 }
 
 func TestLossIsReportedOnce(t *testing.T) {
--- a/router/internal/coordinator/heartbeats.go
+++ b/router/internal/coordinator/heartbeats.go
@@ -10,7 +10,7 @@
 const settleHeartbeats = 4
 
 // sendHeartbeats sends heartbeats. An answer may ask for further heartbeats.
-func (c *Coordinator) sendHeartbeats(beats []detector.Beat) {
+func (c *Coordinator) sendHeartbeats(beats []detector.Heartbeat) {
 	self := c.detector.Self()
 	if c.detector.Contacts() > 0 || self.Beat >= settleHeartbeats {
 		c.settled.Store(true)
--- a/router/internal/director/director.go
+++ b/router/internal/director/director.go
@@ -161,7 +161,7 @@
 
 // answeringKeepers returns the keepers that answer; there are none before polling has begun.
 func (d *Director) answeringKeepers() []netip.AddrPort {
-	return d.subscriber.Answerers()
+	return d.subscriber.AnsweringKeepers()
 }
 
 // learnEndpoints adds endpoints that a keeper has named outside the regular updates.
--- a/router/internal/director/metrics.go
+++ b/router/internal/director/metrics.go
@@ -17,7 +17,7 @@
 		}
 		return 0
 	})
-	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_keepers_answering", Help: "Keepers that answered their last poll."}, func() float64 { return float64(d.subscriber.Answering()) })
+	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_keepers_answering", Help: "Keepers that answered their last poll."}, func() float64 { return float64(d.subscriber.AnsweringCount()) })
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_running_requests", Help: "Requests under way."}, func() float64 { return float64(d.proxier.Running()) })
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_client_connections", Help: "Open connections of clients."}, func() float64 {
 		open, _ := d.clientConnections.counts()
--- a/router/internal/updatereader/updatereader.go
+++ b/router/internal/updatereader/updatereader.go
@@ -254,7 +254,7 @@
 		}
 		r.recordSilence(keeper, listing)
 		listing.Silent = false
-		r.list.Beat(now, listing)
+		r.list.ApplyHeartbeat(now, listing)
 		listed[listing.ID] = true
 	}
 	var changed []lister.Listing
