--- a/lib/apportioner/apportioner.go
+++ b/lib/apportioner/apportioner.go
@@ -53,11 +53,11 @@
 	capacity        float64 // tokens per second of the whole fleet; 0 if unknown
 	routers         int
 	workspaces      map[string]*workspace
-	sumsAt          time.Time
-	firstRequestAt  time.Time // start of the demand measurement
-	backlog         time.Duration
-	bestServed      float64 // EWMA of the highest service rate of any workspace, tokens per second
-	starvationBound float64 // bound on other workspaces while one is starved, tokens per second; 0 if none is
+	sumsAt          time.Time     // time of the latest sums over all routers
+	firstRequestAt  time.Time     // start of the demand measurement
+	backlog         time.Duration // prefill backlog of the engines, from the latest sums
+	bestServed      float64       // EWMA of the highest service rate of any workspace, tokens per second
+	starvationBound float64       // bound on other workspaces while one is starved, tokens per second; 0 if none is
 }
 
 // SetCapacity sets the stated capacity of the fleet, in tokens per second.
@@ -124,10 +124,10 @@
 	}
 }
 
-// SetFleetUse takes the use of each workspace summed over all routers, including this one, and the
-// fleet's mean backlog: the time that engines need to read what they have been sent. Both cover the
-// whole fleet: if each router used its own observations, the service of a workspace would depend on
-// the routers that its clients happen to reach.
+// SetFleetUse sets the use of each workspace summed over all routers, including this one, and the
+// prefill backlog of the engines, as the median router estimates it. Both cover the whole fleet: if
+// each router used its own observations, the service of a workspace would depend on the routers that
+// its clients happen to reach.
 func (a *Apportioner) SetFleetUse(now time.Time, uses map[string]Use, backlog time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -202,14 +202,14 @@
 	// router's part of the share, all in tokens per second. A share without a bound is +Inf.
 	Demand, Share, LocalShare float64
 	// Stretch is the factor that the shares were computed with, and Backlog the time that engines
-	// need to read what they have been sent.
+	// need to prefill the prompts that they have been sent.
 	Stretch float64
 	Backlog time.Duration
 	// Age is the age of the sums over all routers.
 	Age time.Duration
 }
 
-// Admit returns whether a request of the given number of tokens may run now. A late request is
+// Admit reports whether a request of the given number of tokens may run now. A late request is
 // admitted only while the workspace leaves half of a burst unused: if not all requests can be
 // served, those that can still meet their target have precedence.
 func (a *Apportioner) Admit(now time.Time, name string, tokens float64, late bool) Decision {
@@ -232,7 +232,7 @@
 	return d
 }
 
-// WouldRefuse returns whether Admit would refuse a request now. If so, the request is counted as
+// WouldRefuse reports whether Admit would refuse a request now. If so, the request is counted as
 // demand; otherwise nothing is counted or spent, and the caller has to call Admit.
 func (a *Apportioner) WouldRefuse(now time.Time, name string, tokens float64, late bool) (Decision, bool) {
 	a.mutex.Lock()
--- a/lib/apportioner/apportioner_test.go
+++ b/lib/apportioner/apportioner_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// admit sends a request and returns whether it is admitted.
+// admit sends a request and reports whether it is admitted.
 func (f *fleet) admit(router int, name string, tokens float64) bool {
 	admitted := f.routers[router].Admit(f.now, name, tokens, false).Admitted
 	if admitted {
--- a/lib/apportioner/bounds_test.go
+++ b/lib/apportioner/bounds_test.go
@@ -10,7 +10,7 @@
 // Guards against a starved workspace that gets 450 to 750 thousand tokens a second where another
 // one with the same demand gets 1,250 to 1,450 thousand.
 //
-// All clients of the first one reach one router, which has no time for more and sheds 10 million
+// All clients of the first one reach one router, which lacks processor time and sheds 10 million
 // tokens a second; the second one reaches all routers. Engines have headroom, so that the shares
 // are stretched far beyond the guaranteed share, and without a bound the spare capacity goes to the
 // workspace that can be admitted.
--- a/lib/apportioner/divide.go
+++ b/lib/apportioner/divide.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// boundFalls returns whether the bound on other workspaces falls with these sums, because a
+// boundFalls reports whether the bound on other workspaces falls with these sums, because a
 // workspace has become starved or gets less than before.
 func (a *Apportioner) boundFalls(b starvationBounds, guaranteed float64) bool {
 	before := a.starvationBound
@@ -73,7 +73,7 @@
 }
 
 // bound returns the bound on a workspace. A workspace is not bounded by its own service rate:
-// otherwise it would get no more than before once its router has time again.
+// otherwise it would get no more than before once its router has processor time again.
 func (b starvationBounds) bound(w *workspace) float64 {
 	if w == b.lowest {
 		return b.own
--- a/lib/apportioner/isolated_test.go
+++ b/lib/apportioner/isolated_test.go
@@ -12,7 +12,7 @@
 
 // simulate lets two workspaces demand more than the capacity of a fleet of 75 routers, in steps of
 // 10 ms: "spread" through all routers, and "gathered" through the router that target returns.
-// receives returns whether a router gets an update. The result is the tokens served by workspace
+// receives reports whether a router gets an update. The result is the tokens served by workspace
 // after the first three seconds.
 func simulate(f *fleet, length time.Duration, target func(at time.Duration) int, receives func(at time.Duration, router int) bool) map[string]float64 {
 	const step = 10 * time.Millisecond
--- a/lib/apportioner/stretch.go
+++ b/lib/apportioner/stretch.go
@@ -23,8 +23,8 @@
 // stretch returns the factor between the shares and those of the stated capacity. That capacity is
 // a promise, not a limit: engines often yield more, and then no request should be refused.
 //
-// It follows the time that engines need to read what they have been sent, which all routers learn
-// within a tenth of a second. The latency of answers, which a congestion window follows, shows a
+// It follows the time that engines need to prefill the prompts that they have been sent, which all
+// routers learn within a tenth of a second. The latency of answers, which a congestion window follows, shows a
 // queue only after it has grown, and does not distinguish one slow engine from a slow fleet.
 func stretch(backlog time.Duration) float64 {
 	part := float64(backlog-IdleBacklog) / float64(fullBacklog-IdleBacklog)
--- a/lib/balancer/backoff.go
+++ b/lib/balancer/backoff.go
@@ -7,7 +7,7 @@
 )
 
 // BackOff stops new requests of this router to the endpoint for the given length, as the endpoint
-// asked. It returns whether the endpoint was not in backoff before.
+// asked. It reports whether the endpoint was not in backoff before.
 //
 // Unlike a pause, which this router derives from failures, a backoff is an instruction of the
 // endpoint: no other event shortens it, and the endpoint is not a last resort either.
@@ -26,7 +26,7 @@
 }
 
 // MarkLeaving stops new requests to the endpoint for the rest of its lifetime, because the endpoint
-// announced in an answer that it leaves. It returns whether this was not known before. The
+// announced in an answer that it leaves. It reports whether this was not known before. The
 // heartbeat with the same state may be late, or may not reach any keeper that this router follows.
 func (s *Slot) MarkLeaving() bool {
 	s.balancer.mutex.Lock()
@@ -36,7 +36,7 @@
 	return starts
 }
 
-// StillAccepts returns whether the endpoint still accepts the request: after it was picked it may
+// StillAccepts reports whether the endpoint still accepts the request: after it was picked it may
 // have asked for backoff or announced that it leaves.
 func (s *Slot) StillAccepts(now time.Time) bool {
 	s.balancer.mutex.Lock()
--- a/lib/balancer/backpressure.go
+++ b/lib/balancer/backpressure.go
@@ -17,12 +17,12 @@
 	// follows an endpoint that has become slower within some tens of calls.
 	minimumGrowth = 1.02
 	// decrease is the factor applied to the admitted share after a slow call or a refusal for lack
-	// of room, and increase is the share of all calls that is admitted again after a quick call.
+	// of capacity, and increase is the share of all calls that is admitted again after a quick call.
 	// Together they settle where one call in ten is slow.
 	decrease = 0.8
 	increase = 0.02
 	// minAdmitted is the share of calls that is admitted however slow they are: without it the
-	// router would not notice that the endpoint has room again.
+	// router would not notice that the endpoint has capacity again.
 	minAdmitted = 0.05
 	// fullWeight is the EWMA weight of the latest call in the share of calls that found the
 	// endpoint full. From fullThreshold on the endpoint counts as recently full: one refusal in the
@@ -33,11 +33,11 @@
 	// If most calls are rejected, almost no late call is admitted beside calls that can still meet
 	// their target; if few are, most late calls are admitted.
 	lateWeight = 4
-	// maxRoomAttempts is the number of endpoints that are tried for room. With more attempts a
+	// maxCapacityAttempts is the number of endpoints that are tried for capacity. With more attempts a
 	// service of many endpoints would hardly ever reject a call, however high its load.
-	maxRoomAttempts = 3
+	maxCapacityAttempts = 3
 	// rejectionWeight is the EWMA weight of the latest call in the share of a service's calls that
-	// find no room.
+	// find no capacity.
 	rejectionWeight = 0.05
 )
 
@@ -48,7 +48,7 @@
 // its capacity, all queues are full and each call waits for a whole queue: all calls are late,
 // whereas with short queues as many could be in time. Each of many routers has less than one call
 // at a time at an endpoint, so a limit on concurrent calls per router has no effect. What each
-// router observes is the latency of answers and the refusals for lack of room; the admitted share
+// router observes is the latency of answers and the refusals for lack of capacity; the admitted share
 // follows these as a congestion window does (D.-M. Chiu and R. Jain, "Analysis of the Increase and
 // Decrease Algorithms for Congestion Avoidance", Computer Networks and ISDN Systems 17, 1989).
 //
@@ -85,7 +85,7 @@
 	return 1 - b.rejected
 }
 
-// observeFull records that the endpoint refused a call for lack of room. An endpoint that answers
+// observeFull records that the endpoint refused a call for lack of capacity. An endpoint that answers
 // other calls quickly has no queue: it refuses calls for another reason, and the share stays.
 func (b *backpressure) observeFull(target time.Duration) {
 	b.fullShare += fullWeight * (1 - b.fullShare)
@@ -98,17 +98,17 @@
 	b.rejected = min(1-decrease*(1-b.rejected), 1-minAdmitted)
 }
 
-// isPlainCall returns whether a request to a service is a plain call rather than a prompt for an
+// isPlainCall reports whether a request to a service is a plain call rather than a prompt for an
 // engine.
 func (b *Balancer) isPlainCall(service string, work *Work) bool {
 	return len(work.Parts) == 0 && b.cacheCapacities[service] == 0
 }
 
-// pickPlain takes a slot at an endpoint of a plain service that has room. It returns nil if none of
-// the endpoints that were tried has room.
+// pickPlain takes a slot at an endpoint of a plain service that has capacity. It returns nil if none of
+// the endpoints that were tried has capacity.
 func (b *Balancer) pickPlain(now time.Time, service string, work *Work, excluded func(id string) bool) *Slot {
 	var full []*endpoint
-	for len(full) < maxRoomAttempts {
+	for len(full) < maxCapacityAttempts {
 		best := b.choose(now, service, work, func(id string) bool {
 			return excluded != nil && excluded(id) ||
 				slices.ContainsFunc(full, func(e *endpoint) bool { return e.ID == id })
@@ -136,7 +136,7 @@
 	return float64(mix(b.Seed, b.draws)>>11) / (1 << 53)
 }
 
-// noteRejection records whether a call of the service found no endpoint with room.
+// noteRejection records whether a call of the service found no endpoint with capacity.
 func (p *pool) noteRejection(rejected bool) {
 	p.rejectionShare *= 1 - rejectionWeight
 	if rejected {
@@ -144,7 +144,7 @@
 	}
 }
 
-// RejectionShare returns the share of a service's calls that recently found no endpoint with room,
+// RejectionShare returns the share of a service's calls that recently found no endpoint with capacity,
 // 0 to 1.
 func (b *Balancer) RejectionShare(service string) float64 {
 	b.mutex.Lock()
@@ -155,7 +155,7 @@
 	return 0
 }
 
-// HasEligible returns whether a service has an endpoint that is ready, outside evacuated zones and
+// HasEligible reports whether a service has an endpoint that is ready, outside evacuated zones and
 // of the request's version, whether or not it accepts requests now.
 func (b *Balancer) HasEligible(service string, work *Work) bool {
 	b.mutex.Lock()
@@ -168,8 +168,8 @@
 	return false
 }
 
-// HasAvailable returns whether a service has an endpoint that is not excluded and may get the
-// request now, whether or not it has room.
+// HasAvailable reports whether a service has an endpoint that is not excluded and may get the
+// request now, whether or not it has capacity.
 func (b *Balancer) HasAvailable(now time.Time, service string, work *Work, excluded func(id string) bool) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/lib/balancer/backpressure_test.go
+++ b/lib/balancer/backpressure_test.go
@@ -61,7 +61,7 @@
 	schedule          schedule
 	routers           []*Balancer
 	endpoints         map[string]*plainEndpoint
-	rejectProbability float64 // share of the calls that endpoints refuse although they have room
+	rejectProbability float64 // share of the calls that endpoints refuse although they have capacity
 
 	requested, inTime, late, turnedAway, rejected int
 }
--- a/lib/balancer/balancer.go
+++ b/lib/balancer/balancer.go
@@ -53,7 +53,7 @@
 	Late bool
 }
 
-// matchesVersion returns whether the endpoint has the software version that the request needs.
+// matchesVersion reports whether the endpoint has the software version that the request needs.
 func (w *Work) matchesVersion(e *endpoint) bool {
 	return w.Version == "" || w.Version == e.Version
 }
@@ -107,6 +107,8 @@
 	coldLimits map[string]resolver.Cold // by service
 }
 
+// endpoint is the state of one lifetime of an endpoint: its latest listing, and what this router has
+// sent there and observed.
 type endpoint struct {
 	lister.Listing
 	seed                uint64
@@ -132,7 +134,7 @@
 	endLifetime  context.CancelFunc
 }
 
-// Update applies a listing of an endpoint. It returns whether the endpoint has restarted.
+// Update applies a listing of an endpoint. It reports whether the endpoint has restarted.
 func (b *Balancer) Update(listing lister.Listing) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -217,7 +219,7 @@
 
 // Pick takes a slot at the cheapest endpoint that is not excluded; among equal prices, at the
 // endpoint that was least recently chosen. It returns nil if there is none, or if no endpoint of a
-// plain service has room.
+// plain service has capacity.
 func (b *Balancer) Pick(now time.Time, service string, work *Work, excluded func(id string) bool) *Slot {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -271,20 +273,20 @@
 		if !work.matchesVersion(e) || !b.isAvailable(now, e) || excluded != nil && excluded(e.ID) {
 			continue
 		}
-		o := b.price(now, e, fit, work, home.cachedShare(e))
-		if best.endpoint == nil || o.price < best.price || o.price == best.price && e.precedes(best.endpoint) {
-			best = o
+		c := b.price(now, e, fit, work, home.cachedShare(e))
+		if best.endpoint == nil || c.price < best.price || c.price == best.price && e.precedes(best.endpoint) {
+			best = c
 		}
 	}
 	return best
 }
 
-func (b *Balancer) takeSlot(now time.Time, o candidate, work *Work) *Slot {
-	e := o.endpoint
+func (b *Balancer) takeSlot(now time.Time, c candidate, work *Work) *Slot {
+	e := c.endpoint
 	slot := &Slot{
-		ID: e.ID, Address: e.Address, Version: e.Version, PrefillTokens: o.prefillTokens, ExpectedWait: o.wait, ExpectedQueue: o.queue,
-		HealthPenalty: o.penalty.String(), Pause: max(e.pausedUntil.Sub(now), 0),
-		balancer: b, endpoint: e, sentAt: now, queuedTokens: o.queuedTokens, awaitsFirstToken: true,
+		ID: e.ID, Address: e.Address, Version: e.Version, PrefillTokens: c.prefillTokens, ExpectedWait: c.wait, ExpectedQueue: c.queue,
+		HealthPenalty: c.penalty.String(), Pause: max(e.pausedUntil.Sub(now), 0),
+		balancer: b, endpoint: e, sentAt: now, queuedTokens: c.queuedTokens, awaitsFirstToken: true,
 	}
 	if !e.pausedUntil.IsZero() && !now.Before(e.pausedUntil) && !e.probing {
 		slot.probe, e.probing = true, true
@@ -298,7 +300,7 @@
 		e.leases.Use(now)
 	}
 	e.own.running++
-	e.own.unread += o.prefillTokens
+	e.own.unread += c.prefillTokens
 	if len(work.Parts) > 0 {
 		e.awaiting = append(e.awaiting, slot)
 		e.cache.add(work, b.cacheCapacities[e.Service])
@@ -309,7 +311,7 @@
 	return slot
 }
 
-// precedes returns whether an endpoint is preferred to another one of the same price: it was chosen
+// precedes reports whether an endpoint is preferred to another one of the same price: it was chosen
 // less recently. If neither was ever chosen, the order differs between routers, so that they do not
 // all start with the same endpoint.
 func (e *endpoint) precedes(other *endpoint) bool {
--- a/lib/balancer/cold.go
+++ b/lib/balancer/cold.go
@@ -92,22 +92,22 @@
 	}
 }
 
-// isEligible returns whether an endpoint is ready and its zone is not evacuated.
+// isEligible reports whether an endpoint is ready and its zone is not evacuated.
 func (b *Balancer) isEligible(e *endpoint) bool {
 	return e.State == lister.Ready && !b.evacuated[e.Zone]
 }
 
-// isWilling returns whether an endpoint is eligible and not in backoff for this router.
+// isWilling reports whether an endpoint is eligible and not in backoff for this router.
 func (b *Balancer) isWilling(now time.Time, e *endpoint) bool {
 	return b.isEligible(e) && !e.inBackoff(now)
 }
 
-// isAvailable returns whether an endpoint may get a request now.
+// isAvailable reports whether an endpoint may get a request now.
 func (b *Balancer) isAvailable(now time.Time, e *endpoint) bool {
 	return b.isWilling(now, e) && (!b.isRationed(now, e) || e.leases.Ready(now))
 }
 
-// isRationed returns whether an endpoint is cold and its request rate limited.
+// isRationed reports whether an endpoint is cold and its request rate limited.
 func (b *Balancer) isRationed(now time.Time, e *endpoint) bool {
 	return e.Cold(now) && b.coldLimits[e.Service].Rate > 0
 }
--- a/lib/balancer/load.go
+++ b/lib/balancer/load.go
@@ -6,9 +6,9 @@
 	"shallotkeel.example/lib/lister"
 )
 
-// load is what this router has sent to one endpoint.
+// load is this router's load at one endpoint.
 type load struct {
-	unread  int // prompt tokens that were sent and not yet read
+	unread  int // prompt tokens that were sent and are not prefilled yet
 	running int // requests that run or wait there
 }
 
@@ -24,7 +24,7 @@
 const maxLoadAge = time.Second
 
 // UnreadTokens returns the number of prompt tokens, by endpoint key, that this router has sent to
-// each engine and that the engine has not read yet. No other load is reported: running requests do
+// each engine and that the engine has not prefilled yet. No other load is reported: running requests do
 // not change the choice of other routers, and plain calls end before a report arrives.
 func (b *Balancer) UnreadTokens() map[uint64]int {
 	b.mutex.Lock()
@@ -57,8 +57,9 @@
 	b.routers = count
 }
 
-// unreadTokens returns the number of tokens that an engine has yet to read. If the loads of other
-// routers are stale, each of them is assumed to have as many tokens there as this router.
+// unreadTokens returns the number of prompt tokens that an engine has not prefilled yet. If the
+// loads of other routers are stale, each of them is assumed to have as many tokens there as this
+// router.
 func (b *Balancer) unreadTokens(now time.Time, e *endpoint) int {
 	if now.Sub(b.otherLoadsAt) <= maxLoadAge {
 		return e.own.unread + e.otherUnread
@@ -66,8 +67,9 @@
 	return max(b.routers, 1) * e.own.unread
 }
 
-// Backlog returns the mean time that the engines of a service need to read what they have been
-// sent, over the engines that accept requests and have no penalty. It is 0 if there are none.
+// Backlog returns the mean time that the engines of a service need to prefill the prompts that they
+// have been sent, over the engines that accept requests and have no penalty. It is 0 if there are
+// none.
 func (b *Balancer) Backlog(now time.Time, service string) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/lib/balancer/load_test.go
+++ b/lib/balancer/load_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readTime returns the prefill time of a number of tokens, as estimated before any answer.
-func readTime(b *Balancer, tokens int) time.Duration {
+// prefillTime returns the prefill time of a number of tokens, as estimated before any answer.
+func prefillTime(b *Balancer, tokens int) time.Duration {
 	return b.fit("engines").PrefillTime(tokens)
 }
 
@@ -18,7 +18,7 @@
 	require.Equal(t, map[uint64]int{slot.endpoint.key: slot.PrefillTokens}, b.UnreadTokens())
 	other := b.byID["i-1"].key
 	b.SetOtherLoads(start, map[uint64]int{other: 30_000, 99: 5})
-	require.Equal(t, (readTime(b, 30_000)+readTime(b, slot.PrefillTokens))/2, b.Backlog(start, "engines"))
+	require.Equal(t, (prefillTime(b, 30_000)+prefillTime(b, slot.PrefillTokens))/2, b.Backlog(start, "engines"))
 	require.Zero(t, b.Backlog(start, "desk"))
 	slot.NoteResponse(start)
 	slot.End(start, Served)
@@ -26,7 +26,7 @@
 }
 
 // Guards against all routers turning at once to the endpoint of a plain service that was idle in
-// the last report, although others have room: calls end before the next report arrives.
+// the last report, although others have capacity: calls end before the next report arrives.
 func TestCallsAreSpreadByOwnLoad(t *testing.T) {
 	b := &Balancer{}
 	for i := range 3 {
@@ -51,7 +51,7 @@
 	b.SetOtherLoads(start, map[uint64]int{b.byID["i-1"].key: 90_000})
 	slot := b.Pick(start, "engines", prompt(1, 2), nil)
 	later := start.Add(maxLoadAge + 1)
-	require.Equal(t, readTime(b, 4*slot.PrefillTokens), b.Backlog(later, "engines"))
+	require.Equal(t, prefillTime(b, 4*slot.PrefillTokens), b.Backlog(later, "engines"))
 }
 
 // Guards against three of eighteen engines that cause most of the late answers: other routers have
--- a/lib/balancer/penalty.go
+++ b/lib/balancer/penalty.go
@@ -17,12 +17,12 @@
 // The levels of the health penalty.
 const (
 	penaltyNone healthPenalty = iota
-	// penaltyFailing is for endpoints that answer, but with errors or refusals for lack of room,
+	// penaltyFailing is for endpoints that answer, but with errors or refusals for lack of capacity,
 	// and for an endpoint that a probe is running on.
 	penaltyFailing
-	// penaltyUnheard is for endpoints whose heartbeats do not reach the keepers, and for endpoints
+	// penaltySilent is for endpoints whose heartbeats do not reach the keepers, and for endpoints
 	// in a zone that cannot be reached.
-	penaltyUnheard
+	penaltySilent
 	// penaltyUnconnectable is for endpoints that accept no connection.
 	penaltyUnconnectable
 )
@@ -39,7 +39,7 @@
 	case paused && e.connectFailed:
 		return penaltyUnconnectable
 	case e.Silent, b.zones[e.Zone].suspect(now):
-		return penaltyUnheard
+		return penaltySilent
 	case paused:
 		return penaltyFailing
 	}
@@ -51,7 +51,7 @@
 // chance.
 const usualFailureFactor = 1.25
 
-// failsMoreThanUsual returns whether an endpoint's failure share exceeds that of its service. A
+// failsMoreThanUsual reports whether an endpoint's failure share exceeds that of its service. A
 // failure share that all endpoints have in common, as with a broken model, pauses none of them: the
 // remaining endpoints would only get more load.
 func (b *Balancer) failsMoreThanUsual(e *endpoint) bool {
--- a/lib/balancer/pool.go
+++ b/lib/balancer/pool.go
@@ -31,7 +31,7 @@
 	// which routers know all endpoints, and until the first SetSampling.
 	shift          int
 	partial        bool    // routers know only a subset of the endpoints
-	rejectionShare float64 // EWMA of the share of calls that found no endpoint with room
+	rejectionShare float64 // EWMA of the share of calls that found no endpoint with capacity
 }
 
 // ranking holds engines in buckets by the hash of their ids.
@@ -45,7 +45,7 @@
 	r[e.seed%buckets] = slices.DeleteFunc(r[e.seed%buckets], func(x *endpoint) bool { return x == e })
 }
 
-// Sampled returns whether a hash belongs to the sample of one endpoint in 1<<shift.
+// Sampled reports whether a hash belongs to the sample of one endpoint in 1<<shift.
 func Sampled(hash uint64, shift int) bool {
 	return hash>>(64-shift) == 0
 }
--- a/lib/balancer/price.go
+++ b/lib/balancer/price.go
@@ -10,13 +10,13 @@
 // Weights are the weights of a candidate's price. The unit of a price is the prefill of one prompt
 // token.
 type Weights struct {
-	// Waiting is the price of a prompt token that this router sent there and that is not read yet,
-	// Reading of a token that this request adds, and Running of each running request of this
-	// router, whose steps take longer with one more request.
-	Waiting float64
-	Reading float64
+	// Unread is the price of a prompt token that this router sent there and that is not prefilled
+	// yet, Prefill of a token that this request adds, and Running of each running request of this
+	// router: its steps take longer with one more request.
+	Unread  float64
+	Prefill float64
 	Running float64
-	// Late is the price of each token that the engine could read in the expected lateness of the
+	// Late is the price of each token that the engine could prefill in the expected lateness of the
 	// first token. The expectation includes the loads of all routers.
 	Late float64
 	// Plain is the price of each running request of this router at an endpoint of a plain service.
@@ -28,8 +28,9 @@
 
 // DefaultWeights suit all deployments. The first three weights apply to this router's own load
 // only: with the loads of all routers, requests would leave the engines that cache their parts too
-// often, and the parts would be read again. Late moves requests that would be late there.
-var DefaultWeights = Weights{Waiting: 0.2, Reading: 2, Running: 200, Late: 0.3, Plain: 1}
+// often, and the parts would be prefilled again. Late moves requests away from engines where they
+// would be late.
+var DefaultWeights = Weights{Unread: 0.2, Prefill: 2, Running: 200, Late: 0.3, Plain: 1}
 
 const (
 	// penaltyPrice is added to the price of an endpoint for each level of its health penalty. It
@@ -51,7 +52,7 @@
 	endpoint      *endpoint
 	price         float64
 	penalty       healthPenalty
-	prefillTokens int           // tokens that the engine probably has to read for it
+	prefillTokens int           // tokens that the engine probably has to prefill for it
 	queuedTokens  int           // unread tokens of other requests there
 	wait          time.Duration // expected time to the first token
 	queue         time.Duration // share of wait spent on requests sent earlier
@@ -64,24 +65,24 @@
 	if weights == (Weights{}) {
 		weights = DefaultWeights
 	}
-	o := candidate{endpoint: e, penalty: b.healthPenalty(now, e)}
-	o.price = penaltyPrice * float64(o.penalty)
+	c := candidate{endpoint: e, penalty: b.healthPenalty(now, e)}
+	c.price = penaltyPrice * float64(c.penalty)
 	if len(work.Parts) == 0 {
-		o.price += weights.Plain * float64(e.own.running)
-		return o
+		c.price += weights.Plain * float64(e.own.running)
+		return c
 	}
 	cached := e.cache.cachedTokens(work)
 	if shared := sum(work.sharedParts()); cached < shared {
 		cached += int(cachedShare * float64(shared-cached))
 	}
-	o.prefillTokens = max(work.Prompt-cached, 0)
-	o.queuedTokens = b.unreadTokens(now, e)
+	c.prefillTokens = max(work.Prompt-cached, 0)
+	c.queuedTokens = b.unreadTokens(now, e)
 	factor, overdue := e.factor.Get(now), e.overdue(now)
-	o.wait = scale(fit.Wait(o.queuedTokens+o.prefillTokens), factor) + overdue
-	o.queue = scale(fit.PrefillTime(o.queuedTokens), factor) + overdue
-	o.price += weights.Waiting*float64(e.own.unread) + weights.Reading*float64(o.prefillTokens) +
-		weights.Running*float64(e.own.running) + weights.Late*fit.PrefillTokens(fit.ExpectedLateness(o.wait, work.target()))
-	return o
+	c.wait = scale(fit.Wait(c.queuedTokens+c.prefillTokens), factor) + overdue
+	c.queue = scale(fit.PrefillTime(c.queuedTokens), factor) + overdue
+	c.price += weights.Unread*float64(e.own.unread) + weights.Prefill*float64(c.prefillTokens) +
+		weights.Running*float64(e.own.running) + weights.Late*fit.PrefillTokens(fit.ExpectedLateness(c.wait, work.target()))
+	return c
 }
 
 // target returns the time within which the first token should arrive.
--- a/lib/balancer/slot.go
+++ b/lib/balancer/slot.go
@@ -13,10 +13,10 @@
 	Address netip.AddrPort
 	// Version is the software version of the endpoint, empty if it is not known.
 	Version string
-	// PrefillTokens is the number of tokens that the engine probably has to read.
+	// PrefillTokens is the number of tokens that the engine probably has to prefill.
 	PrefillTokens int
 	// ExpectedWait is the expected time to the first token, and ExpectedQueue the part of it in
-	// which the engine reads what was sent earlier.
+	// which the engine prefills the requests sent earlier.
 	ExpectedWait, ExpectedQueue time.Duration
 	// HealthPenalty names the penalty of the endpoint when it was chosen, "none" if it had none,
 	// and Pause is the time that remained of its pause.
@@ -26,7 +26,7 @@
 	balancer     *Balancer
 	endpoint     *endpoint
 	sentAt       time.Time
-	queuedTokens int // tokens that were unread there
+	queuedTokens int // unread tokens of other requests there, when this one was sent
 	// objective is the target latency of a plain call, 0 for other requests.
 	objective        time.Duration
 	awaitsFirstToken bool
@@ -50,7 +50,7 @@
 	// ConnectLate means that no connection was made in time, but that the router itself is
 	// overloaded and may be the cause.
 	ConnectLate
-	// Full means that the endpoint refused the request for lack of room.
+	// Full means that the endpoint refused the request for lack of capacity.
 	Full
 	// WrongInstance means that another instance answered at the address.
 	WrongInstance
@@ -58,12 +58,12 @@
 	Cancelled
 )
 
-// provesReachable returns whether the outcome proves that the endpoint accepts connections.
+// provesReachable reports whether the outcome proves that the endpoint accepts connections.
 func (o Outcome) provesReachable() bool {
 	return o == Served || o == Faulty || o == Full || o == WrongInstance
 }
 
-// NoteResponse records that the endpoint sent data of its answer, and so has read the prompt.
+// NoteResponse records that the endpoint sent data of its answer, and so has prefilled the prompt.
 func (s *Slot) NoteResponse(now time.Time) {
 	s.balancer.mutex.Lock()
 	defer s.balancer.mutex.Unlock()
@@ -99,7 +99,7 @@
 	fit.ObserveDeviation(waited - s.ExpectedWait)
 }
 
-// EndpointSilent returns whether the endpoint has sent nothing for at least limit on any of this
+// EndpointSilent reports whether the endpoint has sent nothing for at least limit on any of this
 // router's connections. An endpoint that is only slow still sends data for other requests.
 func (s *Slot) EndpointSilent(now time.Time, limit time.Duration) bool {
 	s.balancer.mutex.Lock()
--- a/lib/balancer/zone.go
+++ b/lib/balancer/zone.go
@@ -22,7 +22,7 @@
 	suspectUntil time.Time // end of the time in which the zone is the last resort
 }
 
-// suspect returns whether the zone is the last resort now.
+// suspect reports whether the zone is the last resort now.
 func (z zoneState) suspect(now time.Time) bool {
 	return now.Before(z.suspectUntil)
 }
--- a/lib/budgeter/budgeter.go
+++ b/lib/budgeter/budgeter.go
@@ -5,8 +5,8 @@
 // fraction of its own requests plus an even share of the constant. Routers need not communicate,
 // and however the requests are distributed among them, the sum stays below the bound.
 //
-// Invariant: in no window of length Window does Spend allow more than Ratio times the requests of
-// the shortest whole window before, plus Slack divided by the number of routers.
+// Invariant: Spend allows a retry only if the retries of the last Window, this one included, are at
+// most Ratio times the requests of the same time plus Slack divided by the number of routers.
 package budgeter
 
 import (
--- a/lib/forwarder/dialect.go
+++ b/lib/forwarder/dialect.go
@@ -59,8 +59,8 @@
 	Outgoing(header http.Header, mark Mark) http.Header
 	// Answer decodes the headers of an endpoint's answer.
 	Answer(answer *http.Response) Answer
-	// Own reports whether an answer belongs to the request with that ID.
-	Own(answer *http.Response, id string) bool
+	// Matches reports whether an answer belongs to the request with that ID.
+	Matches(answer *http.Response, id string) bool
 	// Plan decodes and checks a configuration.
 	Plan(text []byte) (resolver.Plan, error)
 }
--- a/lib/forwarder/forwarder.go
+++ b/lib/forwarder/forwarder.go
@@ -70,8 +70,8 @@
 type Client struct {
 	Clock       clockwork.Clock
 	DialTimeout time.Duration // DefaultDialTimeout if 0
-	// OwnAnswer reports whether an answer belongs to the request with that ID. If it is nil, all do.
-	OwnAnswer func(answer *http.Response, id string) bool
+	// Matches reports whether an answer belongs to the request with that ID. If it is nil, all do.
+	Matches func(answer *http.Response, id string) bool
 
 	mutex  sync.Mutex
 	pools  map[netip.AddrPort]*pool
@@ -195,7 +195,7 @@
 		if answer.StatusCode < http.StatusOK {
 			continue
 		}
-		if x.client.OwnAnswer == nil || x.client.OwnAnswer(answer, out.ID) {
+		if x.client.Matches == nil || x.client.Matches(answer, out.ID) {
 			x.Response = answer
 			answer.Body = &body{inner: answer.Body, exchange: x}
 			return nil
--- a/lib/forwarder/forwarder_test.go
+++ b/lib/forwarder/forwarder_test.go
@@ -67,8 +67,8 @@
 
 func newClient() *Client {
 	return &Client{
-		Clock:     clockwork.NewRealClock(),
-		OwnAnswer: func(a *http.Response, id string) bool { return a.Header.Get("Id") == id },
+		Clock:   clockwork.NewRealClock(),
+		Matches: func(a *http.Response, id string) bool { return a.Header.Get("Id") == id },
 	}
 }
 
--- a/lib/pacer/floor_test.go
+++ b/lib/pacer/floor_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Guards against starts that are lowered further while earlier work is still being worked off.
+// Guards against starts that are lowered further while the process still catches up with earlier work.
 func TestNothingIsLoweredWhileLatenessFalls(t *testing.T) {
 	p := Pacer{Starts: &Rate{Initial: 100, Min: 10}}
 	for late := time.Second; late > 0; late -= cutThreshold {
--- a/lib/predictor/predictor.go
+++ b/lib/predictor/predictor.go
@@ -1,7 +1,8 @@
 // Package predictor predicts the time that an engine takes until the first token of a request.
 //
-// An engine reads prompts in arrival order. The wait is therefore a constant part plus the unread
-// tokens, those queued ahead and the request's own, divided by the engine's speed. The engines of
+// An engine prefills prompts in arrival order. The wait is therefore a constant part plus the tokens
+// that are unread, that is not prefilled yet, those queued ahead and the request's own, divided by the
+// engine's speed. The engines of
 // one service differ little, and a router gets a few answers per second of each: the two parameters
 // are fitted over the answers of all of them. Each engine's deviation from the fit, because it is
 // slow or has more load than this router sees, is a factor of its own.
@@ -17,7 +18,7 @@
 
 const (
 	// initialBase and initialTokenTime are the parameters of a fit before any answer, typical of
-	// engines that read prompts while other requests run.
+	// engines that prefill prompts while other requests run.
 	initialBase      = 40 * time.Millisecond
 	initialTokenTime = 15 * time.Microsecond
 	// initialWeight is the number of answers for which the initial parameters count. A router has
@@ -130,7 +131,7 @@
 	return seconds(scale * math.Log1p(math.Exp(excess/scale)))
 }
 
-// PrefillTokens returns how many tokens an engine reads in the given time, 0 for a negative time.
+// PrefillTokens returns how many tokens an engine prefills in the given time, 0 for a negative time.
 func (f *Fit) PrefillTokens(available time.Duration) float64 {
 	f.initialize()
 	return max(available.Seconds(), 0) / f.tokenTime
--- a/lib/rationer/holder.go
+++ b/lib/rationer/holder.go
@@ -19,9 +19,9 @@
 }
 
 // RecordGrant records that a keeper has granted or renewed a lease for which the router asked at
-// the time asked. The first request under a new lease waits for a pause, because the previous
+// requestedAt. The first request under a new lease waits for a pause, because the previous
 // holder of the part may have used it just before.
-func (h *Holder) RecordGrant(now, asked time.Time, keeper netip.AddrPort, pause, term time.Duration) {
+func (h *Holder) RecordGrant(now, requestedAt time.Time, keeper netip.AddrPort, pause, term time.Duration) {
 	if h.held == nil {
 		h.held = make(map[netip.AddrPort]*heldLease)
 	}
@@ -33,7 +33,7 @@
 	if !now.Before(lease.expires) {
 		lease.next = now.Add(pause)
 	}
-	lease.expires, lease.pause = asked.Add(term), pause
+	lease.expires, lease.pause = requestedAt.Add(term), pause
 }
 
 // Ready reports whether a request may be sent now.
--- a/lib/rationer/lessor.go
+++ b/lib/rationer/lessor.go
@@ -40,9 +40,9 @@
 	l.started, l.leases = now, make(map[uint64]lease)
 }
 
-// Grant reports whether a router that asked at the time asked gets or keeps this keeper's part of
-// an endpoint, for LeaseTerm from then on. Candidates is called only if no router holds the part.
-func (l *Lessor) Grant(now, asked time.Time, endpoint uint64, router string, candidates func() []Candidate) bool {
+// Grant reports whether a router that asked at requestedAt gets or keeps this keeper's part of an
+// endpoint, for LeaseTerm from then on. Candidates is called only if no router holds the part.
+func (l *Lessor) Grant(now, requestedAt time.Time, endpoint uint64, router string, candidates func() []Candidate) bool {
 	if l.started.IsZero() {
 		l.Start(now)
 	}
@@ -57,7 +57,7 @@
 	if current.router != router {
 		return false
 	}
-	current.expires, current.offered = asked.Add(LeaseTerm), now
+	current.expires, current.offered = requestedAt.Add(LeaseTerm), now
 	l.leases[endpoint] = current
 	return true
 }
--- a/lib/rationer/rationer.go
+++ b/lib/rationer/rationer.go
@@ -27,8 +27,8 @@
 // ask at least twice a second.
 const LeaseTerm = 1500 * time.Millisecond
 
-// earlyCredit is the fraction of a pause by which a request may come early after one that came
-// later than it could have. Without it each pause is longer by the time until the next request
+// earlyCredit is the fraction of a pause by which a request may be sent early if the previous one was
+// sent later than allowed. Without it each pause is longer by the time until the next request
 // arrives.
 const earlyCredit = 0.5
 
--- a/lib/resolver/plan.go
+++ b/lib/resolver/plan.go
@@ -109,7 +109,8 @@
 	BodyBytes     int64
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	// Rate is the tokens per second that all engines generate together; 0 if it is unknown.
+	// Rate is the capacity of all engines together in tokens per second, with the weights of prompt
+	// tokens and generated tokens that admission uses; 0 if it is unknown.
 	Rate float64
 }
 
--- a/router/internal/administrator/administrator.go
+++ b/router/internal/administrator/administrator.go
@@ -51,7 +51,7 @@
 	Explain(id string) (reporter.Explanation, bool)
 }
 
-// Options configure an Administrator.
+// Options configures an Administrator.
 type Options struct {
 	Keeping   Keeping
 	Reporter  Reporter
--- a/router/internal/director/director.go
+++ b/router/internal/director/director.go
@@ -83,10 +83,10 @@
 	clientConnections connections
 	screened          atomic.Pointer[screener.Listener] // nil until Run has started it
 	pacer             pacer.Pacer
-	rate              rate // requests per second
+	requestRate       rateMeter // requests per second
 	pressure          pressure
 	requestCost       requestCost
-	shedder           shedder
+	diverter          diverter
 
 	mutex        sync.Mutex
 	planning     map[netip.AddrPort]messenger.Planning
@@ -115,13 +115,13 @@
 	d.reader = updatereader.New(updatereader.Options{
 		Name: settings.Name, Zone: settings.Zone, Dialect: dialect, Clock: clock, Log: log, Dial: d.dial,
 		Endpoints: d.updateEndpoints, Plan: d.preparePlan, Routers: d.updateRouterCount,
-		Uses: func() map[string]apportioner.Use { return d.shares.Uses(clock.Now()) }, Loads: d.balancer.UnreadTokens, Fleet: d.updateFleet,
+		Uses: func() map[string]apportioner.Use { return d.shares.Uses(clock.Now()) }, Loads: d.balancer.UnreadTokens, FleetSums: d.updateFleetSums,
 		Backlog:           func() time.Duration { return d.backlog(clock.Now()) },
 		Sampling:          d.balancer.SetSampling,
 		UnreportedStreams: d.streams.Report, ReportAnswered: d.streams.ReportAnswered, ReportLost: d.streams.ReportLost,
 		Evacuated: func(zones []string) { d.balancer.SetEvacuatedZones(clock.Now(), zones) },
-		Rations: func(polledAt time.Time, keeper netip.AddrPort, rations []balancer.Ration) {
-			d.balancer.TakeLeases(clock.Now(), polledAt, keeper, rations)
+		Rations: func(pollSentAt time.Time, keeper netip.AddrPort, rations []balancer.Ration) {
+			d.balancer.TakeLeases(clock.Now(), pollSentAt, keeper, rations)
 		},
 	})
 	d.subscriber = subscriber.New(subscriber.Options{
@@ -133,9 +133,9 @@
 	d.proxier = proxier.New(proxier.Options{
 		Dialect: dialect, FleetState: d.reader, Streams: d.streams, Balancer: d.balancer, Budget: d.budget, Shares: d.shares,
 		Client: d.client, Clock: clock, Log: log, Metrics: proxier.NewMetrics(d.registry),
-		Crowded:       d.disablesKeepAlive,
-		Diverting:     d.shedder.diverting.Load,
-		CoalesceDelay: time.Duration(coalesceShare * float64(settings.Pass.Duration)),
+		DisablesKeepAlive: d.disablesKeepAlive,
+		Diverting:         d.diverter.diverting.Load,
+		CoalesceDelay:     time.Duration(coalesceShare * float64(settings.Pass.Duration)),
 		// MaxRequests limits the load before the process lags: lag arises only once too many requests
 		// have been accepted, and lasts until they are done.
 		MaxRequests:       d.maxRunning(),
@@ -191,13 +191,13 @@
 	}
 }
 
-// updateFleet applies the fleet's total demand, the load that other routers have at the endpoints,
+// updateFleetSums applies the fleet's total demand, the load that other routers have at the endpoints,
 // and the engines' backlog as the median router estimates it. The median is used because a late
 // router overestimates the backlog, and would limit its workspaces to less than other routers do.
-func (d *Director) updateFleet(fleet updatereader.Fleet) {
+func (d *Director) updateFleetSums(sums updatereader.FleetSums) {
 	now := d.clock.Now()
-	d.balancer.SetOtherLoads(now, fleet.Loads)
-	d.shares.SetFleetUse(now, fleet.Uses, fleet.Backlog)
+	d.balancer.SetOtherLoads(now, sums.Loads)
+	d.shares.SetFleetUse(now, sums.Uses, sums.Backlog)
 }
 
 // backlog returns the estimated prefill backlog of the service that has the longest.
@@ -217,11 +217,11 @@
 
 // updateRouterCount applies the number of routers in the fleet, and adapts the poll interval.
 func (d *Director) updateRouterCount(count int) {
-	d.shedder.routers.Store(int64(count))
+	d.diverter.routers.Store(int64(count))
 	d.budget.SetRouters(count)
 	d.shares.SetRouterCount(count)
 	d.balancer.SetRouterCount(count)
-	rate := d.rate.update(d.clock.Now(), d.proxier.Received())
+	rate := d.requestRate.update(d.clock.Now(), d.proxier.Received())
 	d.subscriber.Pace(d.pollWaits(rate, count, d.subscriber.Keepers()))
 }
 
@@ -241,7 +241,7 @@
 	case <-d.stopping:
 		return false
 	default:
-		return d.reader.Table() != nil && !d.shedder.diverting.Load()
+		return d.reader.Table() != nil && !d.diverter.diverting.Load()
 	}
 }
 
@@ -250,8 +250,8 @@
 	starter.LimitMemory(d.settings.Memory)
 	// Connections are bounded by their idle time. Keep-alive probes would cost four system calls per
 	// connection, a quarter of the cost of refusing a request on it.
-	accepts := net.ListenConfig{KeepAlive: -1}
-	clients, err := accepts.Listen(ctx, "tcp", d.settings.Listen.String())
+	listenConfig := net.ListenConfig{KeepAlive: -1}
+	clients, err := listenConfig.Listen(ctx, "tcp", d.settings.Listen.String())
 	if err != nil {
 		return merry.Errorf("listen address: %w; set \"listen\" to a free address of this instance", err)
 	}
--- a/router/internal/director/shedder.go
+++ b/router/internal/director/diverter.go
@@ -18,13 +18,13 @@
 	maxDivertingShare = 0.125
 )
 
-// shedder decides when a flooded router reports not ready, so that new clients go to other routers.
-// It does so only for workspaces that get less than their guaranteed share: clients that turn to
-// another router wait until their share has followed them, and that router is flooded as well. Only a
-// router that causes a good part of the whole fleet's refusals for lack of capacity may divert: where
+// diverter decides when a flooded router reports not ready, so that new clients go to other routers.
+// It does so only for workspaces that get less than their guaranteed share: clients that
+// change to another router wait until their workspace's share there has grown, and that router is flooded as well. Only a
+// router that causes a large part of the whole fleet's refusals for lack of capacity may divert: if
 // all routers are flooded, the others have no capacity either, and a zone without routers would burden
 // another zone. The zero value does not divert.
-type shedder struct {
+type diverter struct {
 	routers   atomic.Int64 // number of routers in the fleet
 	diverting atomic.Bool  // new clients are sent to other routers
 
@@ -34,7 +34,7 @@
 // update decides by the ratio of this router's requests that it refuses for lack of capacity, 0 to 1,
 // and by the rates in tokens per second that this router and the whole fleet shed of workspaces below
 // their guaranteed share. It reports whether the decision has changed.
-func (s *shedder) update(now time.Time, refused, own, fleet float64) (changed bool) {
+func (s *diverter) update(now time.Time, refused, own, fleet float64) (changed bool) {
 	away := now.Before(s.divertUntil)
 	switch {
 	case away || refused < minRefusalRatio || !s.local(own, fleet):
@@ -47,9 +47,10 @@
 	return s.diverting.Swap(away) != away
 }
 
-// local reports whether so few routers can be as overloaded as this one that all of them may divert
-// their new clients.
-func (s *shedder) local(own, fleet float64) bool {
+// local reports whether the overload is limited to few routers. This router's part of the demand that
+// the fleet sheds bounds how many routers can shed as much as this one; all of those may divert at
+// once if they are at most maxDivertingShare of the fleet, or only one router.
+func (s *diverter) local(own, fleet float64) bool {
 	routers := s.routers.Load()
 	maxDiverting := max(maxDivertingShare*float64(routers), 1)
 	return routers > 1 && own > 0 && own*maxDiverting >= fleet
@@ -60,8 +61,8 @@
 	now := d.clock.Now()
 	refused := d.proxier.RefusalRatio(now)
 	own, fleet := d.shares.ShedRates(now)
-	if d.shedder.update(now, refused, own, fleet) {
-		d.log.Warn().Bool("away", d.shedder.diverting.Load()).Float64("refused", refused).Float64("own", own).Float64("fleet", fleet).
-			Int64("routers", d.shedder.routers.Load()).Msg("readiness for new clients changed")
+	if d.diverter.update(now, refused, own, fleet) {
+		d.log.Warn().Bool("away", d.diverter.diverting.Load()).Float64("refused", refused).Float64("own", own).Float64("fleet", fleet).
+			Int64("routers", d.diverter.routers.Load()).Msg("readiness for new clients changed")
 	}
 }
--- a/router/internal/director/shedder_test.go
+++ b/router/internal/director/diverter_test.go
@@ -30,7 +30,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var s shedder
+			var s diverter
 			s.routers.Store(test.routers)
 			now := time.Unix(1000, 0)
 			require.False(t, s.update(now, test.refused, test.own, test.fleet), "a short overload diverts nobody")
--- a/router/internal/director/metrics.go
+++ b/router/internal/director/metrics.go
@@ -47,7 +47,7 @@
 	})
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_starts", Help: "Requests a second that this router may start now."}, d.pacer.Starts.Value)
 	gauge(prometheus.GaugeOpts{Name: "shallotkeel_direct_away", Help: "1 while new clients are sent to other routers."}, func() float64 {
-		if d.shedder.diverting.Load() {
+		if d.diverter.diverting.Load() {
 			return 1
 		}
 		return 0
@@ -60,13 +60,13 @@
 		d.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, func() float64 { return float64(value()) }))
 	}
 	counter("shallotkeel_direct_endpoint_connections_total", "Connections made to endpoints.", d.client.Opened)
-	counter("shallotkeel_direct_unread_connections_total", "Connections of clients that were closed unread, for want of room.", d.screener((*screener.Listener).ClosedUnread))
-	counter("shallotkeel_direct_left_connections_total", "Connections of clients that had left before their requests were judged.", d.screener((*screener.Listener).Abandoned))
-	counter("shallotkeel_direct_screened_requests_total", "Requests that were refused before the server took their connections.", d.screener((*screener.Listener).Refused))
+	counter("shallotkeel_direct_unread_connections_total", "Connections of clients that were closed unread, for want of room.", d.screenerCounter((*screener.Listener).ClosedUnread))
+	counter("shallotkeel_direct_left_connections_total", "Connections of clients that had left before their requests were judged.", d.screenerCounter((*screener.Listener).Abandoned))
+	counter("shallotkeel_direct_screened_requests_total", "Requests that were refused before the server took their connections.", d.screenerCounter((*screener.Listener).Refused))
 }
 
-// screener returns a function that reads a counter of the screening listener, 0 before there is one.
-func (d *Director) screener(counter func(*screener.Listener) uint64) func() uint64 {
+// screenerCounter returns a function that reads a counter of the screening listener, 0 before there is one.
+func (d *Director) screenerCounter(counter func(*screener.Listener) uint64) func() uint64 {
 	return func() uint64 {
 		if screened := d.screened.Load(); screened != nil {
 			return counter(screened)
--- a/router/internal/director/pressure.go
+++ b/router/internal/director/pressure.go
@@ -59,9 +59,9 @@
 		capacityRefusals: d.proxier.RefusedForCapacity(),
 		received:         d.proxier.Received(),
 		connections:      d.clientConnections.total(),
-		screened:         d.screener((*screener.Listener).Refused)(),
-		abandoned:        d.screener((*screener.Listener).Abandoned)(),
-		closedUnread:     d.screener((*screener.Listener).ClosedUnread)(),
+		screened:         d.screenerCounter((*screener.Listener).Refused)(),
+		abandoned:        d.screenerCounter((*screener.Listener).Abandoned)(),
+		closedUnread:     d.screenerCounter((*screener.Listener).ClosedUnread)(),
 		processorTime:    d.processorTime(),
 	}
 }
--- a/router/internal/director/rate.go
+++ b/router/internal/director/rate.go
@@ -8,10 +8,10 @@
 // rateSpan is the window over which requests are counted.
 const rateSpan = time.Second
 
-// rate derives events per second from a cumulative counter. A burst shows at once: the count of the
-// unfinished window is taken for the full window if it exceeds the previous rate. The zero value is
-// ready to use.
-type rate struct {
+// rateMeter derives events per second from a cumulative counter. A burst shows at once: if the count of
+// the unfinished window, taken as that of a full window, exceeds the previous rate, it is returned. The
+// zero value is ready to use.
+type rateMeter struct {
 	mutex      sync.Mutex
 	spanStart  time.Time
 	startCount uint64  // counter at spanStart
@@ -19,7 +19,7 @@
 }
 
 // update takes the current counter value and returns the rate per second.
-func (r *rate) update(now time.Time, count uint64) float64 {
+func (r *rateMeter) update(now time.Time, count uint64) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.spanStart.IsZero() {
--- a/router/internal/director/rate_test.go
+++ b/router/internal/director/rate_test.go
@@ -9,7 +9,7 @@
 
 // Guards against a flooded router that keeps reporting to the keepers as seldom as an idle one.
 func TestRateFollowsABurstAtOnce(t *testing.T) {
-	var r rate
+	var r rateMeter
 	now, count := time.Unix(1000, 0), uint64(100)
 	take := func(pause time.Duration, more uint64) float64 {
 		now, count = now.Add(pause), count+more
--- a/router/internal/follower/follower.go
+++ b/router/internal/follower/follower.go
@@ -54,7 +54,7 @@
 	Quarantine(ctx context.Context, request *messenger.QuarantineRequest) (*messenger.QuarantineResponse, error)
 }
 
-// Options configure a Follower.
+// Options configures a Follower.
 type Options struct {
 	Name      string
 	Zone      string
--- a/router/internal/proxier/admission.go
+++ b/router/internal/proxier/admission.go
@@ -96,7 +96,7 @@
 		return table
 	}
 	select {
-	case <-p.options.FleetState.Begun():
+	case <-p.options.FleetState.Ready():
 	case <-p.options.Clock.After(firstConfigurationWait):
 	case <-q.http.Context().Done():
 	}
--- a/router/internal/proxier/harness_test.go
+++ b/router/internal/proxier/harness_test.go
@@ -47,7 +47,7 @@
 
 // stubFleetState is a FleetState that tests set.
 type stubFleetState struct {
-	begun       chan struct{}
+	ready       chan struct{}
 	table       atomic.Pointer[resolver.Table]
 	mutex       sync.Mutex
 	crashed     []uint64
@@ -56,7 +56,7 @@
 
 func (s *stubFleetState) Table() *resolver.Table { return s.table.Load() }
 
-func (s *stubFleetState) Begun() <-chan struct{} { return s.begun }
+func (s *stubFleetState) Ready() <-chan struct{} { return s.ready }
 
 func (s *stubFleetState) Quarantined(digest uint64) bool {
 	s.mutex.Lock()
@@ -141,7 +141,7 @@
 func newFixtureAt(t *testing.T, clock clockwork.Clock) *fixture {
 	t.Helper()
 	f := &fixture{
-		t: t, fleetState: &stubFleetState{begun: make(chan struct{}), quarantined: make(map[uint64]bool)}, balancer: &balancer.Balancer{}, shares: &apportioner.Apportioner{},
+		t: t, fleetState: &stubFleetState{ready: make(chan struct{}), quarantined: make(map[uint64]bool)}, balancer: &balancer.Balancer{}, shares: &apportioner.Apportioner{},
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true}},
 	}
 	f.fleetState.table.Store(newTable(t, 1))
--- a/router/internal/proxier/pressure_test.go
+++ b/router/internal/proxier/pressure_test.go
@@ -10,8 +10,8 @@
 	"shallotkeel.example/lib/lister"
 )
 
-// Guards against clients of a full service that wait for an endpoint's refusal, or that are told to
-// retry at once when hardly any request is admitted.
+// Guards against clients of a full service that wait for an endpoint's refusal, or that get the
+// shortest Retry-After although hardly any request is admitted.
 func TestCallsOfAFullServiceAreRefusedAtTheRouter(t *testing.T) {
 	f := newFixture(t)
 	id, arrivals := f.decliningEndpoint()
--- a/router/internal/proxier/proxier.go
+++ b/router/internal/proxier/proxier.go
@@ -59,8 +59,8 @@
 type FleetState interface {
 	// Table returns the configuration in force, nil if there is none yet.
 	Table() *resolver.Table
-	// Begun returns a channel that is closed once there is a table.
-	Begun() <-chan struct{}
+	// Ready returns a channel that is closed once there is a table.
+	Ready() <-chan struct{}
 	// Quarantined reports whether a request is refused because it has crashed endpoints.
 	Quarantined(digest uint64) bool
 	// Crashed reports a request that may have crashed an endpoint.
@@ -69,12 +69,13 @@
 
 // Streams records the software versions at which streams began.
 type Streams interface {
-	// Begun records the origin of a stream that begins or is resumed.
-	Begun(name versioner.StreamID, origin versioner.Origin)
+	// RecordOrigin records the origin of a stream that begins or is resumed.
+	RecordOrigin(name versioner.StreamID, origin versioner.Origin)
 	// Find returns the origin of a stream, if it is known.
 	Find(ctx context.Context, name versioner.StreamID) (versioner.Origin, bool)
-	// Widen looks up further endpoints where streams of the origin can be resumed, and adds those that exist.
-	Widen(ctx context.Context, origin versioner.Origin)
+	// LearnEndpoints looks up further endpoints where streams of the origin can be resumed, and adds
+	// them to the balancer.
+	LearnEndpoints(ctx context.Context, origin versioner.Origin)
 }
 
 // Options configures a Proxier.
@@ -89,9 +90,9 @@
 	Clock      clockwork.Clock
 	Log        zerolog.Logger
 	Metrics    *Metrics
-	// Crowded reports whether so many clients are connected that each connection is closed
-	// after its answer. It may be nil.
-	Crowded func() bool
+	// DisablesKeepAlive reports whether each client connection is closed after its answer, because
+	// too many clients are connected. It may be nil.
+	DisablesKeepAlive func() bool
 	// Diverting reports whether new clients are sent to other routers. It may be nil.
 	Diverting func() bool
 	// MaxRequests limits the requests in flight, 0 for no limit.
@@ -128,7 +129,7 @@
 // New returns a Proxier.
 func New(options Options) *Proxier {
 	p := &Proxier{options: options, bodyMemory: bodyMemory{limit: options.MaxTotalBodyBytes}, keyLogDamper: damper.Damper{LinesPerSecond: maxKeyLogLines}}
-	options.Client.OwnAnswer = options.Dialect.Own
+	options.Client.Matches = options.Dialect.Matches
 	return p
 }
 
@@ -180,7 +181,7 @@
 	p.received.Add(1)
 	p.inFlight.enter()
 	defer p.inFlight.leave()
-	if p.inFlight.stopping() || p.options.Crowded != nil && p.options.Crowded() {
+	if p.inFlight.stopping() || p.options.DisablesKeepAlive != nil && p.options.DisablesKeepAlive() {
 		w.Header().Set("Connection", "close")
 	}
 	q.in = p.options.Dialect.Read(h.Header)
--- a/router/internal/proxier/proxier_test.go
+++ b/router/internal/proxier/proxier_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Guards against a booking that is confirmed twice, and a client that is told "not run" about a request
-// that ran: an endpoint fails in each possible way while a second endpoint is available.
+// Guards against a booking that is confirmed twice, and a client that gets the answer "not run" to a
+// request that ran: an endpoint fails in each possible way while a second endpoint is available.
 func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
 	tests := map[string]struct {
 		serve  func(net.Conn, *http.Request)
@@ -330,7 +330,7 @@
 	for name, crowded := range map[string]bool{"crowd": true, "room": false} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			f.proxier.options.Crowded = func() bool { return crowded }
+			f.proxier.options.DisablesKeepAlive = func() bool { return crowded }
 			refused := f.do("POST", "/book/", "")
 			_, err := readText(refused)
 			require.NoError(t, err)
--- a/router/internal/proxier/refusalrate.go
+++ b/router/internal/proxier/refusalrate.go
@@ -70,8 +70,8 @@
 }
 
 // overloadRetryAfter returns the pause of a client that was refused for lack of router capacity. A retry is as
-// likely to be refused as a new request. Where one request in twenty is admitted, retrying at once
-// only takes processor time in which a request could be served.
+// likely to be refused as a new request. If one request in twenty is admitted, retries at once
+// only take processor time from requests that could be served.
 func (p *Proxier) overloadRetryAfter(now time.Time) time.Duration {
 	return retryAfterFor(p.refusals.ratio(now))
 }
--- a/router/internal/proxier/resume.go
+++ b/router/internal/proxier/resume.go
@@ -9,9 +9,9 @@
 )
 
 // admitResume finds the service and software version at which a stream was begun that the client
-// resumes. Events of two versions are not compatible and endpoints do not check this, so a stream
-// whose origin is unknown, or of whose version no endpoint is left, is refused and never sent to
-// an endpoint of another version.
+// resumes. Events of two versions are not compatible and endpoints do not check this. A stream is
+// therefore refused if its origin is unknown or no endpoint of its version is left; it is never
+// sent to an endpoint of another version.
 func (p *Proxier) admitResume(q *request) bool {
 	if q.route.Kind != resolver.Stream || q.in.Resume == "" && q.in.Resumes == "" {
 		return true
@@ -38,7 +38,7 @@
 	if p.options.Balancer.HasEligible(origin.Service, &q.in.Work) {
 		return true
 	}
-	p.options.Streams.Widen(q.http.Context(), origin)
+	p.options.Streams.LearnEndpoints(q.http.Context(), origin)
 	return p.options.Balancer.HasEligible(origin.Service, &q.in.Work)
 }
 
@@ -57,5 +57,5 @@
 	if q.in.Resumes == "" {
 		name.Request = q.in.ID
 	}
-	p.options.Streams.Begun(name, versioner.Origin{Service: q.service, Version: slot.Version})
+	p.options.Streams.RecordOrigin(name, versioner.Origin{Service: q.service, Version: slot.Version})
 }
--- a/router/internal/proxier/start_test.go
+++ b/router/internal/proxier/start_test.go
@@ -12,9 +12,9 @@
 	"shallotkeel.example/lib/resolver"
 )
 
-// Guards against clients that are told after a power loss to retry later, and are late then. Their
-// router started 0.1 s ago and has no configuration yet: it must not refuse at once what it can
-// serve a moment later.
+// Guards against clients that are refused with a Retry-After after a power loss, and are late when
+// they retry. Their router started 0.1 s ago and has no configuration yet: it must not refuse at once
+// a request that it can serve a moment later.
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
 	f := newFixture(t)
 	f.endpoint(answerWith("served"))
@@ -31,7 +31,7 @@
 	}()
 	require.Eventually(t, func() bool { return f.proxier.Running() == 1 }, waitTimeout, pollInterval)
 	f.fleetState.table.Store(first)
-	close(f.fleetState.begun)
+	close(f.fleetState.ready)
 	require.Equal(t, http.StatusOK, <-status)
 }
 
--- a/router/internal/proxier/versions_test.go
+++ b/router/internal/proxier/versions_test.go
@@ -133,7 +133,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			f.addVersion("v2", func(net.Conn, *http.Request) { t.Error("the stream was resumed at another version") })
-			f.proxier.options.Streams = stubStreams{known: versioner.Origin{Service: "desk", Version: "v1"}, widen: func() {
+			f.proxier.options.Streams = stubStreams{known: versioner.Origin{Service: "desk", Version: "v1"}, learn: func() {
 				if !learns {
 					return
 				}
@@ -154,16 +154,16 @@
 	}
 }
 
-// stubStreams finds one origin, and lists further endpoints when it is asked to widen.
+// stubStreams finds one origin, and calls learn to list further endpoints.
 type stubStreams struct {
 	known versioner.Origin
-	widen func()
+	learn func()
 }
 
-func (w stubStreams) Begun(versioner.StreamID, versioner.Origin) {}
+func (w stubStreams) RecordOrigin(versioner.StreamID, versioner.Origin) {}
 
 func (w stubStreams) Find(context.Context, versioner.StreamID) (versioner.Origin, bool) {
 	return w.known, true
 }
 
-func (w stubStreams) Widen(context.Context, versioner.Origin) { w.widen() }
+func (w stubStreams) LearnEndpoints(context.Context, versioner.Origin) { w.learn() }
--- a/router/internal/recaller/recaller.go
+++ b/router/internal/recaller/recaller.go
@@ -3,8 +3,9 @@
 //
 // The record of each stream goes to the keeper that gets this router's reports, with the next report,
 // and from there to the other keepers. So a client may resume its stream at any router, even if the
-// router at which it began is gone. The first event of a stream waits for none of this: the loss of a
-// record costs its stream, whose resumption is refused, and never lets one stream mix two versions.
+// router at which it began is gone. The first event of a stream does not wait for its record to be
+// reported. If the record is lost, resuming the stream is refused: it never mixes events of two
+// versions.
 //
 // Invariants: an origin is returned only if this router or a keeper has a record of it; records that
 // a keeper has not acknowledged are reported again.
@@ -60,8 +61,8 @@
 	return &Recaller{options: options, reportEnd: make(map[netip.AddrPort]uint64)}
 }
 
-// Begun records the origin of a stream that begins or is resumed.
-func (r *Recaller) Begun(name versioner.StreamID, origin versioner.Origin) {
+// RecordOrigin records the origin of a stream that begins or is resumed.
+func (r *Recaller) RecordOrigin(name versioner.StreamID, origin versioner.Origin) {
 	for _, stream := range name.Hashes() {
 		if r.store.Add(r.options.Clock.Now(), stream, origin) {
 			r.queue(versioner.Record{Stream: stream, Origin: origin})
@@ -92,9 +93,9 @@
 func (r *Recaller) ReportAnswered(keeper netip.AddrPort) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if behind := r.reportEnd[keeper]; behind > r.firstNumber {
-		r.unreported = r.unreported[behind-r.firstNumber:]
-		r.firstNumber = behind
+	if end := r.reportEnd[keeper]; end > r.firstNumber {
+		r.unreported = r.unreported[end-r.firstNumber:]
+		r.firstNumber = end
 	}
 }
 
@@ -126,10 +127,10 @@
 	})
 }
 
-// Widen asks the keepers for endpoints where streams of an origin can be resumed, and passes them to
-// Learn. Of a service with many endpoints a router knows only a part, which may have no endpoint of
-// the origin's version.
-func (r *Recaller) Widen(ctx context.Context, origin versioner.Origin) {
+// LearnEndpoints asks the keepers for endpoints where streams of an origin can be resumed, and passes
+// them to Options.Learn. Of a service with many endpoints a router knows only a part, which may have
+// no endpoint of the origin's version.
+func (r *Recaller) LearnEndpoints(ctx context.Context, origin versioner.Origin) {
 	request := &messenger.LocateRequest{Service: origin.Service, Version: origin.Version, Node: r.options.Name}
 	located, found := firstAnswer(ctx, r, func(ctx context.Context, keeper netip.AddrPort) (keeperListings, bool, error) {
 		answer, err := r.options.Dial(keeper).Locate(ctx, request)
--- a/router/internal/recaller/recaller_test.go
+++ b/router/internal/recaller/recaller_test.go
@@ -182,7 +182,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(2)
 			first := f.router("began")
-			first.Begun(nameOf("first"), one)
+			first.RecordOrigin(nameOf("first"), one)
 			test.do(f, first)
 			origin, found := f.router("other").Find(t.Context(), nameOf("first"))
 			require.Equal(t, test.found, found)
@@ -199,7 +199,7 @@
 func TestOwnStreamsAreFoundWithoutKeepers(t *testing.T) {
 	f := newFleet(0)
 	r := f.router("began")
-	r.Begun(nameOf("first"), one)
+	r.RecordOrigin(nameOf("first"), one)
 	origin, found := r.Find(t.Context(), nameOf("first"))
 	require.True(t, found)
 	require.Equal(t, one, origin)
@@ -208,15 +208,15 @@
 func TestRecordsAreReportedOnce(t *testing.T) {
 	f := newFleet(1)
 	r := f.router("began")
-	r.Begun(nameOf("first"), one)
+	r.RecordOrigin(nameOf("first"), one)
 	require.Len(t, versioner.FromWire(r.Report(address(0))), 2, "one record by request and one by content")
-	r.Begun(nameOf("second"), two) // before the answer to the report
+	r.RecordOrigin(nameOf("second"), two) // before the answer to the report
 	r.ReportAnswered(address(0))
 	reported := versioner.FromWire(r.Report(address(0)))
 	require.Equal(t, []versioner.Record{{Stream: nameOf("second").Hash(), Origin: two}, {Stream: nameOf("second").Content, Origin: two}}, reported)
 	r.ReportAnswered(address(0))
 	require.Empty(t, r.Report(address(0)))
-	r.Begun(nameOf("first"), one) // the stream is resumed
+	r.RecordOrigin(nameOf("first"), one) // the stream is resumed
 	require.Empty(t, r.Report(address(0)))
 }
 
@@ -224,7 +224,7 @@
 	f := newFleet(1)
 	r := f.router("began")
 	for i := range maxUnreported + 5 {
-		r.Begun(nameOf(fmt.Sprint(i)), one)
+		r.RecordOrigin(nameOf(fmt.Sprint(i)), one)
 	}
 	require.Len(t, versioner.FromWire(r.Report(address(0))), maxUnreported)
 	r.ReportAnswered(address(0))
@@ -259,7 +259,7 @@
 			case 3, 4, 5:
 				name := fmt.Sprint("stream-", step)
 				began[name] = []versioner.Origin{one, two}[draw.IntN(2)]
-				running[i].Begun(nameOf(name), began[name])
+				running[i].RecordOrigin(nameOf(name), began[name])
 			case 6, 7:
 				f.report(running[i], keeper, !cut, !cut && draw.IntN(3) > 0)
 			default:
@@ -277,7 +277,7 @@
 		}
 		for i := range running {
 			name := fmt.Sprint("last-", i)
-			running[i].Begun(nameOf(name), two)
+			running[i].RecordOrigin(nameOf(name), two)
 			f.report(running[i], draw.IntN(keepers), true, true)
 		}
 		for i := range running {
@@ -305,7 +305,7 @@
 			f := newFleet(1)
 			for request, origin := range test.begun {
 				r := f.router(request)
-				r.Begun(versioner.StreamID{Request: request, Content: ask.Content}, origin)
+				r.RecordOrigin(versioner.StreamID{Request: request, Content: ask.Content}, origin)
 				f.report(r, 0, true, true)
 			}
 			origin, found := f.router("other").Find(t.Context(), ask)
@@ -347,7 +347,7 @@
 					learned = append(learned, listing.GetId())
 				}
 			}
-			r.Widen(t.Context(), one)
+			r.LearnEndpoints(t.Context(), one)
 			require.Equal(t, test.want, learned)
 		})
 	}
--- a/router/internal/registrar/registrar.go
+++ b/router/internal/registrar/registrar.go
@@ -42,7 +42,7 @@
 	Announce(ctx context.Context, announcement *messenger.Announcement) error
 }
 
-// Options configure a Registrar.
+// Options configures a Registrar.
 type Options struct {
 	Announcer Announcer
 	Token     string // the endpoints' token, valid for every service
--- a/router/internal/registrar/registrar_test.go
+++ b/router/internal/registrar/registrar_test.go
@@ -17,23 +17,24 @@
 	"shallotkeel.example/router/internal/registrar"
 )
 
-// fakeZone is a registrar whose announcements it records in place of the zone's
-// schedulers. Announce returns err.
-type fakeZone struct {
+// fakeSchedulers stands in for the schedulers of a zone behind a registrar: it records the
+// announcements that the registrar forwards. Announce returns err.
+type fakeSchedulers struct {
 	announcements []*messenger.Announcement
 	err           error
 	clock         *clockwork.FakeClock
 	mux           *http.ServeMux
 }
 
-func (z *fakeZone) Announce(_ context.Context, announcement *messenger.Announcement) error {
+func (z *fakeSchedulers) Announce(_ context.Context, announcement *messenger.Announcement) error {
 	z.announcements = append(z.announcements, announcement)
 	return z.err
 }
 
-// newZone returns a zone that also accepts the token "SERVICE-secret" of each service.
-func newZone() *fakeZone {
-	z := &fakeZone{clock: clockwork.NewFakeClock(), mux: http.NewServeMux()}
+// newFakeSchedulers returns fake schedulers behind a registrar that also accepts the token
+// "SERVICE-secret" of each service.
+func newFakeSchedulers() *fakeSchedulers {
+	z := &fakeSchedulers{clock: clockwork.NewFakeClock(), mux: http.NewServeMux()}
 	registrar.New(registrar.Options{
 		Announcer: z, Token: "secret", Zone: "trento-a", Clock: z.clock, Log: zerolog.Nop(),
 		Scoped: func(token string) (string, bool) {
@@ -44,7 +45,7 @@
 	return z
 }
 
-func (z *fakeZone) call(method, path, body, token string) *httptest.ResponseRecorder {
+func (z *fakeSchedulers) call(method, path, body, token string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+token)
 	recorder := httptest.NewRecorder()
@@ -56,7 +57,7 @@
 	"slots":8,"ttl_ms":3000,"load":2,"cached":["18446744073709551615"],"evicted":[],"leaving":false,"fenced":true,"loaded":["draft-7b"],"fence":4}`
 
 func TestAnnouncementIsPassedOn(t *testing.T) {
-	z := newZone()
+	z := newFakeSchedulers()
 	require.Equal(t, http.StatusNoContent, z.call("POST", "/v1/endpoints/worker-1", validAnnouncement, "secret").Code)
 	require.Len(t, z.announcements, 1)
 	got := z.announcements[0]
@@ -83,7 +84,7 @@
 		"large":               {`"leaving"`, `"` + strings.Repeat("x", 300<<10) + `"`, "cache events"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			z := newZone()
+			z := newFakeSchedulers()
 			got := z.call("POST", "/v1/endpoints/worker-1", strings.Replace(validAnnouncement, test.old, test.changed, 1), "secret")
 			require.Contains(t, []int{http.StatusBadRequest, http.StatusRequestEntityTooLarge}, got.Code)
 			require.Contains(t, got.Body.String(), test.want)
@@ -94,7 +95,7 @@
 }
 
 func TestToken(t *testing.T) {
-	z := newZone()
+	z := newFakeSchedulers()
 	for _, method := range []string{"POST", "DELETE"} {
 		require.Equal(t, http.StatusUnauthorized, z.call(method, "/v1/endpoints/worker-1?incarnation=3", validAnnouncement, "wrong").Code)
 	}
@@ -103,7 +104,7 @@
 
 // A valid token without the Bearer scheme is refused.
 func TestTokenNeedsItsScheme(t *testing.T) {
-	z := newZone()
+	z := newFakeSchedulers()
 	request := httptest.NewRequest("POST", "/v1/endpoints/worker-1", strings.NewReader(validAnnouncement))
 	request.Header.Set("Authorization", "secret")
 	recorder := httptest.NewRecorder()
@@ -116,7 +117,7 @@
 // announce an endpoint for another service, or withdraw one, and work of one service
 // would go to an endpoint of another.
 func TestServiceTokenIsLimitedToItsService(t *testing.T) {
-	z := newZone()
+	z := newFakeSchedulers()
 	require.Equal(t, http.StatusForbidden, z.call("POST", "/v1/endpoints/worker-1", validAnnouncement, "other-secret").Code)
 	require.Empty(t, z.announcements)
 	require.Equal(t, http.StatusNoContent, z.call("POST", "/v1/endpoints/worker-1", validAnnouncement, "modelli-secret").Code)
@@ -142,7 +143,7 @@
 		"no incarnation":       {path: "worker-1", status: http.StatusBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
-			z := newZone()
+			z := newFakeSchedulers()
 			z.call("POST", "/v1/endpoints/worker-1", validAnnouncement, "secret")
 			z.clock.Advance(test.elapsed)
 			require.Equal(t, test.status, z.call("DELETE", "/v1/endpoints/"+test.path, "", "secret").Code)
@@ -158,7 +159,7 @@
 }
 
 func TestUnreachableSchedulerAnswersUnavailable(t *testing.T) {
-	z := newZone()
+	z := newFakeSchedulers()
 	z.err = errors.New("connection refused to 10.9.9.9")
 	got := z.call("POST", "/v1/endpoints/worker-1", validAnnouncement, "secret")
 	require.Equal(t, http.StatusServiceUnavailable, got.Code)
@@ -173,7 +174,7 @@
 	f.Add(`{}`)
 	f.Add(`{"cached":null,"slots":-1}`)
 	f.Fuzz(func(t *testing.T, body string) {
-		z := newZone()
+		z := newFakeSchedulers()
 		got := z.call("POST", "/v1/endpoints/worker-1", body, "secret")
 		if got.Code != http.StatusNoContent {
 			require.Empty(t, z.announcements)
--- a/router/internal/updatereader/fleet.go
+++ b/router/internal/updatereader/fleet.go
@@ -8,8 +8,8 @@
 	"shallotkeel.example/lib/messenger"
 )
 
-// Fleet holds the sums that keepers compute over all routers' reports.
-type Fleet struct {
+// FleetSums holds the sums that keepers compute over all routers' reports.
+type FleetSums struct {
 	// Uses is the demand of each workspace, and how much of it is served and shed.
 	Uses map[string]apportioner.Use
 	// Loads is the number of unread tokens that all other routers have at each engine.
@@ -23,29 +23,29 @@
 // example when all processes start, and then the few reports say little about the rest.
 const maxScale = 2
 
-// fleetOf returns the sums of the whole fleet. In a partition, a keeper has the reports of some
-// routers only, while the other routers still serve. Taken for the whole fleet, these sums would give
-// every workspace twice its share here. The missing routers are assumed to carry the same load as the
+// fleetSumsOf returns the sums of the whole fleet. In a partition, a keeper has the reports of some
+// routers only, while the other routers still serve. If these sums were used as those of the whole
+// fleet, every workspace would get twice its share at this router. The missing routers are assumed to carry the same load as the
 // reporting ones.
-func fleetOf(update *messenger.FollowResponse) Fleet {
+func fleetSumsOf(update *messenger.FollowResponse) FleetSums {
 	scale := 1.0
 	if reporting := update.GetReporting(); reporting > 0 {
 		scale = min(max(float64(update.GetExpected())/float64(reporting), 1), maxScale)
 	}
-	fleet := Fleet{
+	sums := FleetSums{
 		Uses:    make(map[string]apportioner.Use, len(update.GetUses())),
 		Loads:   make(map[uint64]int, len(update.GetLoads())),
 		Backlog: time.Duration(update.GetBacklogMs()) * time.Millisecond,
 	}
 	for _, use := range update.GetUses() {
-		fleet.Uses[use.GetWorkspace()] = apportioner.Use{
+		sums.Uses[use.GetWorkspace()] = apportioner.Use{
 			Demand: scaled(use.GetAsked(), scale), Served: scaled(use.GetGot(), scale), Shed: scaled(use.GetUnheard(), scale),
 		}
 	}
 	for _, load := range update.GetLoads() {
-		fleet.Loads[load.GetEndpoint()] = scaled(int(load.GetUnread()), scale)
+		sums.Loads[load.GetEndpoint()] = scaled(int(load.GetUnread()), scale)
 	}
-	return fleet
+	return sums
 }
 
 func scaled[T int | uint64](value T, by float64) T {
--- a/router/internal/updatereader/plan.go
+++ b/router/internal/updatereader/plan.go
@@ -29,7 +29,7 @@
 	limit := r.options.Clock.After(primaryWait)
 	for {
 		r.mutex.Lock()
-		enforced := r.planChanged
+		changed := r.planChanged
 		r.mutex.Unlock()
 		if r.version() >= version {
 			return true
@@ -39,7 +39,7 @@
 			return true
 		case <-limit:
 			return false
-		case <-enforced:
+		case <-changed:
 		}
 	}
 }
--- a/router/internal/updatereader/updatereader.go
+++ b/router/internal/updatereader/updatereader.go
@@ -41,17 +41,18 @@
 	Routers func(count int)
 	// Uses returns the demand of each workspace at this router, and how much of it is served and shed.
 	Uses func() map[string]apportioner.Use
-	// Loads returns the number of unread tokens that this router has at each engine.
+	// Loads returns the number of unread tokens that this router has at each engine: prompt tokens
+	// that were sent and are not prefilled yet.
 	Loads func() map[uint64]int
 	// Backlog returns the prefill backlog of the engines, as this router estimates it.
 	Backlog func() time.Duration
-	// Fleet receives the sums over the whole fleet.
-	Fleet func(fleet Fleet)
+	// FleetSums receives the sums over the whole fleet.
+	FleetSums func(sums FleetSums)
 	// Sampling receives, by service, the sampled part of the endpoints that every router knows, one in
 	// 1<<shift. A service is missing if the routers know all its endpoints.
 	Sampling func(shifts map[string]int)
-	// UnreportedStreams returns the streams that began here and are not known yet to the keeper that gets
-	// the report. ReportAnswered is called when that keeper has answered the report, ReportLost when it
+	// UnreportedStreams returns the origins of streams that began here and that no keeper has
+	// acknowledged yet, for the report to a keeper. ReportAnswered is called when that keeper has answered the report, ReportLost when it
 	// does not answer.
 	UnreportedStreams func(keeper netip.AddrPort) []*messenger.Begun
 	ReportAnswered    func(keeper netip.AddrPort)
@@ -99,8 +100,8 @@
 	return r.table.Load()
 }
 
-// Begun returns a channel that is closed once there is a configuration.
-func (r *Reader) Begun() <-chan struct{} {
+// Ready returns a channel that is closed once there is a configuration.
+func (r *Reader) Ready() <-chan struct{} {
 	return r.ready
 }
 
@@ -168,8 +169,8 @@
 	if r.options.Routers != nil {
 		r.options.Routers(int(update.GetRouters()))
 	}
-	if r.options.Fleet != nil && !update.GetBrief() {
-		r.options.Fleet(fleetOf(update))
+	if r.options.FleetSums != nil && !update.GetBrief() {
+		r.options.FleetSums(fleetSumsOf(update))
 	}
 	if r.options.Sampling != nil && !update.GetBrief() {
 		shifts := make(map[string]int, len(update.GetHomes()))
@@ -249,7 +250,7 @@
 	for _, wire := range listings {
 		listing, err := lister.FromWire(wire, now)
 		if err != nil {
-			r.options.Log.Warn().Err(err).Stringer("keeper", keeper).Msg("listing from keeper is unreadable; it is ignored")
+			r.options.Log.Warn().Err(err).Stringer("keeper", keeper).Msg("keeper sent a listing that cannot be decoded; ignoring it")
 			continue
 		}
 		r.recordSilence(keeper, listing)
