--- a/keeper/internal/server/planning.go
+++ b/keeper/internal/server/planning.go
@@ -182,6 +182,6 @@
 	p.metrics.unusable.WithLabelValues(string(fault.Reason)).Inc()
 	if p.heartbeatDamper.Admit(p.clock.Now(), p.log) {
 		p.log.Warn().Err(fault).Str("endpoint", id).Str("reason", string(fault.Reason)).Str("field", fault.Field).
-			Msg("heartbeat contains no usable endpoint; ignoring it")
+			Msg("heartbeat left out")
 	}
 }
--- a/keeper/internal/server/server.go
+++ b/keeper/internal/server/server.go
@@ -276,7 +276,7 @@
 	defer cancel()
 	for _, server := range servers {
 		if err := server.Shutdown(ctx); err != nil {
-			s.log.Warn().Err(err).Msg("in-flight calls did not finish within the shutdown grace period; closing their connections; raise the timeouts of the callers or stop the keeper at a time of less load")
+			s.log.Warn().Err(err).Msg("calls were cut off at the stop: they did not finish within the grace period; raise the timeouts of the callers or stop the keeper at a time of less load")
 			closeAndLog(server, s.log)
 		}
 	}
@@ -412,7 +412,7 @@
 		s.log.Info().Bool("quorum", next.status.Quorum).Msg("contact with a quorum of keepers changed")
 	}
 	if last.diskFull != next.diskFull {
-		s.log.Warn().Bool("full", next.diskFull).Msg("free space on the disk changed; while the disk is full this keeper takes no part in the group")
+		s.log.Warn().Bool("full", next.diskFull).Msg("room on the disk changed; while the disk is full this keeper takes no part in the group")
 	}
 }
 
--- a/router/internal/coordinator/coordinator.go
+++ b/router/internal/coordinator/coordinator.go
@@ -248,7 +248,7 @@
 // resetAfterStall drops all pools. While this process stalled, other routers took
 // its pools over and gave their slots to other requests, so its state is stale.
 func (c *Coordinator) resetAfterStall(now time.Time) {
-	c.log.Warn().Msg("this process stalled for longer than its lease; dropping its pools, which other routers may have taken over")
+	c.log.Warn().Msg("this process stood still for longer than its lease; dropping its pools, which other routers may have taken over")
 	clear(c.pools)
 	for _, pc := range c.poolClients {
 		pc.enlister.Restart(now)
