--- a/lib/lister/lister.go
+++ b/lib/lister/lister.go
@@ -59,7 +59,7 @@
 	Started  time.Time
 	Sequence uint64
 	State    State
-	// Silent is set when no heartbeat has arrived for SilentBeats intervals.
+	// Silent is set when no heartbeat has arrived for SilentHeartbeats intervals.
 	Silent bool
 	// WasSilent is set when this list has seen the instance silent during this incarnation.
 	WasSilent bool
