--- a/keeper/internal/server/shedding.go
+++ b/keeper/internal/server/shedding.go
@@ -26,7 +26,7 @@
 	return wait, false
 }
 
-// logLag logs when this keeper starts or stops lagging, and returns whether it lags.
+// logLag logs when this keeper starts or stops lagging, and reports whether it lags.
 func (s *Server) logLag(before bool) bool {
 	lags := s.pacer.Lags()
 	if lags != before {
--- a/keeper/internal/settings/settings.go
+++ b/keeper/internal/settings/settings.go
@@ -69,8 +69,9 @@
 
 // retireAfter is how long a member may be silent before the group removes it, in
 // deployments with seeds, where no operator manages the members. A replaced instance
-// stops counting as lost some four seconds after the start of its successor, and the
-// successor needs a second to start and catch up.
+// counts as a lost member, of which the group tolerates only a minority, until about four
+// seconds after the start of its successor. The successor needs one of them to start and
+// catch up.
 const retireAfter = 2 * time.Second
 
 // minHeartbeatsPerElection is the minimum ratio of the election timeout to the heartbeat
--- a/lib/detector/detector.go
+++ b/lib/detector/detector.go
@@ -47,7 +47,7 @@
 // starting router discovers zones that contain none of its seeds.
 const contactsPerZone = 2
 
-// Options configure a Detector.
+// Options configures a Detector.
 type Options struct {
 	Self  Member           // this router
 	Seeds []netip.AddrPort // control addresses of some other routers
--- a/lib/subscriber/selection.go
+++ b/lib/subscriber/selection.go
@@ -11,7 +11,8 @@
 	// maxFullGroup is the size of the largest group whose keepers are all followed.
 	maxFullGroup = 5
 	// In a larger group a router follows maxFollowed keepers, of which sameZoneFollowed are in
-	// its own zone. A keeper elsewhere reports when the router's zone is cut off.
+	// its own zone. At least one is in another zone, so that a zone that is cut off does not go
+	// unnoticed.
 	sameZoneFollowed = 2
 	maxFollowed      = 3
 	// maxRetried bounds the failed keepers that are retried in addition, in the own zone and in
--- a/lib/subscriber/selection_test.go
+++ b/lib/subscriber/selection_test.go
@@ -109,7 +109,7 @@
 				require.Equal(t, test.each, near+far)
 				if test.zones > 1 && test.keepers > maxFullGroup {
 					require.Positive(t, near)
-					require.Positive(t, far, "a keeper elsewhere reports that the zone is cut off")
+					require.Positive(t, far, "without a keeper elsewhere a zone that is cut off goes unnoticed")
 				}
 				for address := range r.followed {
 					followers[address]++
--- a/lib/subscriber/subscriber.go
+++ b/lib/subscriber/subscriber.go
@@ -83,7 +83,7 @@
 	Lost(keeper netip.AddrPort, err error)
 }
 
-// Options configure a Subscriber.
+// Options configures a Subscriber.
 type Options struct {
 	Host  Host
 	Clock clockwork.Clock
--- a/router/internal/claimant/claimant.go
+++ b/router/internal/claimant/claimant.go
@@ -49,7 +49,7 @@
 	Record(ctx context.Context, request *messenger.RecordRequest) (*messenger.RecordResponse, error)
 }
 
-// Options configure a Claimant.
+// Options configures a Claimant.
 type Options struct {
 	Keeping     Keeping
 	Name        string // of the router
--- a/router/internal/coordinator/coordinator.go
+++ b/router/internal/coordinator/coordinator.go
@@ -56,7 +56,7 @@
 	minTickInterval = 5 * time.Millisecond
 )
 
-// Options configure a Coordinator.
+// Options configures a Coordinator.
 type Options struct {
 	Name        string
 	Zone        string
--- a/router/internal/updatereader/fleet.go
+++ b/router/internal/updatereader/fleet.go
@@ -25,8 +25,8 @@
 
 // fleetSumsOf returns the sums of the whole fleet. In a partition, a keeper has the reports of some
 // routers only, while the other routers still serve. If these sums were used as those of the whole
-// fleet, every workspace would get twice its share at this router. The missing routers are assumed to carry the same load as the
-// reporting ones.
+// fleet, every workspace would get twice its share at this router. The missing routers are assumed
+// to carry the same load as the reporting ones.
 func fleetSumsOf(update *messenger.FollowResponse) FleetSums {
 	scale := 1.0
 	if reporting := update.GetReporting(); reporting > 0 {
--- a/router/internal/updatereader/updatereader.go
+++ b/router/internal/updatereader/updatereader.go
@@ -52,8 +52,8 @@
 	// 1<<shift. A service is missing if the routers know all its endpoints.
 	Sampling func(shifts map[string]int)
 	// UnreportedStreams returns the origins of streams that began here and that no keeper has
-	// acknowledged yet, for the report to a keeper. ReportAnswered is called when that keeper has answered the report, ReportLost when it
-	// does not answer.
+	// acknowledged yet, for the report to a keeper. ReportAnswered is called when that keeper has
+	// answered the report, ReportLost when it does not answer.
 	UnreportedStreams func(keeper netip.AddrPort) []*messenger.Begun
 	ReportAnswered    func(keeper netip.AddrPort)
 	ReportLost        func(keeper netip.AddrPort)
